--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,23 +1,23 @@
 //! Wires the parts into one running daemon.
 
-pub mod config_follower;
-pub mod config_spread;
+pub mod config_applier;
+pub mod config_dissemination;
 pub mod control_driver;
 pub mod control_port;
 pub mod duties;
-pub mod membership_watch;
-pub mod peer_desk;
+pub mod lifecycle;
+pub mod peer_service;
 pub mod peer_status;
-pub mod remote_control;
-pub mod running;
-pub mod server_board;
-pub mod server_news;
+pub mod remote_proposer;
+pub mod server_monitor;
 pub mod server_probe;
-pub mod status_desk;
-pub mod voter_follower;
+pub mod server_table;
+pub mod server_updates;
+pub mod status_service;
+pub mod voter_poller;
 pub mod weight_orders;
 
 pub use self::{
-    control_port::{ConfigWatch, ControlPort, LocalControl},
-    running::{Daemon, DaemonError, DrainReport, Draining, Serving, Starting},
+    control_port::{ConfigWatch, ControlPort, UnavailableControl},
+    lifecycle::{Daemon, DaemonError, DrainReport, Draining, Serving, Starting},
 };
--- a/src/daemon/config_follower.rs
+++ b/src/daemon/config_applier.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        config_spread::{ConfigSpread, spread_core::PeerView},
-        membership_watch::MembershipWatch,
-        server_board::ServerBoard,
+        config_dissemination::{ConfigDissemination, dissemination_core::PeerView},
+        server_monitor::ServerMonitor,
+        server_table::ServerTable,
     },
     crate::{
         ids::VmId, inventory::ActiveConfig, options::DaemonOptions, pipeline::PipelineCore,
@@ -14,22 +14,22 @@
 };
 
 /// Follows the configuration of one daemon.
-pub struct ConfigFollower {
+pub struct ConfigApplier {
     /// The pipeline.
     pub core: Arc<PipelineCore>,
     /// The network, whose peers the register names.
     pub network: PeerNetwork,
     /// Where the configuration comes from.
-    pub spread: ConfigSpread,
+    pub spread: ConfigDissemination,
     /// The watch over backend servers.
-    pub watch: MembershipWatch,
+    pub watch: ServerMonitor,
     /// News of servers, bounded by the register.
-    pub board: Arc<ServerBoard>,
+    pub board: Arc<ServerTable>,
     /// The daemon's settings.
     pub options: DaemonOptions,
 }
 
-impl ConfigFollower {
+impl ConfigApplier {
     /// Runs until the spread ends.
     pub async fn run(self) {
         let mut watch = self.spread.watch();
@@ -67,7 +67,7 @@
         let founders = &self.options.group.founders;
         let domain: Vec<VmId> = domain.into_iter().map(|vm| vm.id.clone()).collect();
         PeerView {
-            anchors: domain.iter().filter(|vm| founders.contains(*vm)).cloned().collect(),
+            durable_peers: domain.iter().filter(|vm| founders.contains(*vm)).cloned().collect(),
             domain,
             others: others.into_iter().map(|vm| vm.id.clone()).collect(),
         }
--- a/src/daemon/config_spread.rs
+++ b/src/daemon/config_dissemination.rs
@@ -5,14 +5,16 @@
 //! they lack and tell a few more. Rounds with one random peer find whom this missed.
 
 pub mod cache_file;
+pub mod dissemination_core;
 pub mod history;
-pub mod spread_core;
 
 use {
     self::{
         cache_file::CacheFile,
+        dissemination_core::{
+            DisseminationAction, DisseminationCore, DisseminationInput, PeerView, StorageKind,
+        },
         history::ConfigHistory,
-        spread_core::{HolderKind, PeerView, SpreadAction, SpreadCore, SpreadInput},
     },
     crate::{
         daemon::ConfigWatch,
@@ -39,7 +41,7 @@
 
 /// What a spread needs to start.
 #[derive(Clone, Debug)]
-pub struct SpreadSettings {
+pub struct DisseminationSettings {
     /// The data folder, on a VM that has a disk.
     pub data_dir: Option<PathBuf>,
     /// The peers that the settings name.
@@ -50,43 +52,43 @@
 
 /// A handle on the spread of one daemon; clones share it.
 #[derive(Clone)]
-pub struct ConfigSpread {
+pub struct ConfigDissemination {
     published: Arc<Mutex<ConfigHistory>>,
-    inputs: mpsc::Sender<SpreadInput>,
+    inputs: mpsc::Sender<DisseminationInput>,
     config: ConfigWatch,
 }
 
-/// The other half of a [`ConfigSpread`], to be run once the network is up.
-pub struct SpreadTask {
-    core: SpreadCore,
+/// The other half of a [`ConfigDissemination`], to be run once the network is up.
+pub struct DisseminationTask {
+    core: DisseminationCore,
     /// What peers are answered from; follows the core once the disk, if any, has it.
     published: Arc<Mutex<ConfigHistory>>,
-    inputs: mpsc::Receiver<SpreadInput>,
-    results: mpsc::WeakSender<SpreadInput>,
+    inputs: mpsc::Receiver<DisseminationInput>,
+    results: mpsc::WeakSender<DisseminationInput>,
     cache: Option<CacheFile>,
     in_force: watch::Sender<Arc<ActiveConfig>>,
 }
 
-impl ConfigSpread {
+impl ConfigDissemination {
     /// Takes up what the cache file kept. The handle answers peers from now on; the task does the
     /// rest once it is run.
-    pub fn new(settings: SpreadSettings) -> (Self, SpreadTask) {
+    pub fn new(settings: DisseminationSettings) -> (Self, DisseminationTask) {
         let cache = settings.data_dir.map(CacheFile::new);
-        let kind = if cache.is_some() { HolderKind::Durable } else { HolderKind::Diskless };
+        let kind = if cache.is_some() { StorageKind::Durable } else { StorageKind::Diskless };
         let now = Instant::now().into_std();
-        let mut core = SpreadCore::new(now, kind, settings.view, settings.seed);
+        let mut core = DisseminationCore::new(now, kind, settings.view, settings.seed);
         let (in_force, config) = watch::channel(Arc::default());
         if let Some(kept) = cache.as_ref().and_then(CacheFile::load) {
             let kept = Arc::new(kept);
             // The peers hear of it in the first round; nobody is told before the network is up.
-            let _ = core.handle(now, SpreadInput::Committed(kept.clone()));
+            let _ = core.handle(now, DisseminationInput::Committed(kept.clone()));
             in_force.send_replace(kept);
         }
         let published = Arc::new(Mutex::new(core.history().clone()));
         let (inputs, queue) = mpsc::channel(QUEUE_LENGTH);
         let results = inputs.downgrade();
         let spread = Self { published: published.clone(), inputs, config };
-        (spread, SpreadTask { core, published, inputs: queue, results, cache, in_force })
+        (spread, DisseminationTask { core, published, inputs: queue, results, cache, in_force })
     }
 
     /// The configuration in force here; its revision never falls.
@@ -101,7 +103,7 @@
 
     /// Takes a peer's [`PeerMessage::ConfigNotice`]; lost when too many wait.
     pub fn notice(&self, from: VmId, revision: Revision) {
-        let _ = self.inputs.try_send(SpreadInput::Notice { from, revision });
+        let _ = self.inputs.try_send(DisseminationInput::Notice { from, revision });
     }
 
     /// Answers a peer's [`PeerRequest::FetchConfig`].
@@ -113,11 +115,11 @@
     /// Replaces the peers, as the register in force names them.
     pub async fn set_view(&self, view: PeerView) {
         // Without a task there is nobody to tell either.
-        let _ = self.inputs.send(SpreadInput::Peers(view)).await;
+        let _ = self.inputs.send(DisseminationInput::Peers(view)).await;
     }
 }
 
-impl SpreadTask {
+impl DisseminationTask {
     /// Runs until the last handle is dropped. `committed` follows the replica on this VM, if any.
     pub async fn run(mut self, network: PeerNetwork, mut committed: Option<ConfigWatch>) {
         if let Some(watch) = &mut committed {
@@ -130,8 +132,8 @@
                     Some(input) => input,
                     None => return,
                 },
-                config = next_commit(&mut committed) => SpreadInput::Committed(config),
-                () = sleep_until(wakeup) => SpreadInput::Wake,
+                config = next_commit(&mut committed) => DisseminationInput::Committed(config),
+                () = sleep_until(wakeup) => DisseminationInput::Wake,
             };
             for action in self.core.handle(Instant::now().into_std(), input) {
                 self.perform(&network, action).await;
@@ -139,13 +141,13 @@
         }
     }
 
-    async fn perform(&self, network: &PeerNetwork, action: SpreadAction) {
+    async fn perform(&self, network: &PeerNetwork, action: DisseminationAction) {
         match action {
-            SpreadAction::Adopt(config) => self.put_in_force(config).await,
-            SpreadAction::Notify { to, revision } => {
+            DisseminationAction::Adopt(config) => self.put_in_force(config).await,
+            DisseminationAction::Notify { to, revision } => {
                 network.send(&to, PeerMessage::ConfigNotice { revision });
             }
-            SpreadAction::Fetch { from, have } => {
+            DisseminationAction::Fetch { from, have } => {
                 let Some(results) = self.results.upgrade() else { return };
                 let history = self.core.history().clone();
                 tokio::spawn(fetch(network.clone(), history, results, from, have));
@@ -175,7 +177,7 @@
 async fn fetch(
     network: PeerNetwork,
     history: ConfigHistory,
-    results: mpsc::Sender<SpreadInput>,
+    results: mpsc::Sender<DisseminationInput>,
     from: VmId,
     have: Revision,
 ) {
@@ -183,7 +185,7 @@
     let reply = network.call(&from, request, FETCH_LIMIT).await;
     let config = reply.ok().and_then(|reply| history.read(reply)).map(Arc::new);
     // The task may have ended meanwhile.
-    let _ = results.send(SpreadInput::Fetched { from, config }).await;
+    let _ = results.send(DisseminationInput::Fetched { from, config }).await;
 }
 
 /// The next configuration of the replica; never returns without one.
--- a/src/daemon/config_spread/spread_core.rs
+++ b/src/daemon/config_dissemination/dissemination_core.rs
@@ -39,7 +39,7 @@
 
 /// Whether a daemon keeps the configuration over a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HolderKind {
+pub enum StorageKind {
     /// It forgets.
     Diskless,
     /// It has a data folder.
@@ -52,14 +52,14 @@
     /// Daemons of the same failure domain.
     pub domain: Vec<VmId>,
     /// Those of them that have a disk.
-    pub anchors: Vec<VmId>,
+    pub durable_peers: Vec<VmId>,
     /// Daemons to ask outside: replicas and seeds.
     pub others: Vec<VmId>,
 }
 
 /// What can happen.
 #[derive(Clone, Debug)]
-pub enum SpreadInput {
+pub enum DisseminationInput {
     /// The replica on this VM applied a configuration, or the cache file held it.
     Committed(Arc<ActiveConfig>),
     /// A peer has this revision.
@@ -84,7 +84,7 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum SpreadAction {
+pub enum DisseminationAction {
     /// Put this in force.
     Adopt(Arc<ActiveConfig>),
     /// Tell a peer which revision is in force here.
@@ -104,8 +104,8 @@
 }
 
 /// The state of one daemon's spread.
-pub struct SpreadCore {
-    kind: HolderKind,
+pub struct DisseminationCore {
+    kind: StorageKind,
     random: Xoshiro256PlusPlus,
     history: ConfigHistory,
     view: PeerView,
@@ -122,9 +122,9 @@
     foreign_since: Option<Instant>,
 }
 
-impl SpreadCore {
+impl DisseminationCore {
     /// A daemon that has just started and holds nothing.
-    pub fn new(now: Instant, kind: HolderKind, view: PeerView, seed: u64) -> Self {
+    pub fn new(now: Instant, kind: StorageKind, view: PeerView, seed: u64) -> Self {
         let mut core = Self {
             kind,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -160,22 +160,22 @@
     }
 
     /// Takes one input.
-    pub fn handle(&mut self, now: Instant, input: SpreadInput) -> Vec<SpreadAction> {
+    pub fn handle(&mut self, now: Instant, input: DisseminationInput) -> Vec<DisseminationAction> {
         let mut actions = Vec::new();
         match input {
-            SpreadInput::Committed(config) => self.adopt(None, config, &mut actions),
-            SpreadInput::Notice { from, revision } => {
+            DisseminationInput::Committed(config) => self.adopt(None, config, &mut actions),
+            DisseminationInput::Notice { from, revision } => {
                 self.hear(now, from, revision, &mut actions);
             }
-            SpreadInput::Fetched { from, config } => {
+            DisseminationInput::Fetched { from, config } => {
                 self.fetching = None;
                 self.offers.remove(&from);
                 if let Some(config) = config {
                     self.adopt(Some(&from), config, &mut actions);
                 }
             }
-            SpreadInput::Peers(view) => self.view = view,
-            SpreadInput::Wake => self.round(now, &mut actions),
+            DisseminationInput::Peers(view) => self.view = view,
+            DisseminationInput::Wake => self.round(now, &mut actions),
         }
         self.fetch_next(now, &mut actions);
         actions
@@ -189,19 +189,19 @@
         &mut self,
         source: Option<&VmId>,
         config: Arc<ActiveConfig>,
-        actions: &mut Vec<SpreadAction>,
+        actions: &mut Vec<DisseminationAction>,
     ) {
         if !self.history.advance(config.clone()) {
             return;
         }
         let revision = config.revision;
-        actions.push(SpreadAction::Adopt(config));
+        actions.push(DisseminationAction::Adopt(config));
         self.offers.retain(|_, offered| *offered > revision);
         self.foreign_since = None;
         let mut targets = self.view.domain.clone();
         targets.retain(|vm| Some(vm) != source);
         for to in self.pick_some(targets, FAN_OUT) {
-            actions.push(SpreadAction::Notify { to, revision });
+            actions.push(DisseminationAction::Notify { to, revision });
         }
     }
 
@@ -210,10 +210,10 @@
         now: Instant,
         from: VmId,
         revision: Revision,
-        actions: &mut Vec<SpreadAction>,
+        actions: &mut Vec<DisseminationAction>,
     ) {
         if revision < self.revision() {
-            actions.push(SpreadAction::Notify { to: from, revision: self.revision() });
+            actions.push(DisseminationAction::Notify { to: from, revision: self.revision() });
         } else if revision > self.revision() {
             if !self.is_near(&from) {
                 self.foreign_since.get_or_insert(now);
@@ -228,13 +228,13 @@
         }
     }
 
-    fn round(&mut self, now: Instant, actions: &mut Vec<SpreadAction>) {
+    fn round(&mut self, now: Instant, actions: &mut Vec<DisseminationAction>) {
         if now < self.next_round {
             return;
         }
         let revision = self.revision();
         let targets = if revision == 0 { self.cold_targets() } else { self.round_target() };
-        actions.extend(targets.into_iter().map(|to| SpreadAction::Notify { to, revision }));
+        actions.extend(targets.into_iter().map(|to| DisseminationAction::Notify { to, revision }));
         let mean = match revision {
             0 => ROUND_INTERVAL.mul_f64(0.125 * f64::from(1 << self.cold_rounds.min(3))),
             _ => ROUND_INTERVAL,
@@ -245,7 +245,7 @@
     /// The domain's disk replicas, some of its daemons and two from outside.
     fn cold_targets(&mut self) -> Vec<VmId> {
         self.cold_rounds = self.cold_rounds.saturating_add(1);
-        let mut targets = self.view.anchors.clone();
+        let mut targets = self.view.durable_peers.clone();
         let mut domain = self.view.domain.clone();
         domain.retain(|vm| !targets.contains(vm));
         targets.extend(self.pick_some(domain, COLD_PEERS));
@@ -256,8 +256,8 @@
 
     fn round_target(&mut self) -> Vec<VmId> {
         let share = match self.kind {
-            HolderKind::Diskless => FOREIGN_SHARE,
-            HolderKind::Durable => FOREIGN_SHARE_DURABLE,
+            StorageKind::Diskless => FOREIGN_SHARE,
+            StorageKind::Durable => FOREIGN_SHARE_DURABLE,
         };
         let foreign = self.random.next_u32().is_multiple_of(share);
         let outside = self.view.domain.is_empty() || (foreign && !self.view.others.is_empty());
@@ -266,7 +266,7 @@
     }
 
     /// Fetches the highest revision on offer, from one of those that offer it.
-    fn fetch_next(&mut self, now: Instant, actions: &mut Vec<SpreadAction>) {
+    fn fetch_next(&mut self, now: Instant, actions: &mut Vec<DisseminationAction>) {
         if self.fetching.is_some() {
             return;
         }
@@ -287,7 +287,7 @@
         let best = best.map(|(vm, _)| vm).collect();
         if let Some(from) = self.pick_some(best, 1).pop() {
             self.fetching = Some(from.clone());
-            actions.push(SpreadAction::Fetch { from, have });
+            actions.push(DisseminationAction::Fetch { from, have });
         }
     }
 
@@ -300,7 +300,7 @@
     /// not followed in [`ANCHOR_WAIT`]. After a restart it hears the disk replica out before it
     /// takes what others have.
     fn may_use(&self, now: Instant, vm: &VmId) -> bool {
-        if self.kind == HolderKind::Durable || self.view.anchors.is_empty() {
+        if self.kind == StorageKind::Durable || self.view.durable_peers.is_empty() {
             return true;
         }
         if self.revision() == 0 {
@@ -310,11 +310,11 @@
     }
 
     fn anchor_offers(&self) -> bool {
-        self.view.anchors.iter().any(|vm| self.offers.contains_key(vm))
+        self.view.durable_peers.iter().any(|vm| self.offers.contains_key(vm))
     }
 
     fn is_near(&self, vm: &VmId) -> bool {
-        self.view.domain.contains(vm) || self.view.anchors.contains(vm)
+        self.view.domain.contains(vm) || self.view.durable_peers.contains(vm)
     }
 
     /// Up to `count` of `targets`, at random.
--- a/src/daemon/control_port.rs
+++ b/src/daemon/control_port.rs
@@ -25,9 +25,9 @@
 
 /// A port without replicas, for daemons that have found no control replica: nothing can be
 /// decided, and callers are told so truthfully.
-pub struct LocalControl;
+pub struct UnavailableControl;
 
-impl ControlPort for LocalControl {
+impl ControlPort for UnavailableControl {
     fn propose(&self, _command: Command) -> BoxFuture<'_, Result<CommandOutcome, ProposeError>> {
         Box::pin(async { Err(ProposeError::NoQuorum) })
     }
--- a/src/daemon/duties.rs
+++ b/src/daemon/duties.rs
@@ -1,7 +1,7 @@
 //! Work of the dispatcher that belongs to no request: cancel calls, probes and digests.
 
 use {
-    super::{membership_watch::MembershipWatch, server_probe::probe_server},
+    super::{server_monitor::ServerMonitor, server_probe::probe_server},
     crate::{
         backend::{BackendError, engine},
         ids::{AttemptId, FailureDomainId, VmId},
@@ -15,7 +15,7 @@
 };
 
 /// Duties that wait; the dispatcher gives those again that are dropped.
-pub const DUTY_BOUND: usize = 4096;
+pub const DUTY_QUEUE_LENGTH: usize = 4096;
 /// Cancel calls and probes under way at once; further ones wait in the queue.
 const RUNNING_DUTIES: usize = 256;
 
@@ -29,7 +29,7 @@
 pub async fn run_duties(
     core: Arc<PipelineCore>,
     network: PeerNetwork,
-    watch: MembershipWatch,
+    watch: ServerMonitor,
     mut duties: mpsc::Receiver<DispatchDuty>,
 ) {
     let mut running = JoinSet::new();
--- a/src/daemon/running.rs
+++ b/src/daemon/lifecycle.rs
@@ -3,18 +3,21 @@
 use {
     super::{
         ConfigWatch,
-        config_follower::ConfigFollower,
-        config_spread::{ConfigSpread, SpreadSettings, SpreadTask, spread_core::PeerView},
+        config_applier::ConfigApplier,
+        config_dissemination::{
+            ConfigDissemination, DisseminationSettings, DisseminationTask,
+            dissemination_core::PeerView,
+        },
         control_driver::{ControlDriver, ControlHandle, DriverError, DriverSettings},
-        duties::{DUTY_BOUND, run_duties},
-        membership_watch::MembershipWatch,
-        peer_desk::{DeskParts, PeerDesk},
-        remote_control::{RemoteControl, ReplicaPort},
-        server_board::ServerBoard,
-        server_news::{NEWS_BOUND, ServerNews},
+        duties::{DUTY_QUEUE_LENGTH, run_duties},
+        peer_service::{DaemonParts, PeerService},
+        remote_proposer::{RemoteProposer, ReplicaPort},
+        server_monitor::ServerMonitor,
         server_probe::{HttpOrders, HttpProbe},
-        status_desk::StatusDesk,
-        voter_follower::follow_voters,
+        server_table::ServerTable,
+        server_updates::{ServerUpdates, UPDATE_QUEUE_LENGTH},
+        status_service::StatusService,
+        voter_poller::poll_voters,
         weight_orders::WeightOrders,
     },
     crate::{
@@ -150,24 +153,24 @@
 
 /// The parts of a daemon, connected and running, before its HTTP ports open.
 struct WiredParts {
-    parts: DeskParts,
+    parts: DaemonParts,
     network: PeerNetwork,
-    board: Arc<ServerBoard>,
+    board: Arc<ServerTable>,
 }
 
 fn wire_parts(options: &DaemonOptions, tasks: &mut JoinSet<()>) -> Result<WiredParts, DaemonError> {
-    let desk = Arc::new(PeerDesk::default());
+    let desk = Arc::new(PeerService::default());
     let network = start_network(options, Arc::clone(&desk))?;
     let replica = start_replica(options, &network, tasks)?;
-    let control = Arc::new(remote_control(options, &network, replica.as_ref()));
-    let (duties, duty_queue) = mpsc::channel(DUTY_BOUND);
+    let control = Arc::new(remote_proposer(options, &network, replica.as_ref()));
+    let (duties, duty_queue) = mpsc::channel(DUTY_QUEUE_LENGTH);
     let core = start_core(options, Arc::clone(&control), duties);
     let (spread, spread_task) = start_spread(options);
-    let board = Arc::new(ServerBoard::default());
-    let news = Arc::new(ServerNews::new(Arc::clone(&core), Arc::clone(&board)));
-    let (findings, finding_queue) = mpsc::channel(NEWS_BOUND);
-    let watch = MembershipWatch::start(Arc::new(HttpProbe), findings);
-    let parts = DeskParts { core, replica, control, spread, watch, news };
+    let board = Arc::new(ServerTable::default());
+    let news = Arc::new(ServerUpdates::new(Arc::clone(&core), Arc::clone(&board)));
+    let (findings, finding_queue) = mpsc::channel(UPDATE_QUEUE_LENGTH);
+    let watch = ServerMonitor::start(Arc::new(HttpProbe), findings);
+    let parts = DaemonParts { core, replica, control, spread, watch, news };
     desk.open(parts.clone());
     let wired = WiredParts { parts, network, board };
     wired.spawn_tasks(options, tasks);
@@ -184,7 +187,7 @@
     /// Starts the tasks that take nothing but shared parts.
     fn spawn_tasks(&self, options: &DaemonOptions, tasks: &mut JoinSet<()>) {
         let WiredParts { parts, network, board } = self;
-        let follower = ConfigFollower {
+        let follower = ConfigApplier {
             core: Arc::clone(&parts.core),
             network: network.clone(),
             spread: parts.spread.clone(),
@@ -203,7 +206,7 @@
         }
         if parts.replica.is_none() {
             let (core, control) = (Arc::clone(&parts.core), Arc::clone(&parts.control));
-            tasks.spawn(follow_voters(core, network.clone(), control));
+            tasks.spawn(poll_voters(core, network.clone(), control));
         }
         tasks.spawn(announce_life(Arc::clone(&parts.core)));
         tasks.spawn(tell_floor(Arc::clone(&parts.core)));
@@ -218,7 +221,7 @@
     metrics: PrometheusHandle,
 ) -> OperatorState {
     let WiredParts { parts, network, board } = wired;
-    let source = StatusDesk {
+    let source = StatusService {
         identity: options.identity.clone(),
         started: Instant::now(),
         parts: parts.clone(),
@@ -280,7 +283,10 @@
     }
 }
 
-fn start_network(options: &DaemonOptions, desk: Arc<PeerDesk>) -> Result<PeerNetwork, DaemonError> {
+fn start_network(
+    options: &DaemonOptions,
+    desk: Arc<PeerService>,
+) -> Result<PeerNetwork, DaemonError> {
     let settings = NetworkSettings {
         vm: options.identity.vm.clone(),
         listen: options.network.peer_listen,
@@ -312,19 +318,19 @@
     Ok(Some(handle))
 }
 
-fn remote_control(
+fn remote_proposer(
     options: &DaemonOptions,
     network: &PeerNetwork,
     replica: Option<&ControlHandle>,
-) -> RemoteControl {
+) -> RemoteProposer {
     let local = replica.map(|handle| Arc::new(handle.clone()) as Arc<dyn ReplicaPort>);
     let voters = options.group.founders.iter().cloned();
-    RemoteControl::new(options.identity.vm.clone(), Arc::new(network.clone()), local, voters)
+    RemoteProposer::new(options.identity.vm.clone(), Arc::new(network.clone()), local, voters)
 }
 
 fn start_core(
     options: &DaemonOptions,
-    control: Arc<RemoteControl>,
+    control: Arc<RemoteProposer>,
     duties: mpsc::Sender<DispatchDuty>,
 ) -> Arc<PipelineCore> {
     let trace = Arc::new(TraceLog::default());
@@ -354,8 +360,8 @@
     OsRng.try_next_u64().expect("the kernel's random numbers are always there on supported systems")
 }
 
-fn start_spread(options: &DaemonOptions) -> (ConfigSpread, SpreadTask) {
-    ConfigSpread::new(SpreadSettings {
+fn start_spread(options: &DaemonOptions) -> (ConfigDissemination, DisseminationTask) {
+    ConfigDissemination::new(DisseminationSettings {
         data_dir: options.group.data_dir.clone(),
         view: seed_view(options),
         seed: random_seed(),
@@ -366,10 +372,10 @@
 fn seed_view(options: &DaemonOptions) -> PeerView {
     let own = &options.identity.vm;
     let others = options.group.peers.keys().filter(|vm| *vm != own).cloned().collect();
-    PeerView { domain: Vec::new(), anchors: Vec::new(), others }
+    PeerView { domain: Vec::new(), durable_peers: Vec::new(), others }
 }
 
-async fn run_spread(task: SpreadTask, network: PeerNetwork, replica: Option<ControlHandle>) {
+async fn run_spread(task: DisseminationTask, network: PeerNetwork, replica: Option<ControlHandle>) {
     task.run(network, replica.map(|replica| replica.config())).await;
 }
 
--- a/src/daemon/peer_desk.rs
+++ b/src/daemon/peer_service.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        config_spread::ConfigSpread, control_driver::ControlHandle,
-        membership_watch::MembershipWatch, peer_status::PeerStatus, remote_control::RemoteControl,
-        server_news::ServerNews,
+        config_dissemination::ConfigDissemination, control_driver::ControlHandle,
+        peer_status::PeerStatus, remote_proposer::RemoteProposer, server_monitor::ServerMonitor,
+        server_updates::ServerUpdates,
     },
     crate::{
         ids::{Revision, VmId},
@@ -19,37 +19,37 @@
 /// What a daemon answers its peers with. The parts come up one after the other; until all are
 /// there, peers are told to come back.
 #[derive(Default)]
-pub struct PeerDesk {
-    parts: OnceLock<DeskParts>,
+pub struct PeerService {
+    parts: OnceLock<DaemonParts>,
 }
 
 /// The parts behind a desk.
 #[derive(Clone)]
-pub struct DeskParts {
+pub struct DaemonParts {
     /// The pipeline.
     pub core: Arc<PipelineCore>,
     /// The replica here, if any.
     pub replica: Option<ControlHandle>,
     /// Passes proposals on.
-    pub control: Arc<RemoteControl>,
+    pub control: Arc<RemoteProposer>,
     /// The configuration.
-    pub spread: ConfigSpread,
+    pub spread: ConfigDissemination,
     /// The watch over backend servers.
-    pub watch: MembershipWatch,
+    pub watch: ServerMonitor,
     /// What is passed on of it.
-    pub news: Arc<ServerNews>,
+    pub news: Arc<ServerUpdates>,
 }
 
-impl PeerDesk {
+impl PeerService {
     /// Opens the desk; a second call changes nothing.
-    pub fn open(&self, parts: DeskParts) {
+    pub fn open(&self, parts: DaemonParts) {
         if self.parts.set(parts).is_err() {
             log::error!("the desk for peers was opened twice");
         }
     }
 }
 
-impl PeerHandler for PeerDesk {
+impl PeerHandler for PeerService {
     fn message(&self, from: VmId, message: PeerMessage) {
         let Some(parts) = self.parts.get() else { return };
         match message {
@@ -83,7 +83,7 @@
     }
 }
 
-impl DeskParts {
+impl DaemonParts {
     async fn answer(self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Propose { command, may_forward } => {
--- a/src/daemon/peer_status.rs
+++ b/src/daemon/peer_status.rs
@@ -45,7 +45,7 @@
 
 /// Asks each of `peers` for its status, at most [`ASKED_TOGETHER`] at a time; `None` stands for
 /// those that did not answer.
-pub async fn ask_status(
+pub async fn fetch_statuses(
     network: &PeerNetwork,
     peers: impl IntoIterator<Item = VmId>,
 ) -> BTreeMap<VmId, Option<PeerStatus>> {
--- a/src/daemon/remote_control.rs
+++ b/src/daemon/remote_proposer.rs
@@ -39,7 +39,7 @@
 /// A replica on this VM.
 pub trait ReplicaPort: Send + Sync {
     /// Proposes at this replica alone.
-    fn propose_here(
+    fn propose_at_replica(
         &self,
         command: Command,
     ) -> BoxFuture<'_, Result<CommandOutcome, LocalProposeError>>;
@@ -49,7 +49,7 @@
 }
 
 impl ReplicaPort for ControlHandle {
-    fn propose_here(
+    fn propose_at_replica(
         &self,
         command: Command,
     ) -> BoxFuture<'_, Result<CommandOutcome, LocalProposeError>> {
@@ -84,7 +84,7 @@
 }
 
 /// A [`ControlPort`] for any daemon.
-pub struct RemoteControl {
+pub struct RemoteProposer {
     vm: VmId,
     calls: Arc<dyn ReplicaCalls>,
     local: Option<Arc<dyn ReplicaPort>>,
@@ -109,7 +109,7 @@
     Unreachable,
 }
 
-impl RemoteControl {
+impl RemoteProposer {
     /// A port of the daemon on `vm`; `voters` are those to ask until others are known.
     pub fn new(
         vm: VmId,
@@ -132,7 +132,7 @@
     }
 
     /// Notes who leads, as another daemon tells.
-    pub fn note_leader(&self, leader: VmId) {
+    pub fn set_leader(&self, leader: VmId) {
         self.view().leader = Some(leader);
     }
 
@@ -141,7 +141,7 @@
         let Some(local) = &self.local else {
             return PeerReply::Refused("this VM holds no replica; ask a control VM".to_owned());
         };
-        let result = match local.propose_here(command.clone()).await {
+        let result = match local.propose_at_replica(command.clone()).await {
             Err(LocalProposeError::NotLeader { leader: Some(leader) })
                 if may_forward && leader != self.vm =>
             {
@@ -166,7 +166,7 @@
                 match self.ask_peer(&peer, command.clone(), Forwarding::Allowed).await {
                     PeerVerdict::Final(result) => {
                         if result.is_ok() {
-                            self.note_leader(peer);
+                            self.set_leader(peer);
                         }
                         return result;
                     }
@@ -184,7 +184,7 @@
     async fn ask_local(&self, command: Command) -> PeerVerdict {
         let Some(local) = &self.local else { return PeerVerdict::NotTaken };
         let limit = call_limit(&command, &Forwarding::Allowed);
-        let proposed = timeout(limit, local.propose_here(command)).await;
+        let proposed = timeout(limit, local.propose_at_replica(command)).await;
         match proposed.unwrap_or(Err(LocalProposeError::OutcomeUnknown)) {
             Ok(outcome) => PeerVerdict::Final(Ok(outcome)),
             Err(LocalProposeError::NotLeader { leader }) => {
@@ -261,7 +261,7 @@
     Ended,
 }
 
-impl ControlPort for RemoteControl {
+impl ControlPort for RemoteProposer {
     fn propose(&self, command: Command) -> BoxFuture<'_, Result<CommandOutcome, ProposeError>> {
         Box::pin(self.propose_anywhere(command))
     }
--- a/src/daemon/membership_watch.rs
+++ b/src/daemon/server_monitor.rs
@@ -1,10 +1,11 @@
 //! Watches backend servers: probes this daemon's share and passes findings to the dispatcher.
 
-pub mod watch_core;
+pub mod monitor_core;
 
 use {
-    self::watch_core::{
-        PROBE_LIMIT, ProbeResult, WatchAction, WatchCore, WatchInput, WatchList, WatchedServer,
+    self::monitor_core::{
+        MonitorAction, MonitorCore, MonitorInput, MonitorPlan, MonitoredServer, PROBE_TIMEOUT,
+        ProbeResult,
     },
     crate::{
         ids::{ServerId, VmId},
@@ -28,7 +29,7 @@
 
 /// Asks a backend server how it is.
 pub trait ServerProbe: Send + Sync {
-    /// Probes once; gives up by itself or is dropped after [`PROBE_LIMIT`].
+    /// Probes once; gives up by itself or is dropped after [`PROBE_TIMEOUT`].
     fn probe(
         &self,
         server: ServerId,
@@ -39,16 +40,16 @@
 
 /// A handle on the watch of one daemon; clones share it.
 #[derive(Clone)]
-pub struct MembershipWatch {
-    core: Arc<Mutex<WatchCore>>,
-    inputs: mpsc::Sender<WatchInput>,
+pub struct ServerMonitor {
+    core: Arc<Mutex<MonitorCore>>,
+    inputs: mpsc::Sender<MonitorInput>,
 }
 
-impl MembershipWatch {
+impl ServerMonitor {
     /// Starts to watch; nothing is probed before the first [`Self::configure`]. Findings and loads
     /// go to `findings`. The watch ends when the last handle is dropped.
     pub fn start(probe: Arc<dyn ServerProbe>, findings: mpsc::Sender<PolicyInput>) -> Self {
-        let core = Arc::new(Mutex::new(WatchCore::new(Instant::now().into_std())));
+        let core = Arc::new(Mutex::new(MonitorCore::new(Instant::now().into_std())));
         let (inputs, queue) = mpsc::channel(QUEUE_LENGTH);
         let task = WatchTask { core: core.clone(), results: inputs.downgrade(), probe, findings };
         tokio::spawn(task.run(queue));
@@ -58,18 +59,19 @@
     /// Watches what `config` lists, as the daemon on `vm`.
     pub async fn configure(&self, vm: &VmId, config: &ActiveConfig) {
         // Without a task there is nothing to watch for.
-        let _ = self.inputs.send(WatchInput::Configure(watch_list(vm, config))).await;
+        let _ = self.inputs.send(MonitorInput::Configure(monitor_plan(vm, config))).await;
     }
 
     /// Takes the findings in a domain peer's digest.
     pub fn digest(&self, digest: &DomainDigest) {
         let findings = digest.findings.clone();
-        let _ = self.inputs.try_send(WatchInput::Digest { from: digest.daemon.clone(), findings });
+        let _ =
+            self.inputs.try_send(MonitorInput::Digest { from: digest.daemon.clone(), findings });
     }
 
     /// Probes a server at once, because the platform's list tells of a change.
     pub fn hint(&self, server: ServerId) {
-        let _ = self.inputs.try_send(WatchInput::Hint { server });
+        let _ = self.inputs.try_send(MonitorInput::Hint { server });
     }
 
     /// Findings for this daemon's own digest.
@@ -79,20 +81,20 @@
 }
 
 /// Who watches what under `config`, seen from the daemon on `vm`.
-pub fn watch_list(vm: &VmId, config: &ActiveConfig) -> WatchList {
+pub fn monitor_plan(vm: &VmId, config: &ActiveConfig) -> MonitorPlan {
     let register = &config.register;
     let own = register.vms.iter().find(|record| record.id == *vm);
     let failure_domain = own.map(|record| record.failure_domain.clone()).unwrap_or_default();
     let daemons = register.vms.iter().filter(|record| record.failure_domain == failure_domain);
     let servers = register.servers.iter().map(|record| {
-        let watched = WatchedServer {
+        let watched = MonitoredServer {
             failure_domain: record.failure_domain.clone(),
             address: record.address,
             kind: record.kind,
         };
         (record.id.clone(), watched)
     });
-    WatchList {
+    MonitorPlan {
         vm: vm.clone(),
         daemons: daemons.map(|record| record.id.clone()).collect(),
         servers: servers.collect(),
@@ -101,14 +103,14 @@
 }
 
 struct WatchTask {
-    core: Arc<Mutex<WatchCore>>,
-    results: mpsc::WeakSender<WatchInput>,
+    core: Arc<Mutex<MonitorCore>>,
+    results: mpsc::WeakSender<MonitorInput>,
     probe: Arc<dyn ServerProbe>,
     findings: mpsc::Sender<PolicyInput>,
 }
 
 impl WatchTask {
-    async fn run(self, mut inputs: mpsc::Receiver<WatchInput>) {
+    async fn run(self, mut inputs: mpsc::Receiver<MonitorInput>) {
         loop {
             let wakeup = Instant::from_std(lock(&self.core).next_wakeup());
             let input = tokio::select! {
@@ -116,15 +118,15 @@
                     Some(input) => input,
                     None => return,
                 },
-                () = sleep_until(wakeup) => WatchInput::Wake,
+                () = sleep_until(wakeup) => MonitorInput::Wake,
             };
             let actions = lock(&self.core).handle(Instant::now().into_std(), input);
             for action in actions {
                 match action {
-                    WatchAction::Probe { server, address, kind, number } => {
+                    MonitorAction::Probe { server, address, kind, number } => {
                         self.start_probe(server, address, kind, number);
                     }
-                    WatchAction::Tell(input) => {
+                    MonitorAction::Notify(input) => {
                         if self.findings.send(input).await.is_err() {
                             return;
                         }
@@ -138,14 +140,14 @@
         let Some(results) = self.results.upgrade() else { return };
         let probe = self.probe.clone();
         tokio::spawn(async move {
-            let asked = timeout(PROBE_LIMIT, probe.probe(server.clone(), address, kind));
+            let asked = timeout(PROBE_TIMEOUT, probe.probe(server.clone(), address, kind));
             let result = asked.await.unwrap_or(ProbeResult::NoAnswer);
             // The watch may have ended meanwhile.
-            let _ = results.send(WatchInput::Probed { server, number, result }).await;
+            let _ = results.send(MonitorInput::Probed { server, number, result }).await;
         });
     }
 }
 
-fn lock(core: &Mutex<WatchCore>) -> MutexGuard<'_, WatchCore> {
+fn lock(core: &Mutex<MonitorCore>) -> MutexGuard<'_, MonitorCore> {
     core.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/daemon/membership_watch/watch_core.rs
+++ b/src/daemon/server_monitor/monitor_core.rs
@@ -20,18 +20,18 @@
 };
 
 /// Daemons of a server's own domain that watch it: with one down and one late a third remains.
-pub const NEAR_WATCHERS: usize = 3;
+pub const LOCAL_MONITORS: usize = 3;
 /// Servers of other domains that a daemon looks at, in the mean. Where the domain's daemons can
 /// share them within this, as many look at each as at a near one; at the design size, with 746
 /// servers to 54 daemons, it is one: requests cross domains seldom, and a failed attempt tells
 /// the same.
 const FAR_SHARE: usize = 16;
 /// Between the starts of two probes of a server of the own domain.
-pub const NEAR_INTERVAL: Duration = Duration::from_millis(500);
+pub const LOCAL_INTERVAL: Duration = Duration::from_millis(500);
 /// Between the starts of two probes of a server of another domain.
 const FAR_INTERVAL: Duration = Duration::from_secs(1);
 /// A probe without an answer for so long is a miss.
-pub const PROBE_LIMIT: Duration = Duration::from_millis(500);
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Misses in a row that make a server of the own domain dead: three probes and one interval are
 /// 2 s, which leaves a second of the three for the digest.
 const NEAR_MISSES: u32 = 3;
@@ -51,7 +51,7 @@
 
 /// A backend server to be watched.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WatchedServer {
+pub struct MonitoredServer {
     /// Its failure domain.
     pub failure_domain: FailureDomainId,
     /// Where it answers.
@@ -62,7 +62,7 @@
 
 /// Who watches what.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct WatchList {
+pub struct MonitorPlan {
     /// This daemon's VM.
     pub vm: VmId,
     /// Its failure domain.
@@ -70,7 +70,7 @@
     /// All daemons of the domain, this one included.
     pub daemons: BTreeSet<VmId>,
     /// All backend servers, of all domains.
-    pub servers: BTreeMap<ServerId, WatchedServer>,
+    pub servers: BTreeMap<ServerId, MonitoredServer>,
 }
 
 /// What a probe found.
@@ -91,14 +91,14 @@
 
 /// What can happen.
 #[derive(Clone, Debug)]
-pub enum WatchInput {
+pub enum MonitorInput {
     /// The register changed.
-    Configure(WatchList),
+    Configure(MonitorPlan),
     /// A probe ended.
     Probed {
         /// The server.
         server: ServerId,
-        /// The number that [`WatchAction::Probe`] gave.
+        /// The number that [`MonitorAction::Probe`] gave.
         number: u64,
         /// What it found.
         result: ProbeResult,
@@ -122,7 +122,7 @@
 
 /// What is to be done.
 #[derive(Clone, Debug)]
-pub enum WatchAction {
+pub enum MonitorAction {
     /// Probe a server; exactly one `Probed` with the same number follows.
     Probe {
         /// The server.
@@ -135,7 +135,7 @@
         number: u64,
     },
     /// Tell the dispatcher.
-    Tell(PolicyInput),
+    Notify(PolicyInput),
 }
 
 /// What this daemon's own probes found of one server.
@@ -159,8 +159,8 @@
 }
 
 /// The state of one daemon's watch.
-pub struct WatchCore {
-    list: WatchList,
+pub struct MonitorCore {
+    list: MonitorPlan,
     /// How many daemons of this domain watch a server of another; follows `list`.
     far_watchers: usize,
     /// The servers that this daemon probes itself.
@@ -176,7 +176,7 @@
 
 /// The daemons of one domain that watch `server`: those whose hash with it is highest, so that
 /// all daemons name the same ones without a message, and a daemon that leaves moves only its own.
-pub fn watchers<'a>(
+pub fn assigned_monitors<'a>(
     server: &str,
     daemons: impl IntoIterator<Item = &'a VmId>,
     count: usize,
@@ -188,30 +188,30 @@
     ranked.into_iter().take(count).map(|(_, vm)| vm).collect()
 }
 
-impl WatchList {
-    fn is_near(&self, watched: &WatchedServer) -> bool {
+impl MonitorPlan {
+    fn is_near(&self, watched: &MonitoredServer) -> bool {
         watched.failure_domain == self.failure_domain
     }
 
     /// How many daemons of this domain watch each server of another.
     fn far_watchers(&self) -> usize {
         let far = self.servers.values().filter(|other| !self.is_near(other)).count();
-        (self.daemons.len() * FAR_SHARE / far.max(1)).clamp(1, NEAR_WATCHERS)
+        (self.daemons.len() * FAR_SHARE / far.max(1)).clamp(1, LOCAL_MONITORS)
     }
 }
 
-impl WatchCore {
+impl MonitorCore {
     /// A watch without servers.
     pub fn new(now: Instant) -> Self {
         Self {
-            list: WatchList::default(),
-            far_watchers: NEAR_WATCHERS,
+            list: MonitorPlan::default(),
+            far_watchers: LOCAL_MONITORS,
             watches: BTreeMap::new(),
             heard: BTreeMap::new(),
             told: BTreeMap::new(),
             next_number: 0,
             last_input: now,
-            next_review: now + NEAR_INTERVAL,
+            next_review: now + LOCAL_INTERVAL,
         }
     }
 
@@ -235,27 +235,27 @@
     }
 
     /// Takes one input.
-    pub fn handle(&mut self, now: Instant, input: WatchInput) -> Vec<WatchAction> {
+    pub fn handle(&mut self, now: Instant, input: MonitorInput) -> Vec<MonitorAction> {
         self.forget_pause(now);
         let mut actions = Vec::new();
         match input {
-            WatchInput::Configure(list) => self.configure(now, list),
-            WatchInput::Probed { server, number, result } => {
+            MonitorInput::Configure(list) => self.configure(now, list),
+            MonitorInput::Probed { server, number, result } => {
                 self.take_probe(now, &server, number, result, &mut actions);
                 self.review(now, &server, &mut actions);
             }
-            WatchInput::Digest { from, findings } => {
+            MonitorInput::Digest { from, findings } => {
                 self.take_digest(now, from, findings, &mut actions);
             }
-            WatchInput::Hint { server } => {
+            MonitorInput::Hint { server } => {
                 if let Some(watch) = self.watches.get_mut(&server) {
                     watch.next_probe = now;
                 }
             }
-            WatchInput::Wake => {}
+            MonitorInput::Wake => {}
         }
         if now >= self.next_review {
-            self.next_review = now + NEAR_INTERVAL;
+            self.next_review = now + LOCAL_INTERVAL;
             for server in self.told.keys().cloned().collect::<Vec<_>>() {
                 self.review(now, &server, &mut actions);
             }
@@ -280,11 +280,11 @@
         }
     }
 
-    fn configure(&mut self, now: Instant, list: WatchList) {
+    fn configure(&mut self, now: Instant, list: MonitorPlan) {
         let far_watchers = list.far_watchers();
-        let mine = |server: &ServerId, watched: &WatchedServer| {
-            let count = if list.is_near(watched) { NEAR_WATCHERS } else { far_watchers };
-            watchers(server, &list.daemons, count).contains(&&list.vm)
+        let mine = |server: &ServerId, watched: &MonitoredServer| {
+            let count = if list.is_near(watched) { LOCAL_MONITORS } else { far_watchers };
+            assigned_monitors(server, &list.daemons, count).contains(&&list.vm)
         };
         let moved = |server: &ServerId| self.list.servers.get(server) != list.servers.get(server);
         self.watches.retain(|server, _| {
@@ -314,7 +314,7 @@
         server: &ServerId,
         number: u64,
         result: ProbeResult,
-        actions: &mut Vec<WatchAction>,
+        actions: &mut Vec<MonitorAction>,
     ) {
         let near = self.is_near(server);
         let Some(watch) = self.watches.get_mut(server) else { return };
@@ -327,7 +327,7 @@
             ProbeResult::Alive { incarnation, leaving, report } => {
                 watch.misses = 0;
                 let report = report.map(PolicyInput::Load);
-                actions.extend(report.map(WatchAction::Tell));
+                actions.extend(report.map(MonitorAction::Notify));
                 match leaving {
                     true => Some(ServerHealth::Leaving),
                     false => Some(ServerHealth::Alive { incarnation }),
@@ -350,7 +350,7 @@
         now: Instant,
         from: VmId,
         findings: Vec<(ServerId, ServerHealth)>,
-        actions: &mut Vec<WatchAction>,
+        actions: &mut Vec<MonitorAction>,
     ) {
         if !self.list.daemons.contains(&from) || from == self.list.vm {
             return;
@@ -366,7 +366,7 @@
     }
 
     /// Tells the dispatcher when what is held of a server changed.
-    fn review(&mut self, now: Instant, server: &ServerId, actions: &mut Vec<WatchAction>) {
+    fn review(&mut self, now: Instant, server: &ServerId, actions: &mut Vec<MonitorAction>) {
         if !self.list.servers.contains_key(server) {
             return;
         }
@@ -383,7 +383,7 @@
         };
         if self.told.insert(server.clone(), health) != Some(health) {
             let server = server.clone();
-            actions.push(WatchAction::Tell(PolicyInput::Health { server, health }));
+            actions.push(MonitorAction::Notify(PolicyInput::Health { server, health }));
         }
     }
 
@@ -394,8 +394,8 @@
         if !self.heard.values().any(|digest| digest.findings.contains_key(server)) {
             return None;
         }
-        let count = if self.is_near(server) { NEAR_WATCHERS } else { self.far_watchers };
-        let told: Vec<Option<ServerHealth>> = watchers(server, &self.list.daemons, count)
+        let count = if self.is_near(server) { LOCAL_MONITORS } else { self.far_watchers };
+        let told: Vec<Option<ServerHealth>> = assigned_monitors(server, &self.list.daemons, count)
             .into_iter()
             .filter_map(|vm| self.heard.get(vm))
             .filter(|digest| now.saturating_duration_since(digest.at) < DIGEST_LIFE)
@@ -411,7 +411,7 @@
         told.into_iter().flatten().filter(|health| *health != ServerHealth::Dead).max()
     }
 
-    fn start_probes(&mut self, now: Instant, actions: &mut Vec<WatchAction>) {
+    fn start_probes(&mut self, now: Instant, actions: &mut Vec<MonitorAction>) {
         for (server, watch) in &mut self.watches {
             if watch.probing.is_some() || now < watch.next_probe {
                 continue;
@@ -420,8 +420,8 @@
             let near = self.list.is_near(watched);
             self.next_number += 1;
             watch.probing = Some(self.next_number);
-            watch.next_probe = now + if near { NEAR_INTERVAL } else { FAR_INTERVAL };
-            actions.push(WatchAction::Probe {
+            watch.next_probe = now + if near { LOCAL_INTERVAL } else { FAR_INTERVAL };
+            actions.push(MonitorAction::Probe {
                 server: server.clone(),
                 address: watched.address,
                 kind: watched.kind,
--- a/src/daemon/server_probe.rs
+++ b/src/daemon/server_probe.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        membership_watch::{ServerProbe, watch_core::ProbeResult},
-        server_news::ServerNews,
+        server_monitor::{ServerProbe, monitor_core::ProbeResult},
+        server_updates::ServerUpdates,
         weight_orders::{
             OrderPort,
             order_core::{OrderResult, WeightOrder},
@@ -62,7 +62,7 @@
     /// The way to the other daemons.
     pub network: PeerNetwork,
     /// The holds of this daemon.
-    pub news: Arc<ServerNews>,
+    pub news: Arc<ServerUpdates>,
 }
 
 impl OrderPort for HttpOrders {
@@ -81,7 +81,7 @@
         })
     }
 
-    fn look(&self, server: ServerId, address: SocketAddr) -> BoxFuture<'_, Option<LoadReport>> {
+    fn probe(&self, server: ServerId, address: SocketAddr) -> BoxFuture<'_, Option<LoadReport>> {
         Box::pin(async move { probe_server(server, address).await.ok() })
     }
 
--- a/src/daemon/server_board.rs
+++ b/src/daemon/server_table.rs
@@ -13,14 +13,14 @@
 
 /// The last news of one server.
 #[derive(Clone, Debug, Default)]
-pub struct BoardEntry {
+pub struct ServerEntry {
     /// Its health, if anybody looked.
     pub health: Option<ServerHealth>,
     /// Its last report.
     pub report: Option<LoadReport>,
 }
 
-impl BoardEntry {
+impl ServerEntry {
     /// The name that operators see.
     pub fn health_name(&self) -> &'static str {
         match self.health {
@@ -33,13 +33,13 @@
     }
 }
 
-/// News by server; bounded by the register, see [`ServerBoard::keep`].
+/// News by server; bounded by the register, see [`ServerTable::keep`].
 #[derive(Default)]
-pub struct ServerBoard {
-    entries: Mutex<BTreeMap<ServerId, BoardEntry>>,
+pub struct ServerTable {
+    entries: Mutex<BTreeMap<ServerId, ServerEntry>>,
 }
 
-impl ServerBoard {
+impl ServerTable {
     /// Notes what goes to the dispatcher, if it is news of a server.
     pub fn note(&self, input: &PolicyInput) {
         match input {
@@ -59,16 +59,16 @@
     }
 
     /// The news of one server.
-    pub fn entry(&self, server: &ServerId) -> Option<BoardEntry> {
+    pub fn entry(&self, server: &ServerId) -> Option<ServerEntry> {
         self.lock().get(server).cloned()
     }
 
     /// All news.
-    pub fn snapshot(&self) -> BTreeMap<ServerId, BoardEntry> {
+    pub fn snapshot(&self) -> BTreeMap<ServerId, ServerEntry> {
         self.lock().clone()
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<ServerId, BoardEntry>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<ServerId, ServerEntry>> {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/daemon/server_news.rs
+++ b/src/daemon/server_updates.rs
@@ -2,7 +2,7 @@
 //! new work so that they may load weights.
 
 use {
-    super::server_board::ServerBoard,
+    super::server_table::ServerTable,
     crate::{
         ids::{ModelId, ServerId, WeightsVersion},
         pipeline::PipelineCore,
@@ -20,7 +20,7 @@
 };
 
 /// Findings that wait for the dispatcher.
-pub const NEWS_BOUND: usize = 1024;
+pub const UPDATE_QUEUE_LENGTH: usize = 1024;
 /// The longest drain and the longest load together; then the server serves again, whatever it has.
 const HOLD_LIMIT: Duration = Duration::from_secs(20);
 /// How often ended holds are looked for.
@@ -33,17 +33,17 @@
 }
 
 /// The desk that all news of servers passes.
-pub struct ServerNews {
+pub struct ServerUpdates {
     core: Arc<PipelineCore>,
-    board: Arc<ServerBoard>,
+    board: Arc<ServerTable>,
     /// Servers of the register that load or are about to; a few at a time, by the rules.
     holds: Mutex<BTreeMap<ServerId, ServerHold>>,
 }
 
-impl ServerNews {
+impl ServerUpdates {
     /// A desk without holds.
-    pub fn new(core: Arc<PipelineCore>, board: Arc<ServerBoard>) -> Self {
-        ServerNews { core, board, holds: Mutex::default() }
+    pub fn new(core: Arc<PipelineCore>, board: Arc<ServerTable>) -> Self {
+        ServerUpdates { core, board, holds: Mutex::default() }
     }
 
     /// Gives a server no new work until it reports other weights or [`HOLD_LIMIT`] is over.
--- a/src/daemon/status_desk.rs
+++ b/src/daemon/status_service.rs
@@ -1,7 +1,7 @@
 //! Answers what operators ask of a running daemon.
 
 use {
-    super::{peer_desk::DeskParts, peer_status::ask_status, server_board::ServerBoard},
+    super::{peer_service::DaemonParts, peer_status::fetch_statuses, server_table::ServerTable},
     crate::{
         gateway::operator::{
             SourceError, StatusSource,
@@ -26,20 +26,20 @@
 const PEER_LIMIT: Duration = Duration::from_secs(2);
 
 /// Answers for one daemon.
-pub struct StatusDesk {
+pub struct StatusService {
     /// Who it is.
     pub identity: IdentityOptions,
     /// When it started.
     pub started: Instant,
     /// The parts it asks.
-    pub parts: DeskParts,
+    pub parts: DaemonParts,
     /// What is known of backend servers.
-    pub board: Arc<ServerBoard>,
+    pub board: Arc<ServerTable>,
     /// The way to other daemons.
     pub network: PeerNetwork,
 }
 
-impl StatusSource for StatusDesk {
+impl StatusSource for StatusService {
     fn status(&self) -> DaemonStatus {
         let replica = self.parts.replica.as_ref().map(|replica| replica.status());
         let revision = self.parts.revision();
@@ -152,7 +152,7 @@
             let serving = self.parts.core.serving();
             let others = serving.config.register.vms.iter().filter(|vm| vm.id != own.vm);
             let names: Vec<VmId> = others.clone().map(|vm| vm.id.clone()).collect();
-            let answers = ask_status(&self.network, names).await;
+            let answers = fetch_statuses(&self.network, names).await;
             let others = others.map(|vm| VmRevision {
                 vm: vm.id.clone(),
                 failure_domain: vm.failure_domain.clone(),
--- a/src/daemon/voter_follower.rs
+++ b/src/daemon/voter_poller.rs
@@ -1,7 +1,7 @@
 //! Keeps a daemon without a replica informed of who votes and who leads.
 
 use {
-    super::{peer_status::PeerStatus, remote_control::RemoteControl},
+    super::{peer_status::PeerStatus, remote_proposer::RemoteProposer},
     crate::{
         ids::VmId,
         pipeline::PipelineCore,
@@ -18,10 +18,10 @@
 const ASK_LIMIT: Duration = Duration::from_secs(2);
 
 /// Asks one peer after the other for ever. A peer that knows no voters changes nothing.
-pub async fn follow_voters(
+pub async fn poll_voters(
     core: Arc<PipelineCore>,
     network: PeerNetwork,
-    control: Arc<RemoteControl>,
+    control: Arc<RemoteProposer>,
 ) {
     let mut ticks = interval(ASK_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -31,7 +31,7 @@
         let reply = network.call(&peer, PeerRequest::Status, ASK_LIMIT).await;
         let Some(status) = reply.ok().as_ref().and_then(PeerStatus::read) else { continue };
         control.set_voters(status.voters);
-        status.leader.into_iter().for_each(|leader| control.note_leader(leader));
+        status.leader.into_iter().for_each(|leader| control.set_leader(leader));
     }
 }
 
--- a/src/daemon/weight_orders.rs
+++ b/src/daemon/weight_orders.rs
@@ -1,15 +1,15 @@
 //! Brings each engine to the weights that the register wants: desired against observed.
 
-pub mod notice;
 pub mod order_core;
 mod order_types;
+pub mod rollout_reporter;
 
 use {
     self::{
-        notice::RolloutNotice,
         order_core::{
             OrderAction, OrderCore, OrderInput, OrderPlan, OrderResult, OrderTiming, WeightOrder,
         },
+        rollout_reporter::RolloutReporter,
     },
     crate::{
         control::{Command, CommandOutcome, ProposeError, orders::DesiredWeights},
@@ -35,11 +35,11 @@
 
 /// Speaks to engines.
 pub trait OrderPort: Send + Sync {
-    /// Sends an order. Dropped at the end of [`order_core::ORDER_LIFE`]: it must then close the connection.
+    /// Sends an order. Dropped at the end of [`order_core::ORDER_TIMEOUT`]: it must then close the connection.
     fn order(&self, address: SocketAddr, order: WeightOrder) -> BoxFuture<'_, OrderResult>;
 
     /// Asks for the state.
-    fn look(&self, server: ServerId, address: SocketAddr) -> BoxFuture<'_, Option<LoadReport>>;
+    fn probe(&self, server: ServerId, address: SocketAddr) -> BoxFuture<'_, Option<LoadReport>>;
 
     /// Asks all daemons to give a server no new work until it reports its new weights.
     fn drain(&self, server: ServerId);
@@ -73,7 +73,7 @@
     port: Arc<dyn OrderPort>,
     config: ConfigWatch,
     desired: watch::Receiver<Arc<DesiredWeights>>,
-    notice: RolloutNotice,
+    notice: RolloutReporter,
 }
 
 impl WeightOrders {
@@ -84,7 +84,7 @@
         config: ConfigWatch,
         desired: watch::Receiver<Arc<DesiredWeights>>,
     ) -> Self {
-        let notice = RolloutNotice::default();
+        let notice = RolloutReporter::default();
         Self { core: OrderCore::default(), lease, port, config, desired, notice }
     }
 
@@ -143,17 +143,17 @@
                 }
                 let _ = results.send(OrderInput::Proposed { model }).await;
             })),
-            OrderAction::Look { server } => {
+            OrderAction::Probe { server } => {
                 let address = address(&server);
                 tokio::spawn(async move {
                     let report = match address {
                         Some(address) => {
-                            let look = timeout(LOOK_LIMIT, port.look(server.clone(), address));
+                            let look = timeout(LOOK_LIMIT, port.probe(server.clone(), address));
                             look.await.ok().flatten()
                         }
                         None => None,
                     };
-                    let _ = results.send(OrderInput::Looked { server, report }).await;
+                    let _ = results.send(OrderInput::Probed { server, report }).await;
                 });
             }
             OrderAction::Order(order) => {
--- a/src/daemon/weight_orders/order_core.rs
+++ b/src/daemon/weight_orders/order_core.rs
@@ -2,7 +2,7 @@
 //! network.
 
 pub use super::order_types::{
-    OrderAction, OrderGrounds, OrderInput, OrderPlace, OrderPlan, OrderResult, OrderTiming,
+    OrderAction, OrderInput, OrderPlace, OrderPlan, OrderReason, OrderResult, OrderTiming,
     PendingServers, WeightOrder,
 };
 
@@ -23,9 +23,9 @@
 };
 
 /// How long an order may be under way, from the decision to the end of the call.
-pub const ORDER_LIFE: Duration = Duration::from_secs(2);
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest lease that a former leader can still hold when a new one is elected.
-pub const OLD_LEASE: Duration = Duration::from_secs(1);
+pub const MAX_FORMER_LEASE: Duration = Duration::from_secs(1);
 /// Between two looks at a server that is as desired, for each server there is: the leader looks at
 /// 30 a second at most.
 const IDLE_LOOK_EACH: Duration = Duration::from_millis(35);
@@ -119,7 +119,7 @@
             OrderInput::Configure(plan) => self.configure(now, plan),
             OrderInput::Desired(desired) => self.desired = desired,
             OrderInput::Lease(lease) => return self.take_lease(lease),
-            OrderInput::Looked { server, report } => self.take_report(now, &server, report),
+            OrderInput::Probed { server, report } => self.take_report(now, &server, report),
             OrderInput::Ordered { place: (server, model), number, result } => {
                 let sight = self.sights.get_mut(&server);
                 if let Some(order) = sight.and_then(|sight| sight.given.get_mut(&model))
@@ -146,7 +146,7 @@
         // that does not check numbers, and the older version would stay. Servers that do check refuse
         // the former leader's, so the 3 s of waiting would only keep them on replaced weights for
         // longer.
-        let unfenced_from = since + OLD_LEASE + ORDER_LIFE;
+        let unfenced_from = since + MAX_FORMER_LEASE + ORDER_TIMEOUT;
         if self.plan.fenced || now >= unfenced_from {
             self.order(now, term, &mut actions);
         }
@@ -222,7 +222,7 @@
 
     fn take_report(&mut self, now: Instant, server: &ServerId, report: Option<LoadReport>) {
         let count = u32::try_from(self.sights.len()).unwrap_or(u32::MAX);
-        let idle = self.timing.idle_look.max(IDLE_LOOK_EACH.saturating_mul(count));
+        let idle = self.timing.idle_probe_interval.max(IDLE_LOOK_EACH.saturating_mul(count));
         let Some(sight) = self.sights.get_mut(server) else { return };
         sight.looking = false;
         sight.alive = report.as_ref().is_some_and(|report| !report.leaving);
@@ -245,7 +245,7 @@
         // A server that waits for its turn does not change by itself.
         let quick =
             !sight.given.is_empty() || sight.draining_since.is_some() || (!settled && !sight.alive);
-        sight.next_look = Some(now + if quick { self.timing.busy_look } else { idle });
+        sight.next_look = Some(now + if quick { self.timing.busy_probe_interval } else { idle });
     }
 
     fn is_settled(&self, server: &ServerId) -> bool {
@@ -286,7 +286,7 @@
         servers.sort_by_key(|(_, sight)| sight.next_look);
         for (server, sight) in servers.into_iter().take(free) {
             sight.looking = true;
-            actions.push(OrderAction::Look { server: server.clone() });
+            actions.push(OrderAction::Probe { server: server.clone() });
         }
     }
 
@@ -358,7 +358,7 @@
         let until = now + self.timing.load_limit;
         sight.given.insert(model.clone(), GivenOrder { number, weights: weights.clone(), until });
         // Until the load was ordered it was looked at as one that waits, which is seldom.
-        sight.next_look = Some(now + self.timing.busy_look);
+        sight.next_look = Some(now + self.timing.busy_probe_interval);
         let observed = sight.observed(&model).cloned();
         let ordered = sight.ordered.entry(model.clone()).or_default();
         if ordered.0 != weights {
@@ -367,8 +367,8 @@
         let given_before = ordered.1;
         ordered.1 += 1;
         let wanted_for = self.wanted_since.get(&model).map_or(Duration::ZERO, |since| now - *since);
-        let grounds = OrderGrounds { observed, wanted_for, given_before };
-        let send_before = now + ORDER_LIFE;
+        let reason = OrderReason { observed, wanted_for, given_before };
+        let send_before = now + ORDER_TIMEOUT;
         Some(OrderAction::Order(WeightOrder {
             server,
             model,
@@ -377,7 +377,7 @@
             term,
             send_before,
             number,
-            grounds,
+            reason,
         }))
     }
 }
--- a/src/daemon/weight_orders/order_types.rs
+++ b/src/daemon/weight_orders/order_types.rs
@@ -24,9 +24,9 @@
     /// How long a server is given to finish its work before it loads anyway.
     pub drain_limit: Duration,
     /// Between two looks at a server that is not as desired.
-    pub busy_look: Duration,
+    pub busy_probe_interval: Duration,
     /// Between two looks at a server that is as desired, at least.
-    pub idle_look: Duration,
+    pub idle_probe_interval: Duration,
 }
 
 impl Default for OrderTiming {
@@ -36,8 +36,8 @@
             load_limit: Duration::from_secs(10),
             retry_wait: Duration::from_secs(1),
             drain_limit: Duration::from_secs(10),
-            busy_look: Duration::from_millis(250),
-            idle_look: Duration::from_secs(2),
+            busy_probe_interval: Duration::from_millis(250),
+            idle_probe_interval: Duration::from_secs(2),
         }
     }
 }
@@ -60,7 +60,7 @@
 
 /// What an order was decided by, for the log.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct OrderGrounds {
+pub struct OrderReason {
     /// The version that the server reported last.
     pub observed: Option<WeightsVersion>,
     /// How long the ordered version has been wanted here.
@@ -98,7 +98,7 @@
     /// Tells this order from others.
     pub number: u64,
     /// What it was decided by.
-    pub grounds: OrderGrounds,
+    pub reason: OrderReason,
 }
 
 /// What became of an order.
@@ -120,7 +120,7 @@
     /// This replica leads under a lease in this term since this time, or does not.
     Lease(Option<(Term, Instant)>),
     /// A look at a server ended, with a report if it answered.
-    Looked {
+    Probed {
         /// The server.
         server: ServerId,
         /// Its report.
@@ -155,7 +155,7 @@
         command: Command,
     },
     /// Ask a server for its report; exactly one `Looked` follows.
-    Look {
+    Probe {
         /// The server.
         server: ServerId,
     },
--- a/src/daemon/weight_orders/notice.rs
+++ b/src/daemon/weight_orders/rollout_reporter.rs
@@ -17,7 +17,7 @@
 
 /// What the log was told last.
 #[derive(Debug, Default)]
-pub struct RolloutNotice {
+pub struct RolloutReporter {
     /// The term in which orders are given; `None` while this replica has no lease.
     term: Option<Term>,
     /// The version of each model that was told to be in force; only of models of the plan.
@@ -25,7 +25,7 @@
     looked: Option<Instant>,
 }
 
-impl RolloutNotice {
+impl RolloutReporter {
     /// Takes in the term in which orders are given, if any, and the core's state.
     pub fn note(&mut self, now: Instant, term: Option<Term>, core: &OrderCore) {
         let is_due = self.looked.is_none_or(|at| now >= at + LOOK_EVERY);
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -8,8 +8,8 @@
 //! is up to date.
 
 pub mod confirmation;
-pub mod desk;
 pub mod document_delta;
+pub mod service;
 pub mod task;
 
 use {
@@ -132,7 +132,7 @@
 
 impl SharedState {
     /// Takes over what is newer; true if anything was.
-    pub fn take(&mut self, reply: FollowReply) -> bool {
+    pub fn apply(&mut self, reply: FollowReply) -> bool {
         let before = self.clone();
         if let Some(document) = reply.document
             && document.number > self.document.number
--- a/src/follow/confirmation.rs
+++ b/src/follow/confirmation.rs
@@ -19,19 +19,19 @@
 
 /// Tells in the log and the measures when no control VM that is up to date answers.
 #[derive(Debug)]
-pub struct ConfirmationWatch {
+pub struct ConfirmationMonitor {
     confirmed_at: Instant,
     is_told: bool,
 }
 
-impl ConfirmationWatch {
+impl ConfirmationMonitor {
     /// A watch that counts from `now`.
     pub fn new(now: Instant) -> Self {
-        ConfirmationWatch { confirmed_at: now, is_told: false }
+        ConfirmationMonitor { confirmed_at: now, is_told: false }
     }
 
     /// Takes in whether a VM that is up to date answered. True if the log was told of a change.
-    pub fn note(&mut self, now: Instant, confirmed: bool, peers: AskedPeers) -> bool {
+    pub fn record(&mut self, now: Instant, confirmed: bool, peers: AskedPeers) -> bool {
         let age = now.saturating_duration_since(self.confirmed_at);
         let was_told = self.is_told;
         if confirmed {
--- a/src/follow/document_delta.rs
+++ b/src/follow/document_delta.rs
@@ -180,7 +180,7 @@
         held: DocumentNumber,
         present: &NumberedDocument,
     ) -> DocumentChange {
-        self.note(present);
+        self.record(present);
         let is_last = self.documents.back().is_some_and(|last| last.number == present.number);
         let mut documents = self.documents.iter();
         let base = documents.find(|document| is_last && document.number == held);
@@ -192,7 +192,7 @@
     }
 
     /// Keeps the present document, for followers that will lack the next one.
-    pub fn note(&mut self, present: &NumberedDocument) {
+    pub fn record(&mut self, present: &NumberedDocument) {
         if self.documents.back().is_some_and(|last| last.number >= present.number) {
             return;
         }
--- a/src/follow/desk.rs
+++ b/src/follow/service.rs
@@ -35,7 +35,7 @@
 const MAX_FOLLOWERS: usize = 2_048;
 
 /// The desk of one control VM, open once its replica runs.
-pub struct FollowDesk {
+pub struct FollowService {
     failure_domain: FailureDomainId,
     board: Arc<FleetBoard>,
     replica: std::sync::OnceLock<ControlHandle>,
@@ -47,10 +47,10 @@
     told_entries: Mutex<u32>,
 }
 
-impl FollowDesk {
+impl FollowService {
     /// A desk that answers with a refusal until [`Self::open`].
     pub fn new(failure_domain: FailureDomainId, board: Arc<FleetBoard>) -> Self {
-        FollowDesk {
+        FollowService {
             failure_domain,
             board,
             replica: std::sync::OnceLock::new(),
@@ -68,7 +68,7 @@
     }
 
     /// Notes the entries in all, as the leader counts them.
-    pub fn note_entries(&self, entries: u32) {
+    pub fn set_total_entries(&self, entries: u32) {
         *self.told_entries.lock().unwrap_or_else(PoisonError::into_inner) = entries;
     }
 
@@ -166,7 +166,7 @@
         reply: &mut FollowReply,
     ) {
         let mut history = self.documents.lock().unwrap_or_else(PoisonError::into_inner);
-        history.note(state.document());
+        history.record(state.document());
         if !is_outdated(request, state) {
             return;
         }
@@ -247,21 +247,23 @@
 /// What a control VM takes from its peers.
 pub struct ControlHandler {
     /// Answers followers.
-    pub desk: Arc<FollowDesk>,
+    pub service: Arc<FollowService>,
 }
 
 impl PeerHandler for ControlHandler {
     fn message(&self, from: VmId, message: PeerMessage) {
-        if let (PeerMessage::Replica(message), Some(replica)) = (message, self.desk.replica.get()) {
+        if let (PeerMessage::Replica(message), Some(replica)) =
+            (message, self.service.replica.get())
+        {
             replica.deliver(from, *message);
         }
     }
 
     fn request(&self, from: VmId, request: PeerRequest) -> BoxFuture<'static, PeerReply> {
-        let desk = Arc::clone(&self.desk);
+        let service = Arc::clone(&self.service);
         Box::pin(async move {
             match request {
-                PeerRequest::Follow(request) => desk.answer(from, *request).await,
+                PeerRequest::Follow(request) => service.answer(from, *request).await,
                 _ => PeerReply::Refused("a control VM serves followers only".to_owned()),
             }
         })
--- a/src/follow/task.rs
+++ b/src/follow/task.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         ANSWER_WAIT, AnswerMode, FollowReply, FollowRequest, FollowerKind, SharedState,
-        confirmation::{AskedPeers, ConfirmationWatch},
+        confirmation::{AskedPeers, ConfirmationMonitor},
         control_digest,
     },
     crate::{
@@ -41,7 +41,7 @@
 
     /// The VM that is followed answered, with or without news; `state` has taken it in. What others say
     /// of themselves is not told: `state` lacks what they know.
-    fn heard(&self, reply: &FollowReply, state: &SharedState);
+    fn reply_received(&self, reply: &FollowReply, state: &SharedState);
 }
 
 /// A follower of the control VMs.
@@ -52,7 +52,7 @@
     state: watch::Sender<SharedState>,
     port: Arc<dyn FollowerPort>,
     /// `None` for a control VM, whose replica brings its configuration.
-    confirmation: Option<ConfirmationWatch>,
+    confirmation: Option<ConfirmationMonitor>,
 }
 
 /// How well a control VM suits: whether it is up to date, then whether it is of the own failure
@@ -61,13 +61,13 @@
 
 /// What a follower does after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StayVerdict {
+pub enum FollowDecision {
     /// Asks the same VM again.
     Stay,
     /// Looks at all of them now.
-    LookAgain,
+    Reselect,
     /// Looks at all of them after a pause: this answer came without a wait.
-    PauseAndLook,
+    PauseAndReselect,
 }
 
 /// Judges an answer of a VM that suited so well `before` and `now`, after `elapsed` with it.
@@ -75,12 +75,12 @@
 /// While no VM is up to date, followers turn to that of their own domain. When others are again, that
 /// VM may still not be, because its disk was lost; a follower that stayed with it for some seconds
 /// would serve by a configuration that was replaced. So it looks again at once.
-pub fn judge_stay(before: Suitability, now: Suitability, elapsed: Duration) -> StayVerdict {
+pub fn decide_follow(before: Suitability, now: Suitability, elapsed: Duration) -> FollowDecision {
     if !now.0 {
-        return StayVerdict::PauseAndLook;
+        return FollowDecision::PauseAndReselect;
     }
     let away = !now.1 && elapsed > HOME_LOOK;
-    if now < before || away { StayVerdict::LookAgain } else { StayVerdict::Stay }
+    if now < before || away { FollowDecision::Reselect } else { FollowDecision::Stay }
 }
 
 /// The VM that suits the daemon on `vm` best. Among equals each daemon prefers another one, by a hash of
@@ -103,7 +103,7 @@
         port: Arc<dyn FollowerPort>,
     ) -> Self {
         let is_entry = port.kind() == FollowerKind::Entry;
-        let confirmation = is_entry.then(|| ConfirmationWatch::new(StdInstant::now()));
+        let confirmation = is_entry.then(|| ConfirmationMonitor::new(StdInstant::now()));
         FollowTask { network, failure_domain, candidates, state, port, confirmation }
     }
 
@@ -164,10 +164,10 @@
             "{}", events::FOLLOWING);
         while let Some(reply) = self.ask(peer, AnswerMode::Wait, ANSWER_WAIT + ANSWER_SLACK).await {
             self.note_confirmation(reply.fresh, AskedPeers { asked: 1, answered: 1 });
-            match judge_stay(suitability, self.suitability(&reply), since.elapsed()) {
-                StayVerdict::Stay => {}
-                StayVerdict::LookAgain => return,
-                StayVerdict::PauseAndLook => return sleep(PAUSE).await,
+            match decide_follow(suitability, self.suitability(&reply), since.elapsed()) {
+                FollowDecision::Stay => {}
+                FollowDecision::Reselect => return,
+                FollowDecision::PauseAndReselect => return sleep(PAUSE).await,
             }
         }
         log::warn!(peer = peer.as_str(), followed_ms = since.elapsed().as_millis() as u64;
@@ -176,7 +176,7 @@
 
     fn note_confirmation(&mut self, confirmed: bool, peers: AskedPeers) {
         if let Some(confirmation) = &mut self.confirmation {
-            confirmation.note(StdInstant::now(), confirmed, peers);
+            confirmation.record(StdInstant::now(), confirmed, peers);
         }
     }
 
@@ -200,9 +200,9 @@
         match reply {
             Ok(PeerReply::Followed(reply)) => {
                 let learned = FollowReply::clone(&reply);
-                self.state.send_if_modified(|state| state.take(learned));
+                self.state.send_if_modified(|state| state.apply(learned));
                 if mode == AnswerMode::Wait {
-                    self.port.heard(&reply, &self.state.borrow());
+                    self.port.reply_received(&reply, &self.state.borrow());
                 }
                 Some(*reply)
             }
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -21,7 +21,7 @@
         fleet::watch::{FleetBoard, FleetSource, read_list, show_list},
         follow::{
             FollowReply, FollowerKind, SharedState,
-            desk::{ControlHandler, FollowDesk},
+            service::{ControlHandler, FollowService},
             task::{FollowTask, FollowerPort},
         },
         ids::{FailureDomainId, Incarnation, VmId},
@@ -93,13 +93,14 @@
     ) -> Result<Self, NodeError> {
         let mut tasks = JoinSet::new();
         let board = Arc::new(FleetBoard::default());
-        let desk = Arc::new(FollowDesk::new(settings.failure_domain.clone(), Arc::clone(&board)));
+        let desk =
+            Arc::new(FollowService::new(settings.failure_domain.clone(), Arc::clone(&board)));
         let place = OpenNetworkSettings {
             vm: settings.vm.clone(),
             listen: settings.peer_listen,
             peers: settings.founders.clone(),
         };
-        let handler = Arc::new(ControlHandler { desk: Arc::clone(&desk) });
+        let handler = Arc::new(ControlHandler { service: Arc::clone(&desk) });
         let network = PeerNetwork::start_open(place, handler).map_err(NodeError::Network)?;
         let replica = start_replica(&settings, &network, &mut tasks)?;
         desk.open(replica.clone());
@@ -171,7 +172,7 @@
     settings: &ControlSettings,
     network: &PeerNetwork,
     replica: &ControlHandle,
-    desk: &Arc<FollowDesk>,
+    desk: &Arc<FollowService>,
     board: &Arc<FleetBoard>,
     tasks: &mut JoinSet<()>,
 ) {
@@ -377,7 +378,7 @@
 }
 
 struct ControlFollower {
-    desk: Arc<FollowDesk>,
+    desk: Arc<FollowService>,
     board: Arc<FleetBoard>,
 }
 
@@ -386,8 +387,8 @@
         FollowerKind::Control { entries: self.desk.own_entries() }
     }
 
-    fn heard(&self, reply: &FollowReply, state: &SharedState) {
-        self.desk.note_entries(reply.entries);
+    fn reply_received(&self, reply: &FollowReply, state: &SharedState) {
+        self.desk.set_total_entries(reply.entries);
         if reply.list_fresh {
             self.board.take_leaders(state.fleet.clone());
         }
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -13,7 +13,7 @@
         fleet::watch::ListNotice,
         follow::{
             FollowReply, FollowerKind, SharedState,
-            desk::EntryHandler,
+            service::EntryHandler,
             task::{FollowTask, FollowerPort},
         },
         ids::{DocumentNumber, FailureDomainId, VmId},
@@ -223,7 +223,7 @@
         FollowerKind::Entry
     }
 
-    fn heard(&self, reply: &FollowReply, state: &SharedState) {
+    fn reply_received(&self, reply: &FollowReply, state: &SharedState) {
         let known = state.fleet.as_ref().map_or(0, |fleet| fleet.servers.len());
         let mut notice = self.notice.lock().unwrap_or_else(PoisonError::into_inner);
         notice.note(reply.list_fresh, known);
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -5,7 +5,7 @@
         control::document::DocumentState,
         daemon::weight_orders::{
             OrderPort,
-            order_core::{OrderGrounds, OrderResult, OrderTiming, WeightOrder},
+            order_core::{OrderReason, OrderResult, OrderTiming, WeightOrder},
         },
         fleet::{
             FleetSnapshot, ServerPhase,
@@ -53,8 +53,8 @@
     load_limit: Duration::from_millis(4_500),
     retry_wait: Duration::from_millis(300),
     drain_limit: Duration::from_millis(300).saturating_add(SHOW_EVERY),
-    busy_look: Duration::from_millis(150),
-    idle_look: Duration::from_secs(5),
+    busy_probe_interval: Duration::from_millis(150),
+    idle_probe_interval: Duration::from_secs(5),
 };
 
 /// The listed engines and the named weights in the form that the weight orders read.
@@ -186,7 +186,7 @@
         self.hold(&order.server);
         Box::pin(async move {
             let result = self.engines.order(address, order.clone(), RUNNING_WORK).await;
-            let OrderGrounds { observed, wanted_for, given_before } = order.grounds;
+            let OrderReason { observed, wanted_for, given_before } = order.reason;
             log::info!(server = order.server.as_str(), model = order.model.as_str(),
                 weights = order.weights.as_str(), result:? = result, observed = observed.as_deref(),
                 wanted_ms = wanted_for.as_millis() as u64, given_before = given_before;
@@ -195,7 +195,7 @@
         })
     }
 
-    fn look(&self, server: ServerId, address: SocketAddr) -> BoxFuture<'_, Option<LoadReport>> {
+    fn probe(&self, server: ServerId, address: SocketAddr) -> BoxFuture<'_, Option<LoadReport>> {
         Box::pin(async move {
             let report = self.engines.look(server, address).await?;
             self.take_report(&report);
--- a/tests/booking_once.rs
+++ b/tests/booking_once.rs
@@ -22,7 +22,7 @@
 /// Books and checks what holds after each answer; `lost` when the connection broke. `earlier` are
 /// the answers before this one under the same key.
 async fn book(group: &DaemonGroup, vm: &str, key: &str, wait: &str, earlier: &[&str]) -> String {
-    let answer = group.book(vm, key, wait).await;
+    let answer = group.call_once(vm, key, wait).await;
     let told = answer.as_ref().map_or("lost".to_owned(), did_run);
     let runs = group.runs_of(key);
     let is_sure = told == "no" && earlier.iter().all(|told| *told == "no");
@@ -84,11 +84,11 @@
         // Some are claimed, some sent, some answered when time stops for the holder.
         let ran = async || keys.iter().any(|key| group.runs_of(key) == 1);
         group.wait("a booking runs", ran).await;
-        group.freeze("a-1");
+        group.pause("a-1");
         let resent = keys.iter().map(|key| book(&group, "b-1", key, HASTY, &["lost"]));
         let resent = join_all(resent).await;
         // The deadlines of the first sends are over, since those of the resends are.
-        group.thaw("a-1");
+        group.resume("a-1");
         resent
     };
     let (first, resent) = join(first, resends).await;
@@ -106,11 +106,11 @@
     group.hold_services();
     let resends = async {
         group.wait("the service runs it", async || group.runs_of("k") == 1).await;
-        group.cut_domain("a");
+        group.isolate_domain("a");
         group.wait_leader(&["b-1", "c-1"]).await;
         assert_eq!(insist(&group, "b-1", "k", HASTY).await, "unknown");
         // Without a quorum nothing is claimed, and the refusal is true for good.
-        let refused = group.book("a-1", "new", PATIENT).await.expect("it is answered");
+        let refused = group.call_once("a-1", "new", PATIENT).await.expect("it is answered");
         assert_eq!((refused.status.as_u16(), refused.code().as_str()), (503, "no_quorum"));
         assert_eq!((did_run(&refused).as_str(), group.runs_of("new")), ("no", 0));
         group.release_services();
@@ -129,7 +129,7 @@
     assert_eq!(insist(&group, "a-1", "k", HASTY).await, "unknown");
     assert_eq!(insist(&group, "b-1", "k", HASTY).await, "unknown");
     group.release_services();
-    let answer = group.book("c-1", "k", PATIENT).await.expect("it is answered");
+    let answer = group.call_once("c-1", "k", PATIENT).await.expect("it is answered");
     assert_eq!((answer.status.as_u16(), &answer.json()["run"]), (200, &json!(1)));
     assert_eq!(group.runs_of("k"), 1);
 }
--- a/tests/bulk_messages.rs
+++ b/tests/bulk_messages.rs
@@ -56,8 +56,8 @@
         let (receiver, heard) = start_peer("receiver", keys.files("receiver"), &[]);
         let peers = [("receiver", relay.port("receiver"))];
         let (sender, _) = start_peer("sender", keys.files("sender"), &peers);
-        relay.place("receiver", receiver.local_address());
-        relay.place("sender", sender.local_address());
+        relay.set_address("receiver", receiver.local_address());
+        relay.set_address("sender", sender.local_address());
         let status = sender.call(&"receiver".to_owned(), PeerRequest::Status, LONG).await;
         status.expect("the receiver answers");
         RelayedPair { sender, heard, relay, _receiver: receiver, _keys: keys }
@@ -84,7 +84,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn short_one_overtakes() {
     let mut pair = RelayedPair::start().await;
-    pair.relay.slow("receiver", SLOW_LINK);
+    pair.relay.limit_rate("receiver", SLOW_LINK);
     pair.send(long_append(DOCUMENT_BYTES));
     pair.send(NOTICE);
     assert_eq!(pair.hear().await, NOTICE);
--- a/tests/config_confirmation.rs
+++ b/tests/config_confirmation.rs
@@ -8,7 +8,7 @@
             healing::{RepairNeed, SILENCE, repair_need},
             replica::ReplicaStatus,
         },
-        follow::confirmation::{AskedPeers, CONFIRMATION_LIMIT, ConfirmationWatch},
+        follow::confirmation::{AskedPeers, CONFIRMATION_LIMIT, ConfirmationMonitor},
     },
     std::{
         collections::BTreeMap,
@@ -23,12 +23,12 @@
 #[test]
 fn told_once_each_way() {
     let began = Instant::now();
-    let mut watch = ConfirmationWatch::new(began);
-    assert!(!watch.note(began + STEP, false, PEERS), "an election takes as long");
-    assert!(watch.note(began + CONFIRMATION_LIMIT, false, PEERS));
-    assert!(!watch.note(began + CONFIRMATION_LIMIT + STEP, false, PEERS));
-    assert!(watch.note(began + CONFIRMATION_LIMIT + STEP * 2, true, PEERS));
-    assert!(!watch.note(began + CONFIRMATION_LIMIT + STEP * 3, true, PEERS));
+    let mut watch = ConfirmationMonitor::new(began);
+    assert!(!watch.record(began + STEP, false, PEERS), "an election takes as long");
+    assert!(watch.record(began + CONFIRMATION_LIMIT, false, PEERS));
+    assert!(!watch.record(began + CONFIRMATION_LIMIT + STEP, false, PEERS));
+    assert!(watch.record(began + CONFIRMATION_LIMIT + STEP * 2, true, PEERS));
+    assert!(!watch.record(began + CONFIRMATION_LIMIT + STEP * 3, true, PEERS));
 }
 
 /// A group that stays without a voter, with nothing in the leader's log.
--- a/tests/config_spread.rs
+++ b/tests/config_dissemination.rs
@@ -2,10 +2,12 @@
 
 use {
     oleandermount::{
-        daemon::config_spread::{
+        daemon::config_dissemination::{
             cache_file::CacheFile,
+            dissemination_core::{
+                DisseminationAction, DisseminationCore, DisseminationInput, PeerView, StorageKind,
+            },
             history::ConfigHistory,
-            spread_core::{HolderKind, PeerView, SpreadAction, SpreadCore, SpreadInput},
         },
         ids::{Revision, VmId},
         inventory::{ActiveConfig, DomainRecord, OrganisationRecord},
@@ -32,8 +34,8 @@
     now: Instant,
     size: usize,
     domains: usize,
-    cores: BTreeMap<VmId, SpreadCore>,
-    events: BTreeMap<(Instant, u64), (VmId, SpreadInput)>,
+    cores: BTreeMap<VmId, DisseminationCore>,
+    events: BTreeMap<(Instant, u64), (VmId, DisseminationInput)>,
     sequence: u64,
     random: Xoshiro256PlusPlus,
     cut: Option<String>,
@@ -65,11 +67,11 @@
         near.retain(|other| other != vm);
         let mut others: Vec<VmId> = (0..self.domains).map(|d| format!("{d}.0")).collect();
         others.retain(|other| !other.starts_with(&format!("{domain}.")));
-        let mut anchors = vec![format!("{domain}.0")];
-        anchors.retain(|other| other != vm);
-        let kind = if number == "0" { HolderKind::Durable } else { HolderKind::Diskless };
-        let view = PeerView { domain: near, anchors, others };
-        let core = SpreadCore::new(self.now, kind, view, self.random.next_u64());
+        let mut durable_peers = vec![format!("{domain}.0")];
+        durable_peers.retain(|other| other != vm);
+        let kind = if number == "0" { StorageKind::Durable } else { StorageKind::Diskless };
+        let view = PeerView { domain: near, durable_peers, others };
+        let core = DisseminationCore::new(self.now, kind, view, self.random.next_u64());
         self.cores.insert(vm.to_owned(), core);
     }
 
@@ -78,7 +80,7 @@
         inside(a) != inside(b)
     }
 
-    fn give(&mut self, vm: &VmId, input: SpreadInput) {
+    fn give(&mut self, vm: &VmId, input: DisseminationInput) {
         let core = self.cores.get_mut(vm).expect("the daemon exists");
         let before = core.history().current().revision;
         let actions = core.handle(self.now, input);
@@ -88,28 +90,28 @@
         }
     }
 
-    fn perform(&mut self, vm: &VmId, action: SpreadAction) {
+    fn perform(&mut self, vm: &VmId, action: DisseminationAction) {
         match action {
-            SpreadAction::Adopt(_) => {}
-            SpreadAction::Notify { to, revision } => {
+            DisseminationAction::Adopt(_) => {}
+            DisseminationAction::Notify { to, revision } => {
                 self.notices += 1;
                 let lost = self.random.next_u32().is_multiple_of(10) || self.is_cut(vm, &to);
                 if !lost {
-                    let notice = SpreadInput::Notice { from: vm.clone(), revision };
+                    let notice = DisseminationInput::Notice { from: vm.clone(), revision };
                     self.post(ONE_WAY, &to, notice);
                 }
             }
-            SpreadAction::Fetch { from, have } => {
+            DisseminationAction::Fetch { from, have } => {
                 let reachable = !self.is_cut(vm, &from);
                 let reply = self.cores[&from].history().answer(have);
                 let read = self.cores[vm].history().read(reply).filter(|_| reachable);
                 let config = read.map(Arc::new);
-                self.post(ONE_WAY * 2, vm, SpreadInput::Fetched { from, config });
+                self.post(ONE_WAY * 2, vm, DisseminationInput::Fetched { from, config });
             }
         }
     }
 
-    fn post(&mut self, delay: Duration, to: &VmId, input: SpreadInput) {
+    fn post(&mut self, delay: Duration, to: &VmId, input: DisseminationInput) {
         self.sequence += 1;
         self.events.insert((self.now + delay, self.sequence), (to.clone(), input));
     }
@@ -129,7 +131,7 @@
                 None if due <= end => {
                     assert!(due >= self.now || event.is_none(), "{vm} wants to wake in the past");
                     self.now = self.now.max(due);
-                    self.give(&vm, SpreadInput::Wake);
+                    self.give(&vm, DisseminationInput::Wake);
                 }
                 None => break self.now = end,
             }
@@ -137,7 +139,7 @@
     }
 
     fn behind(&self, revision: Revision) -> Vec<&VmId> {
-        let late = |core: &SpreadCore| core.history().current().revision < revision;
+        let late = |core: &DisseminationCore| core.history().current().revision < revision;
         self.cores.iter().filter(|(_, core)| late(core)).map(|(vm, _)| vm).collect()
     }
 }
@@ -149,13 +151,13 @@
 fn change_reaches_all_daemons() {
     let mut bench = SpreadBench::new(7, 54, 11);
     for domain in 0..7 {
-        bench.give(&format!("{domain}.0"), SpreadInput::Committed(config(1)));
+        bench.give(&format!("{domain}.0"), DisseminationInput::Committed(config(1)));
     }
     bench.run(Duration::from_secs(13));
     assert_eq!(bench.behind(1), Vec::<&VmId>::new());
     bench.notices = 0;
     for domain in 0..7 {
-        bench.give(&format!("{domain}.0"), SpreadInput::Committed(config(2)));
+        bench.give(&format!("{domain}.0"), DisseminationInput::Committed(config(2)));
     }
     bench.run(Duration::from_secs(13));
     assert_eq!(bench.behind(2), Vec::<&VmId>::new());
@@ -170,11 +172,11 @@
 fn cut_domain_restarts_without_a_revert() {
     let mut bench = SpreadBench::new(3, 9, 5);
     for domain in 0..3 {
-        bench.give(&format!("{domain}.0"), SpreadInput::Committed(config(7)));
+        bench.give(&format!("{domain}.0"), DisseminationInput::Committed(config(7)));
     }
     bench.run(Duration::from_secs(13));
     bench.cut = Some("1.".to_owned());
-    bench.give(&"0.0".to_owned(), SpreadInput::Committed(config(8)));
+    bench.give(&"0.0".to_owned(), DisseminationInput::Committed(config(8)));
     for number in 1..9 {
         bench.restart(&format!("1.{number}"));
     }
@@ -196,19 +198,22 @@
     let [anchor, foreign] = ["a.0", "b.0"].map(str::to_owned);
     let view = PeerView {
         domain: vec![anchor.clone()],
-        anchors: vec![anchor.clone()],
+        durable_peers: vec![anchor.clone()],
         others: vec![foreign.clone()],
     };
-    let mut core = SpreadCore::new(start, HolderKind::Diskless, view, 3);
-    let _ = core.handle(start, SpreadInput::Committed(config(1)));
-    let notice = |from: &VmId| SpreadInput::Notice { from: from.clone(), revision: 2 };
+    let mut core = DisseminationCore::new(start, StorageKind::Diskless, view, 3);
+    let _ = core.handle(start, DisseminationInput::Committed(config(1)));
+    let notice = |from: &VmId| DisseminationInput::Notice { from: from.clone(), revision: 2 };
     assert_eq!(core.handle(start, notice(&foreign)), []);
     let later = start + Duration::from_secs(1);
-    let fetch = SpreadAction::Fetch { from: anchor.clone(), have: 1 };
+    let fetch = DisseminationAction::Fetch { from: anchor.clone(), have: 1 };
     assert_eq!(core.handle(later, notice(&anchor)), [fetch]);
-    let _ = core.handle(later, SpreadInput::Fetched { from: anchor, config: None });
-    let fetches = core.handle(start + Duration::from_secs(4), SpreadInput::Wake);
-    assert!(fetches.contains(&SpreadAction::Fetch { from: foreign, have: 1 }), "{fetches:?}");
+    let _ = core.handle(later, DisseminationInput::Fetched { from: anchor, config: None });
+    let fetches = core.handle(start + Duration::from_secs(4), DisseminationInput::Wake);
+    assert!(
+        fetches.contains(&DisseminationAction::Fetch { from: foreign, have: 1 }),
+        "{fetches:?}"
+    );
 }
 
 #[test]
--- a/tests/document_changes.rs
+++ b/tests/document_changes.rs
@@ -43,7 +43,7 @@
     let changed = |number| route(number, if number % 500 == 3 { 5_000 } else { 4_000 });
     let after = routes(5, (0..1_502).filter(|number| *number != 700).map(changed));
     let mut history = DocumentHistory::default();
-    history.note(&before);
+    history.record(&before);
     let DocumentChange::Delta(delta) = history.change_since(4, &after) else {
         panic!("much of it is kept");
     };
@@ -54,7 +54,7 @@
         document_delta: Some(DocumentDelta::clone(&delta)),
         ..FollowReply::default()
     };
-    assert!(state.take(reply));
+    assert!(state.apply(reply));
     assert_eq!(state.document, after);
 }
 
@@ -97,9 +97,9 @@
     let stranger = document(3, "{}");
     assert_eq!(delta.apply(&stranger), Err(DeltaError::OtherBase { base: 4, held: 3 }));
     let mut state = SharedState { document: other.clone(), ..SharedState::default() };
-    state.take(FollowReply { document_delta: Some(delta), ..FollowReply::default() });
+    state.apply(FollowReply { document_delta: Some(delta), ..FollowReply::default() });
     assert_eq!((&state.document, state.needs_whole), (&other, true));
-    state.take(FollowReply { document: Some(after.clone()), ..FollowReply::default() });
+    state.apply(FollowReply { document: Some(after.clone()), ..FollowReply::default() });
     assert_eq!((state.document, state.needs_whole), (after, false));
 }
 
@@ -109,7 +109,7 @@
         (routes(4, (0..50).map(|n| route(n, 1))), routes(5, (0..50).map(|n| route(n, 1))));
     let delta = DocumentDelta::between(&first, &second).expect("much of it is kept");
     let mut state = SharedState { document: document(6, "{}"), ..SharedState::default() };
-    state.take(FollowReply { document_delta: Some(delta), ..FollowReply::default() });
+    state.apply(FollowReply { document_delta: Some(delta), ..FollowReply::default() });
     assert_eq!((state.document.number, state.needs_whole), (6, false));
 }
 
@@ -117,7 +117,7 @@
 fn whole_where_little_is_kept() {
     let mut history = DocumentHistory::default();
     let (one, other) = (document(1, &"ab".repeat(4_000)), document(2, &"xyz".repeat(4_000)));
-    history.note(&one);
+    history.record(&one);
     assert_eq!(history.change_since(1, &other), DocumentChange::Whole(other.clone()));
     assert_eq!(history.change_since(77, &other), DocumentChange::Whole(other));
 }
@@ -127,7 +127,7 @@
     let mut history = DocumentHistory::default();
     let body: Arc<str> = "route ".repeat(200_000).into();
     for number in 1..40 {
-        history.note(&NumberedDocument { number, body: Arc::clone(&body) });
+        history.record(&NumberedDocument { number, body: Arc::clone(&body) });
     }
     let last = NumberedDocument { number: 40, body: Arc::clone(&body) };
     let known = (1..40)
--- a/tests/restart_herd.rs
+++ b/tests/domain_restart.rs
@@ -17,7 +17,7 @@
     for vm in HERD {
         group.wait_ready(vm, 3).await;
     }
-    group.cut_domain("a");
+    group.isolate_domain("a");
     group.wait_leader(&["b-1", "c-1"]).await;
     // Committed behind the cut: the herd cannot know it and must not wait for it.
     group.change("b-1", "rules", "fourth", 3, group.rules(4.0)).await;
--- a/tests/fakes/daemon_process.rs
+++ b/tests/fakes/daemon_process.rs
@@ -158,7 +158,7 @@
             let _ = child.wait();
             panic!("{vm} does not serve: {lines:#?}");
         };
-        self.relay.place(vm, ports.peers);
+        self.relay.set_address(vm, ports.peers);
         self.daemons.insert(vm.to_owned(), DaemonProcess { child, ports, tail });
     }
 
@@ -194,7 +194,7 @@
     }
 
     /// Ends a daemon at once while others still look at the group.
-    pub fn strike(&self, vm: &str) {
+    pub fn kill_process(&self, vm: &str) {
         self.daemons[vm].signal("KILL");
     }
 
@@ -223,17 +223,17 @@
     }
 
     /// Stops a daemon's time.
-    pub fn freeze(&self, vm: &str) {
+    pub fn pause(&self, vm: &str) {
         self.daemons[vm].signal("STOP");
     }
 
     /// Lets it go on.
-    pub fn thaw(&self, vm: &str) {
+    pub fn resume(&self, vm: &str) {
         self.daemons[vm].signal("CONT");
     }
 
     /// Cuts off all daemons of a failure domain from those of others.
-    pub fn cut_domain(&self, domain: &str) {
+    pub fn isolate_domain(&self, domain: &str) {
         let inside: Vec<_> =
             self.vms.iter().map(String::as_str).filter(|vm| domain_of(vm) == domain).collect();
         inside.iter().for_each(|vm| self.relay.isolate(vm, &inside));
@@ -284,7 +284,12 @@
     }
 
     /// Books under a key: a call that must run once at most.
-    pub async fn book(&self, vm: &str, key: &str, deadline_ms: &str) -> io::Result<WholeAnswer> {
+    pub async fn call_once(
+        &self,
+        vm: &str,
+        key: &str,
+        deadline_ms: &str,
+    ) -> io::Result<WholeAnswer> {
         let headers = [("idempotency-key", key), ("x-oleandermount-deadline-ms", deadline_ms)];
         let path = "/services/dispatch-app/bookings";
         self.call(vm, "POST", path, &headers, &json!({ "slot": key })).await
--- a/tests/fakes/udp_relay.rs
+++ b/tests/fakes/udp_relay.rs
@@ -57,7 +57,7 @@
     }
 
     /// Says where a daemon really is, now that it has started.
-    pub fn place(&self, vm: &str, address: SocketAddr) {
+    pub fn set_address(&self, vm: &str, address: SocketAddr) {
         lock(&self.table).daemons.insert(vm.to_owned(), address);
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Bounds the way to `vm` to this many bytes a second.
-    pub fn slow(&self, vm: &str, rate: u32) {
+    pub fn limit_rate(&self, vm: &str, rate: u32) {
         lock(&self.table).rates.insert(vm.to_owned(), rate);
     }
 
--- a/tests/follow_choice.rs
+++ b/tests/follow_choice.rs
@@ -6,7 +6,7 @@
 //! and accept a change; the entry, still with the empty VM, does not hear of it for three seconds.
 
 use {
-    oleandermount::follow::task::{StayVerdict, best_peer, judge_stay},
+    oleandermount::follow::task::{FollowDecision, best_peer, decide_follow},
     std::{collections::BTreeMap, time::Duration},
 };
 
@@ -17,22 +17,22 @@
 fn leaves_without_leader() {
     for before in [(false, true), (false, false), (true, true), (true, false)] {
         for domain in [true, false] {
-            let verdict = judge_stay(before, (false, domain), SOON);
-            assert_eq!(verdict, StayVerdict::PauseAndLook, "{before:?} {domain}");
+            let verdict = decide_follow(before, (false, domain), SOON);
+            assert_eq!(verdict, FollowDecision::PauseAndReselect, "{before:?} {domain}");
         }
     }
 }
 
 #[test]
 fn stays_at_home() {
-    assert_eq!(judge_stay((true, true), (true, true), SOON), StayVerdict::Stay);
-    assert_eq!(judge_stay((true, true), (true, true), LATER), StayVerdict::Stay);
+    assert_eq!(decide_follow((true, true), (true, true), SOON), FollowDecision::Stay);
+    assert_eq!(decide_follow((true, true), (true, true), LATER), FollowDecision::Stay);
 }
 
 #[test]
 fn returns_home() {
-    assert_eq!(judge_stay((true, false), (true, false), SOON), StayVerdict::Stay);
-    assert_eq!(judge_stay((true, false), (true, false), LATER), StayVerdict::LookAgain);
+    assert_eq!(decide_follow((true, false), (true, false), SOON), FollowDecision::Stay);
+    assert_eq!(decide_follow((true, false), (true, false), LATER), FollowDecision::Reselect);
 }
 
 /// Guards against one control VM that all followers meet at when theirs are lost.
--- a/tests/followed_list.rs
+++ b/tests/followed_list.rs
@@ -28,7 +28,7 @@
 }
 
 fn listed(state: &mut SharedState, fleet: FleetSnapshot) -> ServerPhase {
-    state.take(FollowReply { fleet: Some(fleet), ..FollowReply::default() });
+    state.apply(FollowReply { fleet: Some(fleet), ..FollowReply::default() });
     state.fleet.as_ref().expect("a list was taken").servers[0].phase
 }
 
@@ -57,7 +57,7 @@
 fn numbers_only_grow() {
     let mut state = SharedState::default();
     for (number, version, held) in [(5, 2, (5, 2)), (4, 1, (5, 2)), (6, 3, (6, 3))] {
-        state.take(FollowReply {
+        state.apply(FollowReply {
             document: Some(NumberedDocument { number, body: "{}".into() }),
             weights: Some([("m0".to_owned(), version)].into()),
             ..FollowReply::default()
@@ -99,7 +99,7 @@
         };
         let length = postcard::to_stdvec(&reply).expect("it encodes").len();
         assert!(loading == 0 || length < 512, "{length} bytes for two servers that changed");
-        state.take(reply);
+        state.apply(reply);
         assert_eq!(state.fleet.as_ref(), Some(&present));
         assert_eq!(history.change_since(state.fleet_digest, &present), None);
     }
@@ -133,7 +133,7 @@
         panic!("the former list is known");
     };
     let mut state = SharedState::default();
-    state.take(FollowReply {
+    state.apply(FollowReply {
         fleet_delta: Some(FleetDelta::clone(&delta)),
         ..FollowReply::default()
     });
--- a/tests/isolated_leader.rs
+++ b/tests/isolated_leader.rs
@@ -20,9 +20,9 @@
     let leader = group.wait_leader(&VMS).await;
     let others: Vec<&str> = VMS.into_iter().filter(|vm| *vm != leader).collect();
     // Asked right at the cut, while it still leads by its own lights.
-    group.cut_domain(&leader[..1]);
+    group.isolate_domain(&leader[..1]);
     let change = group.propose(&leader, "rules", "lost", 2, group.rules(9.0));
-    let (change, booking) = join(change, group.book(&leader, "k", PATIENT)).await;
+    let (change, booking) = join(change, group.call_once(&leader, "k", PATIENT)).await;
     let change = change.expect("operators are answered");
     assert!(matches!(change.status.as_u16(), 503 | 504), "{change:?}");
     let booking = booking.expect("callers are answered");
@@ -35,13 +35,13 @@
     }
     group
         .wait("the others book", async || {
-            let answer = group.book(others[1], "k", PATIENT).await.expect("it is answered");
+            let answer = group.call_once(others[1], "k", PATIENT).await.expect("it is answered");
             answer.status == 200
         })
         .await;
     assert_eq!(group.runs_of("k"), 1);
     assert_eq!(group.revision(&leader).await, 2);
-    let again = group.book(&leader, "late", PATIENT).await.expect("it is answered");
+    let again = group.call_once(&leader, "late", PATIENT).await.expect("it is answered");
     assert_eq!((did_run(&again).as_str(), group.runs_of("late")), ("no", 0));
     group.heal();
     group.wait_ready(&leader, 7).await;
@@ -53,7 +53,7 @@
         assert_eq!((&config["revision"], weight), (&7.into(), &7.0.into()), "{vm}");
         group
             .wait(&format!("{vm} gives the kept answer"), async || {
-                let answer = group.book(vm, "k", PATIENT).await.expect("it is answered");
+                let answer = group.call_once(vm, "k", PATIENT).await.expect("it is answered");
                 answer.status == 200
             })
             .await;
--- a/tests/leaving_server.rs
+++ b/tests/leaving_server.rs
@@ -3,7 +3,7 @@
 use {
     futures::future::BoxFuture,
     oleandermount::{
-        daemon::membership_watch::{MembershipWatch, ServerProbe, watch_core::*, watch_list},
+        daemon::server_monitor::{ServerMonitor, ServerProbe, monitor_core::*, monitor_plan},
         ids::{ServerId, VmId},
         inventory::{ActiveConfig, ServerKind, ServerRecord, VmRecord},
         policy::{PolicyInput, ServerHealth},
@@ -84,7 +84,7 @@
     let probe = Arc::new(FakeProbe::default());
     probe.set("s", answer(false));
     let (sender, mut findings) = mpsc::channel(16);
-    let watch = MembershipWatch::start(probe.clone(), sender);
+    let watch = ServerMonitor::start(probe.clone(), sender);
     watch.configure(&"a1".to_owned(), &config(&["a1"], &[("s", "a")])).await;
     assert_eq!(next_health(&mut findings).await, ALIVE);
     for (result, expected) in [
@@ -105,9 +105,9 @@
     assert_eq!(watch.findings(), [("s".to_owned(), ServerHealth::Dead)]);
 }
 
-fn health_of(actions: &[WatchAction]) -> Vec<ServerHealth> {
-    let health = |action: &WatchAction| match action {
-        WatchAction::Tell(PolicyInput::Health { health, .. }) => Some(*health),
+fn health_of(actions: &[MonitorAction]) -> Vec<ServerHealth> {
+    let health = |action: &MonitorAction| match action {
+        MonitorAction::Notify(PolicyInput::Health { health, .. }) => Some(*health),
         _ => None,
     };
     actions.iter().filter_map(health).collect()
@@ -121,15 +121,15 @@
     let start = Instant::now();
     let config = config(&["a1", "a2", "a3", "a4", "a5"], &[("s", "a")]);
     let daemons: BTreeSet<VmId> = config.register.vms.iter().map(|vm| vm.id.clone()).collect();
-    let watching = watchers("s", &daemons, NEAR_WATCHERS);
+    let watching = assigned_monitors("s", &daemons, LOCAL_MONITORS);
     let outsider = daemons.iter().find(|vm| !watching.contains(vm)).expect("two do not watch");
-    let mut core = WatchCore::new(start);
-    let actions = core.handle(start, WatchInput::Configure(watch_list(outsider, &config)));
+    let mut core = MonitorCore::new(start);
+    let actions = core.handle(start, MonitorInput::Configure(monitor_plan(outsider, &config)));
     assert!(actions.is_empty(), "it probes nothing");
     let mut tell = |watcher: usize, health: Option<ServerHealth>| {
         let findings = health.map(|health| ("s".to_owned(), health)).into_iter().collect();
         let from = watching[watcher].clone();
-        health_of(&core.handle(start, WatchInput::Digest { from, findings }))
+        health_of(&core.handle(start, MonitorInput::Digest { from, findings }))
     };
     assert!(tell(0, None).is_empty() && tell(1, None).is_empty() && tell(2, None).is_empty());
     assert_eq!(tell(0, Some(ServerHealth::Dead)), []);
@@ -137,10 +137,10 @@
     assert_eq!(tell(0, Some(ALIVE)), [ALIVE]);
     assert_eq!(tell(2, Some(ServerHealth::Leaving)), [ServerHealth::Leaving]);
     // Watchers that fall silent no longer count: the server is taken for back, its life unknown.
-    let late = core.handle(start + Duration::from_secs(1), WatchInput::Wake);
+    let late = core.handle(start + Duration::from_secs(1), MonitorInput::Wake);
     assert!(health_of(&late).is_empty());
     for second in 2..4 {
-        let late = core.handle(start + Duration::from_secs(second), WatchInput::Wake);
+        let late = core.handle(start + Duration::from_secs(second), MonitorInput::Wake);
         let back = ServerHealth::Alive { incarnation: UNKNOWN_INCARNATION };
         assert_eq!(health_of(&late), if second == 3 { vec![back] } else { vec![] });
     }
@@ -151,14 +151,14 @@
 #[test]
 fn own_pause_makes_no_server_dead() {
     let start = Instant::now();
-    let mut core = WatchCore::new(start);
-    let list = watch_list(&"a1".to_owned(), &config(&["a1"], &[("s", "a")]));
-    let mut actions = core.handle(start, WatchInput::Configure(list));
+    let mut core = MonitorCore::new(start);
+    let list = monitor_plan(&"a1".to_owned(), &config(&["a1"], &[("s", "a")]));
+    let mut actions = core.handle(start, MonitorInput::Configure(list));
     for pause in 1..=10u32 {
         let woken = start + Duration::from_secs(30) * pause;
-        let WatchAction::Probe { number, .. } = actions[0] else { panic!("it probes") };
+        let MonitorAction::Probe { number, .. } = actions[0] else { panic!("it probes") };
         let result = ProbeResult::NoAnswer;
-        let late = WatchInput::Probed { server: "s".to_owned(), number, result };
+        let late = MonitorInput::Probed { server: "s".to_owned(), number, result };
         actions = core.handle(woken, late);
         assert!(health_of(&actions).is_empty());
     }
@@ -170,10 +170,10 @@
     let servers: Vec<String> = (0..124).map(|n| format!("s{n}")).collect();
     let mut load: BTreeMap<&VmId, usize> = BTreeMap::new();
     for server in &servers {
-        let watching = watchers(server, &names, NEAR_WATCHERS);
-        assert_eq!(watching.len(), NEAR_WATCHERS);
+        let watching = assigned_monitors(server, &names, LOCAL_MONITORS);
+        assert_eq!(watching.len(), LOCAL_MONITORS);
         watching.into_iter().for_each(|vm| *load.entry(vm).or_default() += 1);
     }
     let most = load.values().max().copied().unwrap_or_default();
-    assert!(most <= 3 * 124 * NEAR_WATCHERS / 54, "{most} of 124 servers at one daemon");
+    assert!(most <= 3 * 124 * LOCAL_MONITORS / 54, "{most} of 124 servers at one daemon");
 }
--- a/tests/lost_voter.rs
+++ b/tests/lost_voter.rs
@@ -23,7 +23,7 @@
     let body = Mutex::default();
     group
         .wait(&format!("{vm} answers {key}"), async || {
-            let answer = group.book(vm, key, PATIENT).await.expect("it is answered");
+            let answer = group.call_once(vm, key, PATIENT).await.expect("it is answered");
             assert_ne!(did_run(&answer), "unknown", "an acknowledged booking is lost: {answer:?}");
             *body.lock().expect("no holder panics") = answer.json();
             answer.status == 200
--- a/tests/named_weights.rs
+++ b/tests/named_weights.rs
@@ -5,7 +5,8 @@
     oleandermount::{
         control::document::NamedWeights,
         daemon::weight_orders::order_core::{
-            OLD_LEASE, ORDER_LIFE, OrderAction, OrderCore, OrderInput, OrderPlan, OrderResult,
+            MAX_FORMER_LEASE, ORDER_TIMEOUT, OrderAction, OrderCore, OrderInput, OrderPlan,
+            OrderResult,
         },
         edge::view::EdgeView,
         fleet::{FleetSnapshot, ListedServer, ServerPhase},
@@ -102,7 +103,7 @@
 
     fn perform(&mut self, action: OrderAction) -> Option<OrderInput> {
         match action {
-            OrderAction::Look { server } => {
+            OrderAction::Probe { server } => {
                 let report = LoadReport {
                     server: server.clone(),
                     incarnation: 1,
@@ -113,7 +114,7 @@
                     cache_used: 0.0,
                     leaving: false,
                 };
-                Some(OrderInput::Looked { server, report: Some(report) })
+                Some(OrderInput::Probed { server, report: Some(report) })
             }
             OrderAction::Order(order) => {
                 let until = self.now + Duration::from_millis(400);
@@ -260,7 +261,7 @@
         if fenced {
             assert!(waited < drain + Duration::from_millis(300), "{waited:?}");
         } else {
-            assert!(waited > OLD_LEASE + ORDER_LIFE, "{waited:?}");
+            assert!(waited > MAX_FORMER_LEASE + ORDER_TIMEOUT, "{waited:?}");
         }
     }
 }
--- a/tests/propose_errors.rs
+++ b/tests/propose_errors.rs
@@ -7,7 +7,7 @@
         daemon::{
             ControlPort,
             control_driver::LocalProposeError,
-            remote_control::{RemoteControl, ReplicaCalls, ReplicaPort},
+            remote_proposer::{RemoteProposer, ReplicaCalls, ReplicaPort},
         },
         ids::VmId,
         transport::{PeerReply, PeerRequest, TransportError},
@@ -38,7 +38,10 @@
 struct FixedReplica(LocalProposeError);
 
 impl ReplicaPort for FixedReplica {
-    fn propose_here(&self, _: Command) -> BoxFuture<'_, Result<CommandOutcome, LocalProposeError>> {
+    fn propose_at_replica(
+        &self,
+        _: Command,
+    ) -> BoxFuture<'_, Result<CommandOutcome, LocalProposeError>> {
         Box::pin(std::future::ready(Err(self.0.clone())))
     }
 
@@ -70,9 +73,9 @@
 
 const NOTE: Command = Command::NoteSuspect { fingerprint: 1, strikes: 1 };
 
-fn entry(peers: &Arc<FixedPeers>) -> RemoteControl {
+fn entry(peers: &Arc<FixedPeers>) -> RemoteProposer {
     let voters = peers.replies.keys().cloned().collect::<Vec<_>>();
-    RemoteControl::new("entry".to_owned(), peers.clone(), None, voters)
+    RemoteProposer::new("entry".to_owned(), peers.clone(), None, voters)
 }
 
 /// The caller of a booking is told "did not run" or "unknown", and the former must be true. The
@@ -110,7 +113,7 @@
     let peers = peers(&[("b", no_quorum())]);
     let leader = Some("b".to_owned());
     let replica = Arc::new(FixedReplica(LocalProposeError::NotLeader { leader }));
-    let follower = RemoteControl::new("a".to_owned(), peers.clone(), Some(replica), []);
+    let follower = RemoteProposer::new("a".to_owned(), peers.clone(), Some(replica), []);
     let answer = PeerReply::Proposed(Err(ProposeError::NoQuorum));
     assert_eq!(follower.serve(NOTE, true).await, answer);
     assert_eq!(*peers.asked.lock().expect("no test panics inside"), [("b".to_owned(), false)]);
--- a/tests/cut_domain.rs
+++ b/tests/rejoined_domain.rs
@@ -16,7 +16,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_domain_serves_and_rejoins() {
     let mut group = DaemonGroup::start(&["a-1", "a-2", "b-1", "c-1"]).await;
-    group.cut_domain("a");
+    group.isolate_domain("a");
     group.wait_leader(&["b-1", "c-1"]).await;
     group.change("b-1", "rules", "third", 2, group.rules(2.0)).await;
     group.wait_ready("c-1", 3).await;
@@ -24,7 +24,7 @@
         let reply = group.chat(vm, "does the swap contain nuts?").await.expect("it is answered");
         assert_eq!(reply.status, 200, "{reply:?}");
         assert_eq!(group.look_up(vm).await.expect("it is answered").status, 200);
-        let refused = group.book(vm, vm, PATIENT).await.expect("it is answered");
+        let refused = group.call_once(vm, vm, PATIENT).await.expect("it is answered");
         assert_eq!((refused.status.as_u16(), refused.code().as_str()), (503, "no_quorum"));
         assert_eq!((did_run(&refused).as_str(), group.runs_of(vm)), ("no", 0));
         assert!(refused.retry_after.is_some());
@@ -42,7 +42,7 @@
                 let revision = group.revision(vm).await;
                 let before = highest.fetch_max(revision, Ordering::SeqCst);
                 assert!(revision >= before, "{vm} went back from {before} to {revision}");
-                let answer = group.book(vm, vm, PATIENT).await.expect("it is answered");
+                let answer = group.call_once(vm, vm, PATIENT).await.expect("it is answered");
                 let expected = if answer.status == 200 { 1 } else { 0 };
                 assert_eq!(group.runs_of(vm), expected, "{answer:?}");
                 revision == 3 && expected == 1
--- a/tests/rolling_weights.rs
+++ b/tests/rolling_weights.rs
@@ -70,7 +70,7 @@
                 let desired = Arc::new(self.desired.clone());
                 vec![OrderInput::Proposed { model }, OrderInput::Desired(desired)]
             }
-            OrderAction::Look { server } => {
+            OrderAction::Probe { server } => {
                 let (weights, _) = &self.engines[&server];
                 let report = LoadReport {
                     server: server.clone(),
@@ -82,7 +82,7 @@
                     cache_used: 0.0,
                     leaving: false,
                 };
-                vec![OrderInput::Looked { server, report: Some(report) }]
+                vec![OrderInput::Probed { server, report: Some(report) }]
             }
             OrderAction::Drain { .. } => vec![],
             OrderAction::Order(order) => {
@@ -149,7 +149,7 @@
     bench.run(Duration::from_secs(20));
     assert_eq!(bench.orders, 0, "it does not lead");
     bench.give(OrderInput::Lease(Some((2, bench.now))));
-    bench.run(OLD_LEASE + ORDER_LIFE - Duration::from_millis(50));
+    bench.run(MAX_FORMER_LEASE + ORDER_TIMEOUT - Duration::from_millis(50));
     assert_eq!(bench.orders, 0, "the former leader may still order");
     bench.run(Duration::from_millis(50));
     assert_eq!(bench.orders, 2);
@@ -180,7 +180,7 @@
         Box::pin(std::future::ready(OrderResult::Taken))
     }
 
-    fn look(&self, _: ServerId, _: SocketAddr) -> BoxFuture<'_, Option<LoadReport>> {
+    fn probe(&self, _: ServerId, _: SocketAddr) -> BoxFuture<'_, Option<LoadReport>> {
         Box::pin(std::future::ready(None))
     }
 
@@ -201,9 +201,9 @@
         weights: "v1".to_owned(),
         fencing: FencingNumber::default(),
         term: 1,
-        send_before: now + ORDER_LIFE,
+        send_before: now + ORDER_TIMEOUT,
         number: 1,
-        grounds: OrderGrounds::default(),
+        reason: OrderReason::default(),
     };
     let send = |order| send_order(&ports, &ports, address, order);
     assert_eq!(send(order.clone()).await, OrderResult::Taken);
--- a/tests/router_crash.rs
+++ b/tests/router_crash.rs
@@ -48,11 +48,11 @@
 async fn bookings_in_flight_run_once() {
     let mut group = DaemonGroup::start(&["a-1", "b-1", "c-1"]).await;
     let keys: Vec<String> = (0..40).map(|number| format!("k{number}")).collect();
-    let first = join_all(keys.iter().map(|key| group.book("a-1", key, PATIENT)));
+    let first = join_all(keys.iter().map(|key| group.call_once("a-1", key, PATIENT)));
     let killed = async {
         let runs = async || keys.iter().filter(|key| group.runs_of(key) == 1).count() >= 5;
         group.wait("some bookings have run", runs).await;
-        group.strike("a-1");
+        group.kill_process("a-1");
     };
     let (first, ()) = join(first, killed).await;
     group.kill("a-1");
@@ -61,14 +61,14 @@
     for key in std::iter::once("new").chain(keys.iter().map(String::as_str)) {
         group
             .wait(&format!("{key} is answered or unknown"), async || {
-                let answer = group.book("a-1", key, HASTY).await.expect("it is answered");
+                let answer = group.call_once("a-1", key, HASTY).await.expect("it is answered");
                 assert!(group.runs_of(key) <= 1, "{key} ran twice: {answer:?}");
                 did_run(&answer) != "no"
             })
             .await;
     }
     for (key, first) in keys.iter().zip(&first) {
-        let answer = group.book("b-1", key, PATIENT).await.expect("it is answered");
+        let answer = group.call_once("b-1", key, PATIENT).await.expect("it is answered");
         let runs = group.runs_of(key);
         assert!(runs <= 1, "{key} ran {runs} times");
         match did_run(&answer).as_str() {
--- a/tests/weight_turns.rs
+++ b/tests/weight_turns.rs
@@ -103,11 +103,11 @@
                 self.commits.push((self.now + COMMIT_TIME, input, command));
                 None
             }
-            OrderAction::Look { server } if server < format!("i-{:04}", self.silent) => {
+            OrderAction::Probe { server } if server < format!("i-{:04}", self.silent) => {
                 self.waiting_looks.push((self.now + Duration::from_secs(1), server));
                 None
             }
-            OrderAction::Look { server } => {
+            OrderAction::Probe { server } => {
                 let version = self.engines[&server].version_at(self.now - REPORT_LAG);
                 let report = LoadReport {
                     server: server.clone(),
@@ -119,7 +119,7 @@
                     cache_used: 0.0,
                     leaving: false,
                 };
-                Some(OrderInput::Looked { server, report: Some(report) })
+                Some(OrderInput::Probed { server, report: Some(report) })
             }
             OrderAction::Drain { .. } => None,
             OrderAction::Order(order) => Some(self.accept(order)),
@@ -163,7 +163,7 @@
         let (ended, waiting) = self.waiting_looks.drain(..).partition(|(at, _)| now >= *at);
         self.waiting_looks = waiting;
         for (_, server) in ended {
-            self.give(OrderInput::Looked { server, report: None });
+            self.give(OrderInput::Probed { server, report: None });
         }
         self.give(OrderInput::Wake);
     }
