--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Wires the parts into one running daemon.
+//! Assembles the parts of one running daemon.
 
 pub mod config_applier;
 pub mod config_dissemination;
--- a/src/daemon/config_applier.rs
+++ b/src/daemon/config_applier.rs
@@ -1,4 +1,4 @@
-//! Puts each new configuration in force in all parts of a daemon.
+//! Applies each new configuration to all parts of a daemon.
 
 use {
     super::{
@@ -13,26 +13,26 @@
     std::{collections::BTreeMap, net::SocketAddr, sync::Arc},
 };
 
-/// Follows the configuration of one daemon.
+/// Applies configurations to the parts of one daemon.
 pub struct ConfigApplier {
-    /// The pipeline.
+    /// The request pipeline.
     pub core: Arc<PipelineCore>,
-    /// The network, whose peers the register names.
+    /// The peer network; its addresses come from the settings and the register.
     pub network: PeerNetwork,
-    /// Where the configuration comes from.
-    pub spread: ConfigDissemination,
-    /// The watch over backend servers.
-    pub watch: ServerMonitor,
-    /// News of servers, bounded by the register.
-    pub board: Arc<ServerTable>,
+    /// The source of configurations.
+    pub dissemination: ConfigDissemination,
+    /// The health monitor of backend servers.
+    pub monitor: ServerMonitor,
+    /// The last known state of each server of the register.
+    pub server_table: Arc<ServerTable>,
     /// The daemon's settings.
     pub options: DaemonOptions,
 }
 
 impl ConfigApplier {
-    /// Runs until the spread ends.
+    /// Runs until the dissemination task ends.
     pub async fn run(self) {
-        let mut watch = self.spread.watch();
+        let mut watch = self.dissemination.watch();
         loop {
             let config = watch.borrow_and_update().clone();
             if config.revision > 0 {
@@ -47,13 +47,14 @@
     async fn apply(&self, config: Arc<ActiveConfig>) {
         log::info!(revision = config.revision; "configuration in force");
         self.network.set_peers(self.addresses(&config));
-        self.spread.set_view(self.view(&config)).await;
-        self.board.keep(&config.register.servers.iter().map(|one| one.id.clone()).collect());
+        self.dissemination.set_view(self.view(&config)).await;
+        self.server_table
+            .retain(&config.register.servers.iter().map(|server| server.id.clone()).collect());
         self.core.configure(Arc::clone(&config));
-        self.watch.configure(&self.options.identity.vm, &config).await;
+        self.monitor.configure(&self.options.identity.vm, &config).await;
     }
 
-    /// Addresses from the settings and the register; the register wins.
+    /// Addresses from the settings and the register; the register takes precedence.
     fn addresses(&self, config: &ActiveConfig) -> BTreeMap<VmId, SocketAddr> {
         let registered = config.register.vms.iter().map(|vm| (vm.id.clone(), vm.peer_address));
         self.options.group.peers.clone().into_iter().chain(registered).collect()
--- a/src/daemon/config_dissemination.rs
+++ b/src/daemon/config_dissemination.rs
@@ -1,8 +1,9 @@
-//! Brings each committed configuration to every daemon, and never a lower one in place of a
-//! higher.
+//! Disseminates each committed configuration to every daemon; the revision in force at a daemon
+//! never decreases.
 //!
-//! A replica's daemon learns of commits and tells a few daemons of its domain, which fetch what
-//! they lack and tell a few more. Rounds with one random peer find whom this missed.
+//! The daemon of a replica learns of commits and notifies a few daemons of its failure domain.
+//! These fetch what they lack and notify a few more. Periodic rounds, each with one random peer,
+//! reach the daemons that missed a notification.
 
 pub mod cache_file;
 pub mod dissemination_core;
@@ -34,23 +35,25 @@
     },
 };
 
-/// Inputs that wait for the task; beyond it notices are lost, and the next round replaces them.
+/// Inputs that wait for the task. Notices that find the queue full are dropped; the next round
+/// repeats them.
 const QUEUE_LENGTH: usize = 256;
-/// A fetch that takes longer is tried elsewhere: a whole configuration over a slow line.
-const FETCH_LIMIT: Duration = Duration::from_secs(5);
+/// Time limit of a fetch, which may transfer a whole configuration over a slow link. A fetch that
+/// exceeds it is repeated at another peer.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a spread needs to start.
+/// Settings of the dissemination at one daemon.
 #[derive(Clone, Debug)]
 pub struct DisseminationSettings {
-    /// The data folder, on a VM that has a disk.
+    /// The data folder; `None` on a VM without a disk.
     pub data_dir: Option<PathBuf>,
-    /// The peers that the settings name.
+    /// The peers that the daemon's settings name.
     pub view: PeerView,
-    /// Seeds the jitter; different at each daemon.
+    /// Seed of the jitter; must differ between daemons.
     pub seed: u64,
 }
 
-/// A handle on the spread of one daemon; clones share it.
+/// A handle to the dissemination task of one daemon; clones share the task.
 #[derive(Clone)]
 pub struct ConfigDissemination {
     published: Arc<Mutex<ConfigHistory>>,
@@ -58,10 +61,11 @@
     config: ConfigWatch,
 }
 
-/// The other half of a [`ConfigDissemination`], to be run once the network is up.
+/// The task behind a [`ConfigDissemination`], to be run once the network is up.
 pub struct DisseminationTask {
     core: DisseminationCore,
-    /// What peers are answered from; follows the core once the disk, if any, has it.
+    /// The history that peers are answered from. It is updated once the configuration is on the
+    /// disk, if there is one.
     published: Arc<Mutex<ConfigHistory>>,
     inputs: mpsc::Receiver<DisseminationInput>,
     results: mpsc::WeakSender<DisseminationInput>,
@@ -70,8 +74,8 @@
 }
 
 impl ConfigDissemination {
-    /// Takes up what the cache file kept. The handle answers peers from now on; the task does the
-    /// rest once it is run.
+    /// Loads the cached configuration, if any. The handle answers peers immediately; the task does
+    /// the rest once it runs.
     pub fn new(settings: DisseminationSettings) -> (Self, DisseminationTask) {
         let cache = settings.data_dir.map(CacheFile::new);
         let kind = if cache.is_some() { StorageKind::Durable } else { StorageKind::Diskless };
@@ -80,28 +84,32 @@
         let (in_force, config) = watch::channel(Arc::default());
         if let Some(kept) = cache.as_ref().and_then(CacheFile::load) {
             let kept = Arc::new(kept);
-            // The peers hear of it in the first round; nobody is told before the network is up.
+            // The actions are dropped, since the network is not up; peers are notified in the first
+            // round.
             let _ = core.handle(now, DisseminationInput::Committed(kept.clone()));
             in_force.send_replace(kept);
         }
         let published = Arc::new(Mutex::new(core.history().clone()));
         let (inputs, queue) = mpsc::channel(QUEUE_LENGTH);
         let results = inputs.downgrade();
-        let spread = Self { published: published.clone(), inputs, config };
-        (spread, DisseminationTask { core, published, inputs: queue, results, cache, in_force })
+        let dissemination = Self { published: published.clone(), inputs, config };
+        (
+            dissemination,
+            DisseminationTask { core, published, inputs: queue, results, cache, in_force },
+        )
     }
 
-    /// The configuration in force here; its revision never falls.
+    /// The configuration in force at this daemon; its revision never decreases.
     pub fn watch(&self) -> ConfigWatch {
         self.config.clone()
     }
 
-    /// The revision in force here.
+    /// The revision in force at this daemon.
     pub fn revision(&self) -> Revision {
         self.config.borrow().revision
     }
 
-    /// Takes a peer's [`PeerMessage::ConfigNotice`]; lost when too many wait.
+    /// Handles a peer's [`PeerMessage::ConfigNotice`]; dropped when the queue is full.
     pub fn notice(&self, from: VmId, revision: Revision) {
         let _ = self.inputs.try_send(DisseminationInput::Notice { from, revision });
     }
@@ -112,15 +120,16 @@
         history.answer(have)
     }
 
-    /// Replaces the peers, as the register in force names them.
+    /// Replaces the known peers by those of the register in force.
     pub async fn set_view(&self, view: PeerView) {
-        // Without a task there is nobody to tell either.
+        // Fails only when the task has ended, which makes the view irrelevant.
         let _ = self.inputs.send(DisseminationInput::Peers(view)).await;
     }
 }
 
 impl DisseminationTask {
-    /// Runs until the last handle is dropped. `committed` follows the replica on this VM, if any.
+    /// Runs until the last handle is dropped. `committed` is the watch of the replica on this VM,
+    /// if any.
     pub async fn run(mut self, network: PeerNetwork, mut committed: Option<ConfigWatch>) {
         if let Some(watch) = &mut committed {
             watch.mark_changed();
@@ -143,7 +152,7 @@
 
     async fn perform(&self, network: &PeerNetwork, action: DisseminationAction) {
         match action {
-            DisseminationAction::Adopt(config) => self.put_in_force(config).await,
+            DisseminationAction::Adopt(config) => self.activate(config).await,
             DisseminationAction::Notify { to, revision } => {
                 network.send(&to, PeerMessage::ConfigNotice { revision });
             }
@@ -155,19 +164,19 @@
         }
     }
 
-    /// On a VM with a disk the file comes first: the daemons of the domain count on finding here
-    /// what they had in force before they restarted.
-    async fn put_in_force(&self, config: Arc<ActiveConfig>) {
+    /// Stores the configuration before activating it, on a VM with a disk: daemons of the domain
+    /// that restart rely on finding here what they had in force before.
+    async fn activate(&self, config: Arc<ActiveConfig>) {
         if let Some(cache) = self.cache.clone() {
             let kept = config.clone();
             let stored = task::spawn_blocking(move || cache.store(&kept)).await;
             if let Ok(Err(error)) = stored {
                 log::error!(
-                    "the configuration can't be kept: {error}; free the data folder's disk"
+                    "cannot store the configuration: {error}; free space on the disk of the data folder"
                 );
             }
         }
-        log::info!(revision = config.revision; "a configuration is in force");
+        log::info!(revision = config.revision; "configuration activated");
         *lock(&self.published) = self.core.history().clone();
         metrics::gauge!("oleandermount_config_revision").set(config.revision as f64);
         self.in_force.send_replace(config);
@@ -182,13 +191,13 @@
     have: Revision,
 ) {
     let request = PeerRequest::FetchConfig { have };
-    let reply = network.call(&from, request, FETCH_LIMIT).await;
+    let reply = network.call(&from, request, FETCH_TIMEOUT).await;
     let config = reply.ok().and_then(|reply| history.read(reply)).map(Arc::new);
-    // The task may have ended meanwhile.
+    // Fails only when the task has ended.
     let _ = results.send(DisseminationInput::Fetched { from, config }).await;
 }
 
-/// The next configuration of the replica; never returns without one.
+/// The next configuration of the replica; pending forever if there is no replica.
 async fn next_commit(committed: &mut Option<ConfigWatch>) -> Arc<ActiveConfig> {
     if let Some(watch) = committed
         && watch.changed().await.is_ok()
--- a/src/daemon/config_dissemination/cache_file.rs
+++ b/src/daemon/config_dissemination/cache_file.rs
@@ -1,4 +1,4 @@
-//! The last configuration in force, kept beside the replica for a start without a quorum.
+//! Caches the last configuration in force in the data folder, for a start without a quorum.
 
 use {
     crate::inventory::ActiveConfig,
@@ -10,40 +10,44 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// The file's name in the data folder.
+/// The name of the cache file in the data folder.
 const FILE_NAME: &str = "config-cache.json";
-/// A whole file under this name is not there yet.
+/// The name of the cache file while it is being written; it is renamed once it is synced.
 const PARTIAL_NAME: &str = "config-cache.partial";
 
-/// The file in one data folder.
+/// The cache file of one data folder.
 #[derive(Clone, Debug)]
 pub struct CacheFile {
     folder: PathBuf,
 }
 
 impl CacheFile {
-    /// The cache file of a data folder.
+    /// The cache file of `folder`; nothing is read or written yet.
     pub fn new(folder: impl Into<PathBuf>) -> Self {
         Self { folder: folder.into() }
     }
 
-    /// What was kept, if the file is there and whole. A flipped byte inside a name would still be
-    /// JSON, and a daemon would serve by a rule nobody made; the digest in the first line tells.
+    /// The stored configuration; `None` if the file is missing or damaged. The digest in the first
+    /// line detects corruption that leaves the JSON valid, such as a changed byte inside a name, so
+    /// that a daemon never serves by a rule that no operator wrote.
     pub fn load(&self) -> Option<ActiveConfig> {
         let path = self.folder.join(FILE_NAME);
         let text = fs::read_to_string(&path).ok()?;
         let kept = text.split_once('\n').filter(|(digest, body)| *digest == digest_of(body));
         let config = kept.and_then(|(_, body)| serde_json::from_str(body).ok());
         if config.is_none() {
-            log::warn!("{} is damaged and not used; it is written anew", path.display());
+            log::warn!(
+                "{} is damaged and ignored; the next configuration replaces it",
+                path.display()
+            );
         }
         config
     }
 
-    /// Keeps `config`; it counts once this returns.
+    /// Stores `config` durably: it is synced to the disk when this returns.
     ///
     /// # Errors
-    /// When the folder can't be written or synced; the former file is then still there.
+    /// When the folder cannot be written or synced; the previous file is then unchanged.
     pub fn store(&self, config: &ActiveConfig) -> io::Result<()> {
         let body = serde_json::to_string(config)?;
         let partial = self.folder.join(PARTIAL_NAME);
--- a/src/daemon/config_dissemination/dissemination_core.rs
+++ b/src/daemon/config_dissemination/dissemination_core.rs
@@ -1,4 +1,4 @@
-//! Decides whom to tell of a configuration, whom to fetch it from, and when: without a network.
+//! Decides which peers to notify of a configuration, which to fetch it from, and when; does no I/O.
 
 use {
     super::history::ConfigHistory,
@@ -15,115 +15,119 @@
     },
 };
 
-/// Domain peers told of a new revision by each daemon that puts it in force: three each reach
-/// nineteen in twenty of 54 daemons, and the rounds below the rest.
+/// Domain peers that each daemon notifies when it activates a new revision. Three each reach about
+/// 95% of 54 daemons; the periodic rounds reach the rest.
 pub const FAN_OUT: usize = 3;
-/// The mean time between two rounds, each with one random peer. With six rounds in the 13 s that
-/// a change may take, a daemon missed by the fan-out learns of it in time.
+/// The mean time between two rounds, each with one random peer. It allows six rounds within the 13
+/// s in which a change must reach every daemon, for those that the fan-out missed.
 const ROUND_INTERVAL: Duration = Duration::from_secs(2);
-/// One round in so many goes outside the failure domain, from a daemon without a disk.
-const FOREIGN_SHARE: u32 = 8;
-/// The same from a daemon with a disk, which brings news into its domain.
-const FOREIGN_SHARE_DURABLE: u32 = 2;
-/// Peers asked at once by a daemon that has no configuration yet.
-const COLD_PEERS: usize = 8;
-/// The longest first wait of a cold daemon, for each peer in its domain: a domain that restarts
-/// as a herd asks its disk replica over a second rather than in one instant.
-const HERD_SPREAD: Duration = Duration::from_millis(15);
-/// How long a cold daemon lets the domain's disk replica answer before it takes what others have.
-const COLD_WAIT: Duration = Duration::from_millis(400);
-/// How long news from outside waits for the own domain's disk replica to have it.
-const ANCHOR_WAIT: Duration = Duration::from_secs(3);
-/// Offers remembered; beyond it the lowest is dropped.
-const MOST_OFFERS: usize = 64;
+/// A daemon without a disk contacts a peer outside its failure domain in one round of this many.
+const REMOTE_ROUND_DIVISOR: u32 = 8;
+/// The same for a daemon with a disk, which imports new revisions into its domain.
+const REMOTE_ROUND_DIVISOR_DURABLE: u32 = 2;
+/// Domain peers that a daemon without a configuration contacts at a time.
+const COLD_START_PEERS: usize = 8;
+/// Upper bound of the random delay before the first round, for each peer in the domain. It spreads
+/// the requests of a domain whose daemons all restart together over about a second, which avoids a
+/// thundering herd at the domain's durable daemon.
+const STARTUP_JITTER_PER_PEER: Duration = Duration::from_millis(15);
+/// How long a daemon without a configuration waits for the domain's durable daemon before it
+/// accepts the configuration of others.
+const COLD_START_WAIT: Duration = Duration::from_millis(400);
+/// How long a revision offered from outside the domain is held back until the domain's durable
+/// daemon offers it as well.
+const DURABLE_PEER_WAIT: Duration = Duration::from_secs(3);
+/// Offers remembered; beyond this the one with the lowest revision is dropped.
+const MAX_OFFERS: usize = 64;
 
-/// Whether a daemon keeps the configuration over a restart.
+/// Whether a daemon keeps its configuration across a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageKind {
-    /// It forgets.
+    /// It has no disk and starts without a configuration.
     Diskless,
-    /// It has a data folder.
+    /// It has a data folder and loads its last configuration from there.
     Durable,
 }
 
-/// The peers of a daemon, itself not among them.
+/// The peers of a daemon, without the daemon itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerView {
     /// Daemons of the same failure domain.
     pub domain: Vec<VmId>,
-    /// Those of them that have a disk.
+    /// Daemons of the same failure domain that have a disk.
     pub durable_peers: Vec<VmId>,
-    /// Daemons to ask outside: replicas and seeds.
+    /// Daemons outside the failure domain: replicas and those that the settings name.
     pub others: Vec<VmId>,
 }
 
-/// What can happen.
+/// An event for the core.
 #[derive(Clone, Debug)]
 pub enum DisseminationInput {
-    /// The replica on this VM applied a configuration, or the cache file held it.
+    /// The replica on this VM applied this configuration, or the cache file contained it.
     Committed(Arc<ActiveConfig>),
-    /// A peer has this revision.
+    /// A peer announced its revision.
     Notice {
         /// The peer.
         from: VmId,
-        /// Its revision.
+        /// The revision in force at the peer.
         revision: Revision,
     },
-    /// A fetch brought this, or nothing.
+    /// A fetch ended.
     Fetched {
         /// The peer that was asked.
         from: VmId,
-        /// Its configuration, if it had a newer one.
+        /// The peer's configuration; `None` if the fetch failed or the peer had no newer one.
         config: Option<Arc<ActiveConfig>>,
     },
-    /// The peers changed.
+    /// The known peers changed.
     Peers(PeerView),
-    /// Time passed.
+    /// The time of [`DisseminationCore::next_wakeup`] has come.
     Wake,
 }
 
-/// What is to be done.
+/// An action that the core requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DisseminationAction {
-    /// Put this in force.
+    /// Activate this configuration.
     Adopt(Arc<ActiveConfig>),
-    /// Tell a peer which revision is in force here.
+    /// Announce the revision in force at this daemon to a peer.
     Notify {
         /// The peer.
         to: VmId,
-        /// The revision.
+        /// The revision in force at this daemon.
         revision: Revision,
     },
-    /// Ask a peer for what is newer; exactly one `Fetched` follows.
+    /// Fetch a newer configuration from a peer; exactly one `Fetched` follows.
     Fetch {
         /// The peer.
         from: VmId,
-        /// The revision in force here.
+        /// The revision in force at this daemon.
         have: Revision,
     },
 }
 
-/// The state of one daemon's spread.
+/// The state of the dissemination at one daemon.
 pub struct DisseminationCore {
     kind: StorageKind,
     random: Xoshiro256PlusPlus,
     history: ConfigHistory,
     view: PeerView,
-    /// Who said to have a later revision; at most [`MOST_OFFERS`].
+    /// Peers that announced a higher revision; at most [`MAX_OFFERS`].
     offers: BTreeMap<VmId, Revision>,
-    /// Whom a fetch is under way from; one at a time, since the next may need less.
+    /// The peer of the fetch in progress. There is one fetch at a time, since its result may reduce
+    /// what the next one has to transfer.
     fetching: Option<VmId>,
     next_round: Instant,
-    /// Rounds without a configuration so far; lengthens the wait between them.
+    /// Rounds so far without a configuration, for the backoff between them.
     cold_rounds: u32,
-    /// Until when a cold daemon waits for the domain's disk replica.
+    /// The end of the wait for the domain's durable daemon at a cold start.
     cold_until: Instant,
-    /// Since when news from outside waits for the domain's disk replica.
-    foreign_since: Option<Instant>,
+    /// The time since which a revision from outside the domain is held back.
+    remote_since: Option<Instant>,
 }
 
 impl DisseminationCore {
-    /// A daemon that has just started and holds nothing.
+    /// The state of a daemon that has just started without a configuration.
     pub fn new(now: Instant, kind: StorageKind, view: PeerView, seed: u64) -> Self {
         let mut core = Self {
             kind,
@@ -135,11 +139,11 @@
             next_round: now,
             cold_rounds: 0,
             cold_until: now,
-            foreign_since: None,
+            remote_since: None,
         };
         let peers = u32::try_from(core.view.domain.len()).unwrap_or(u32::MAX);
-        core.next_round = now + core.chance_of(HERD_SPREAD.saturating_mul(peers));
-        core.cold_until = core.next_round + COLD_WAIT;
+        core.next_round = now + core.random_delay(STARTUP_JITTER_PER_PEER.saturating_mul(peers));
+        core.cold_until = core.next_round + COLD_START_WAIT;
         core
     }
 
@@ -148,24 +152,25 @@
         &self.history
     }
 
-    /// When `Wake` is wanted next.
+    /// The time at which the next `Wake` is due.
     pub fn next_wakeup(&self) -> Instant {
-        // An offer that no fetch follows waits for one of these; with none it would be under way.
+        // An offer without a fetch in progress is being held back until the time below; otherwise
+        // its fetch would have begun.
         let waits = !self.offers.is_empty() && self.fetching.is_none();
         let due = match self.revision() {
             0 => Some(self.cold_until),
-            _ => self.foreign_since.map(|since| since + ANCHOR_WAIT),
+            _ => self.remote_since.map(|since| since + DURABLE_PEER_WAIT),
         };
         due.filter(|_| waits).map_or(self.next_round, |due| due.min(self.next_round))
     }
 
-    /// Takes one input.
+    /// Handles one event.
     pub fn handle(&mut self, now: Instant, input: DisseminationInput) -> Vec<DisseminationAction> {
         let mut actions = Vec::new();
         match input {
             DisseminationInput::Committed(config) => self.adopt(None, config, &mut actions),
             DisseminationInput::Notice { from, revision } => {
-                self.hear(now, from, revision, &mut actions);
+                self.handle_notice(now, from, revision, &mut actions);
             }
             DisseminationInput::Fetched { from, config } => {
                 self.fetching = None;
@@ -175,7 +180,7 @@
                 }
             }
             DisseminationInput::Peers(view) => self.view = view,
-            DisseminationInput::Wake => self.round(now, &mut actions),
+            DisseminationInput::Wake => self.run_round(now, &mut actions),
         }
         self.fetch_next(now, &mut actions);
         actions
@@ -197,15 +202,15 @@
         let revision = config.revision;
         actions.push(DisseminationAction::Adopt(config));
         self.offers.retain(|_, offered| *offered > revision);
-        self.foreign_since = None;
+        self.remote_since = None;
         let mut targets = self.view.domain.clone();
         targets.retain(|vm| Some(vm) != source);
-        for to in self.pick_some(targets, FAN_OUT) {
+        for to in self.pick_random(targets, FAN_OUT) {
             actions.push(DisseminationAction::Notify { to, revision });
         }
     }
 
-    fn hear(
+    fn handle_notice(
         &mut self,
         now: Instant,
         from: VmId,
@@ -215,11 +220,11 @@
         if revision < self.revision() {
             actions.push(DisseminationAction::Notify { to: from, revision: self.revision() });
         } else if revision > self.revision() {
-            if !self.is_near(&from) {
-                self.foreign_since.get_or_insert(now);
+            if !self.is_local(&from) {
+                self.remote_since.get_or_insert(now);
             }
             self.offers.insert(from, revision);
-            if self.offers.len() > MOST_OFFERS {
+            if self.offers.len() > MAX_OFFERS {
                 let lowest = self.offers.iter().min_by_key(|(_, offered)| **offered);
                 if let Some(vm) = lowest.map(|(vm, _)| vm.clone()) {
                     self.offers.remove(&vm);
@@ -228,7 +233,7 @@
         }
     }
 
-    fn round(&mut self, now: Instant, actions: &mut Vec<DisseminationAction>) {
+    fn run_round(&mut self, now: Instant, actions: &mut Vec<DisseminationAction>) {
         if now < self.next_round {
             return;
         }
@@ -239,33 +244,33 @@
             0 => ROUND_INTERVAL.mul_f64(0.125 * f64::from(1 << self.cold_rounds.min(3))),
             _ => ROUND_INTERVAL,
         };
-        self.next_round = now + mean / 2 + self.chance_of(mean);
+        self.next_round = now + mean / 2 + self.random_delay(mean);
     }
 
-    /// The domain's disk replicas, some of its daemons and two from outside.
+    /// The domain's durable daemons, some of its other daemons and two from outside.
     fn cold_targets(&mut self) -> Vec<VmId> {
         self.cold_rounds = self.cold_rounds.saturating_add(1);
         let mut targets = self.view.durable_peers.clone();
         let mut domain = self.view.domain.clone();
         domain.retain(|vm| !targets.contains(vm));
-        targets.extend(self.pick_some(domain, COLD_PEERS));
+        targets.extend(self.pick_random(domain, COLD_START_PEERS));
         let others = self.view.others.clone();
-        targets.extend(self.pick_some(others, 2));
+        targets.extend(self.pick_random(others, 2));
         targets
     }
 
     fn round_target(&mut self) -> Vec<VmId> {
         let share = match self.kind {
-            StorageKind::Diskless => FOREIGN_SHARE,
-            StorageKind::Durable => FOREIGN_SHARE_DURABLE,
+            StorageKind::Diskless => REMOTE_ROUND_DIVISOR,
+            StorageKind::Durable => REMOTE_ROUND_DIVISOR_DURABLE,
         };
-        let foreign = self.random.next_u32().is_multiple_of(share);
-        let outside = self.view.domain.is_empty() || (foreign && !self.view.others.is_empty());
+        let is_remote = self.random.next_u32().is_multiple_of(share);
+        let outside = self.view.domain.is_empty() || (is_remote && !self.view.others.is_empty());
         let targets = if outside { self.view.others.clone() } else { self.view.domain.clone() };
-        self.pick_some(targets, 1)
+        self.pick_random(targets, 1)
     }
 
-    /// Fetches the highest revision on offer, from one of those that offer it.
+    /// Starts to fetch the highest offered revision, from a random peer among those that offer it.
     fn fetch_next(&mut self, now: Instant, actions: &mut Vec<DisseminationAction>) {
         if self.fetching.is_some() {
             return;
@@ -273,7 +278,7 @@
         let have = self.revision();
         self.offers.retain(|_, offered| *offered > have);
         if self.offers.is_empty() {
-            self.foreign_since = None;
+            self.remote_since = None;
             return;
         }
         let usable: Vec<(VmId, Revision)> = self
@@ -285,40 +290,40 @@
         let Some(highest) = usable.iter().map(|(_, offered)| *offered).max() else { return };
         let best = usable.into_iter().filter(|(_, offered)| *offered == highest);
         let best = best.map(|(vm, _)| vm).collect();
-        if let Some(from) = self.pick_some(best, 1).pop() {
+        if let Some(from) = self.pick_random(best, 1).pop() {
             self.fetching = Some(from.clone());
             actions.push(DisseminationAction::Fetch { from, have });
         }
     }
 
-    /// Whether a daemon may take a configuration from `vm` now.
+    /// Whether a daemon may fetch a configuration from `vm` now.
     ///
-    /// A daemon without a disk forgets when it restarts. Had it taken a revision from outside that
-    /// nothing in its domain keeps, and the domain were then cut off, the restart would come up
-    /// with an older one: callers would see an accepted change undone. So it takes news from
-    /// its domain, where the disk replica was first, and from outside only when that replica has
-    /// not followed in [`ANCHOR_WAIT`]. After a restart it hears the disk replica out before it
-    /// takes what others have.
+    /// A daemon without a disk loses its configuration when it restarts. If it adopted a revision
+    /// from outside that nothing in its domain stores, and the domain were then cut off, it would
+    /// restart with an older one: callers would see an accepted change reverted. So it fetches from
+    /// its own domain, where the durable daemon is first, and from outside only if that daemon has
+    /// not offered the revision within [`DURABLE_PEER_WAIT`]. After a restart it waits for an
+    /// answer of the durable daemon before it accepts the configuration of others.
     fn may_use(&self, now: Instant, vm: &VmId) -> bool {
         if self.kind == StorageKind::Durable || self.view.durable_peers.is_empty() {
             return true;
         }
         if self.revision() == 0 {
-            return now >= self.cold_until || self.anchor_offers();
+            return now >= self.cold_until || self.has_durable_offer();
         }
-        self.is_near(vm) || self.foreign_since.is_some_and(|since| now >= since + ANCHOR_WAIT)
+        self.is_local(vm) || self.remote_since.is_some_and(|since| now >= since + DURABLE_PEER_WAIT)
     }
 
-    fn anchor_offers(&self) -> bool {
+    fn has_durable_offer(&self) -> bool {
         self.view.durable_peers.iter().any(|vm| self.offers.contains_key(vm))
     }
 
-    fn is_near(&self, vm: &VmId) -> bool {
+    fn is_local(&self, vm: &VmId) -> bool {
         self.view.domain.contains(vm) || self.view.durable_peers.contains(vm)
     }
 
-    /// Up to `count` of `targets`, at random.
-    fn pick_some(&mut self, mut targets: Vec<VmId>, count: usize) -> Vec<VmId> {
+    /// Up to `count` random elements of `targets`.
+    fn pick_random(&mut self, mut targets: Vec<VmId>, count: usize) -> Vec<VmId> {
         let mut picked = Vec::new();
         while picked.len() < count && !targets.is_empty() {
             let index = self.random.next_u64() % targets.len() as u64;
@@ -327,7 +332,7 @@
         picked
     }
 
-    fn chance_of(&mut self, longest: Duration) -> Duration {
+    fn random_delay(&mut self, longest: Duration) -> Duration {
         longest.mul_f64(f64::from(self.random.next_u32()) / f64::from(u32::MAX))
     }
 }
--- a/src/daemon/config_dissemination/history.rs
+++ b/src/daemon/config_dissemination/history.rs
@@ -1,4 +1,4 @@
-//! The latest changes of the configuration, for peers that lack only these.
+//! The latest changes of the configuration, for peers that are only a few revisions behind.
 
 use {
     crate::{
@@ -12,35 +12,37 @@
     },
 };
 
-/// Changes kept: an hour of them at 2,100 a day is 88; who lacks more fetches the whole.
-const MOST_CHANGES: usize = 96;
-/// Records kept over all changes: about half a megabyte of organisations.
-const MOST_RECORDS: usize = 4_096;
+/// Changes kept: about an hour of them at 2,100 a day. A peer that lacks more fetches the whole
+/// configuration.
+const MAX_CHANGES: usize = 96;
+/// Records kept in all changes together: about half a megabyte of organisations.
+const MAX_RECORDS: usize = 4_096;
 
-/// The configuration in force and how it came to be. Nothing but a later revision replaces it.
+/// The configuration in force and its latest changes. Only a higher revision replaces it.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigHistory {
     current: Arc<ActiveConfig>,
-    /// Each leads from the `to` of the one before; the last leads to `current`.
+    /// Consecutive changes: each starts at the `to` revision of the previous one, and the last one
+    /// ends at `current`.
     changes: VecDeque<Arc<ConfigDelta>>,
-    /// The records of all changes; at most [`MOST_RECORDS`].
+    /// The number of records in all changes; at most [`MAX_RECORDS`].
     records: usize,
-    /// `current` as JSON, made when first asked for.
+    /// `current` as JSON, encoded on first use.
     whole: Arc<OnceLock<String>>,
 }
 
 impl ConfigHistory {
-    /// The configuration in force.
+    /// The configuration in force; revision 0 before the first one.
     pub fn current(&self) -> &Arc<ActiveConfig> {
         &self.current
     }
 
-    /// Takes a configuration if it is later than the one in force; tells whether it was.
+    /// Replaces the configuration in force if `config` has a higher revision; returns whether it
+    /// did.
     ///
-    /// A peer may be behind, and replies may overtake each other. Were the last to arrive put in
-    /// force, a rule that an operator has seen accepted would vanish again at this daemon.
-    /// Revisions are given by the replicated log, one to each accepted change, so comparing them
-    /// is enough.
+    /// A peer may be behind, and replies may arrive out of order. Activating whatever arrives last
+    /// would revert a change that an operator has seen accepted. Comparing revisions suffices,
+    /// since the replicated log assigns one to each accepted change.
     #[must_use]
     pub fn advance(&mut self, config: Arc<ActiveConfig>) -> bool {
         if config.revision <= self.current.revision {
@@ -58,7 +60,8 @@
         true
     }
 
-    /// What a peer that has revision `have` lacks: nothing, the changes since, or the whole.
+    /// What a peer at revision `have` lacks: nothing, the changes since, or the whole
+    /// configuration.
     pub fn answer(&self, have: Revision) -> PeerReply {
         if have >= self.current.revision {
             return PeerReply::Config(None);
@@ -72,10 +75,11 @@
         if !missing.is_empty() {
             return PeerReply::ConfigChanges(missing);
         }
-        PeerReply::Config(Some(self.whole.get_or_init(|| whole_text(&self.current)).clone()))
+        PeerReply::Config(Some(self.whole.get_or_init(|| encode_json(&self.current)).clone()))
     }
 
-    /// The configuration that a peer's reply leads to; `None` when it holds nothing usable.
+    /// The configuration that results from a peer's reply; `None` if the reply contains nothing
+    /// usable.
     pub fn read(&self, reply: PeerReply) -> Option<ActiveConfig> {
         match reply {
             PeerReply::Config(Some(text)) => serde_json::from_str(&text).ok(),
@@ -91,13 +95,13 @@
     fn push(&mut self, delta: ConfigDelta) {
         self.records += delta.record_count();
         self.changes.push_back(Arc::new(delta));
-        while self.changes.len() > MOST_CHANGES || self.records > MOST_RECORDS {
+        while self.changes.len() > MAX_CHANGES || self.records > MAX_RECORDS {
             let Some(oldest) = self.changes.pop_front() else { break };
             self.records -= oldest.record_count();
         }
     }
 }
 
-fn whole_text(config: &ActiveConfig) -> String {
+fn encode_json(config: &ActiveConfig) -> String {
     serde_json::to_string(config).expect("a configuration always encodes")
 }
--- a/src/daemon/control_driver.rs
+++ b/src/daemon/control_driver.rs
@@ -1,15 +1,16 @@
-//! Runs one replica on its data folder: a task for the messages, a thread for the files.
+//! Runs one replica on its data folder: a task handles messages, a thread writes the files.
 //!
-//! A disk that refuses a write ends the replica's life, since nothing that it would promise after that
-//! would last. The thread then opens the folder anew until that succeeds, and the replica begins its
-//! next life with what the disk holds, as after a restart of the process. Without it a disk that was
-//! full for some seconds took its voter away for good, and the next loss ended the quorum.
+//! When a write fails, the replica stops, since nothing that it acknowledged after that would be
+//! durable. The thread reopens the folder until that succeeds, and the replica starts its next
+//! generation from the contents of the disk, as after a restart of the process. Otherwise a disk
+//! that is full for some seconds would remove its voter permanently, and the failure of another
+//! voter would lose the quorum.
 
 mod runner;
 mod writer;
 
 use {
-    self::{runner::ReplicaRunner, writer::WatchedFolder},
+    self::{runner::ReplicaRunner, writer::ReplicaFolder},
     crate::{
         control::{
             Command, CommandOutcome, ProposeError, ReplicaMessage, SavedState,
@@ -43,45 +44,46 @@
 pub use self::writer::FolderOpener;
 pub use crate::control::replica::LocalProposeError;
 
-/// Inputs that wait for the replica. Messages beyond it are lost and proposals refused as busy.
-const INPUT_QUEUE: usize = 4096;
-/// Bytes of the inputs that wait, beside which the longest command still fits.
+/// Inputs that wait for the replica. Beyond this messages are dropped and proposals are refused as
+/// busy.
+const INPUT_QUEUE_LENGTH: usize = 4096;
+/// Bytes of the inputs that wait: enough for the longest command beside other inputs.
 pub const INPUT_BYTES: usize = 32 << 20;
-/// Batches that wait for the disk. The replica waits for room, so that a slow disk slows down
-/// whoever sends instead of growing the memory.
-const BATCH_QUEUE: usize = 1024;
-/// Bytes of the batches that wait for the disk; one waits even if it is longer.
+/// Batches that wait for the disk. The replica waits for space in the queue, so that a slow disk
+/// causes backpressure instead of unbounded memory use.
+const BATCH_QUEUE_LENGTH: usize = 1024;
+/// Bytes of the batches that wait for the disk; a single longer batch is accepted.
 pub const BATCH_BYTES: usize = 16 << 20;
-/// Between two tries to open a folder whose disk has failed: disks that are full or hang are so for
-/// seconds, and a try writes what the folder holds once more.
-const REOPEN_AFTER: Duration = Duration::from_secs(1);
-/// How long a proposal may wait: two elections.
-const PROPOSAL_WAIT: Duration = Duration::from_secs(5);
+/// The default interval between two attempts to reopen a folder whose disk has failed. A disk is
+/// full or unresponsive for seconds, and each attempt rewrites the contents of the folder.
+const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
+/// Time limit of a proposal: two elections.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Accepted changes that operators are shown.
-const SHOWN_CHANGES: usize = 200;
+/// The maximum number of accepted changes in the history for operators.
+const MAX_HISTORY_CHANGES: usize = 200;
 
-/// What a driver needs to start.
+/// Settings of a control driver.
 #[derive(Clone, Debug)]
 pub struct DriverSettings {
-    /// The VM that this replica runs on.
+    /// The VM of this replica.
     pub vm: VmId,
-    /// The VMs that found the group together; the same list at each of them.
+    /// The VMs of the initial group; each of them must have the same list.
     pub founders: Vec<VmId>,
-    /// The folder that the replica alone uses.
+    /// The data folder; nothing else may use it.
     pub data_dir: PathBuf,
-    /// Seeds the election timeouts.
+    /// Seed of the random election timeouts.
     pub seed: u64,
-    /// When the replica acts on its own.
+    /// The timing of elections and heartbeats.
     pub timing: ReplicaTiming,
-    /// How much the replica holds.
+    /// The limits on what the replica stores and queues.
     pub limits: ReplicaLimits,
-    /// Between two tries to open a folder whose disk has failed.
+    /// The interval between two attempts to reopen a folder whose disk has failed.
     pub reopen_after: Duration,
 }
 
 impl DriverSettings {
-    /// Settings with the usual timing and bounds.
+    /// Settings with the default timing and limits.
     pub fn new(vm: VmId, founders: Vec<VmId>, data_dir: impl Into<PathBuf>, seed: u64) -> Self {
         DriverSettings {
             vm,
@@ -90,19 +92,19 @@
             seed,
             timing: ReplicaTiming::default(),
             limits: ReplicaLimits::default(),
-            reopen_after: REOPEN_AFTER,
+            reopen_after: REOPEN_INTERVAL,
         }
     }
 }
 
-/// Why a driver did not start.
+/// Why a driver failed to start.
 #[derive(Debug, Display)]
 pub enum DriverError {
-    /// the data folder {folder} cannot be used: {reason}
+    /// the data folder {folder} is unusable: {reason}
     Storage {
-        /// The folder.
+        /// The path of the folder.
         folder: String,
-        /// What is wrong and what to do.
+        /// The cause and the remedy.
         reason: String,
     },
 }
@@ -114,11 +116,11 @@
 
 impl ControlDriver {
     /// Opens the data folder and runs a replica on it until the last handle is dropped.
-    /// Messages for other replicas go to `outbound`; those that find it full are lost, which the
-    /// protocol allows for. Must be called inside a tokio runtime.
+    /// Messages for other replicas are sent to `outbound` and dropped when it is full, which the
+    /// protocol tolerates. Must be called inside a tokio runtime.
     ///
     /// # Errors
-    /// When the data folder cannot be used; the text names the remedy.
+    /// When the data folder is unusable; the text names the remedy.
     pub fn start(
         settings: DriverSettings,
         outbound: mpsc::Sender<(VmId, ReplicaMessage)>,
@@ -129,39 +131,39 @@
         Self::start_on(settings, opener, outbound)
     }
 
-    /// Like [`ControlDriver::start`], on a folder that `opener` opens, at first and after each
+    /// Like [`ControlDriver::start`], on a folder that `opener` opens at the start and after each
     /// failure of its disk.
     ///
     /// # Errors
-    /// When it cannot be used; the text names the remedy.
+    /// When the folder is unusable; the text names the remedy.
     pub fn start_on(
         settings: DriverSettings,
         opener: FolderOpener,
         outbound: mpsc::Sender<(VmId, ReplicaMessage)>,
     ) -> Result<ControlHandle, DriverError> {
-        let mut folder = WatchedFolder::new(opener, settings.reopen_after);
+        let mut folder = ReplicaFolder::new(opener, settings.reopen_after);
         let opened = folder.open().map_err(|reason: String| storage_error(&settings, &reason))?;
-        note_set_aside(&settings.vm, opened.set_aside.as_deref());
+        log_set_aside(&settings.vm, opened.set_aside.as_deref());
         let replica = open_replica(&settings, opened.state)?;
-        let (inputs, queue) = mpsc::channel(INPUT_QUEUE);
-        let (batches, batch_queue) = mpsc::channel(BATCH_QUEUE);
-        let (reports, report_queue) = mpsc::channel(BATCH_QUEUE);
-        let (feeds, watches) = status_feeds(&replica);
+        let (inputs, queue) = mpsc::channel(INPUT_QUEUE_LENGTH);
+        let (batches, batch_queue) = mpsc::channel(BATCH_QUEUE_LENGTH);
+        let (reports, report_queue) = mpsc::channel(BATCH_QUEUE_LENGTH);
+        let (senders, receivers) = status_channels(&replica);
         thread::Builder::new()
             .name("control-log".to_owned())
             .spawn(move || folder.run(opened.store, batch_queue, reports))
             .map_err(|error| storage_error(&settings, &error.to_string()))?;
-        let runner = ReplicaRunner::new(settings, replica, outbound, batches, feeds);
+        let runner = ReplicaRunner::new(settings, replica, outbound, batches, senders);
         tokio::spawn(runner.run(queue, report_queue));
-        Ok(ControlHandle { inputs, room: Arc::new(Semaphore::new(INPUT_BYTES)), watches })
+        Ok(ControlHandle { inputs, free_bytes: Arc::new(Semaphore::new(INPUT_BYTES)), receivers })
     }
 }
 
-fn note_set_aside(vm: &VmId, reason: Option<&str>) {
+fn log_set_aside(vm: &VmId, reason: Option<&str>) {
     if let Some(reason) = reason {
         log::error!(vm = vm.as_str(), reason = reason;
-            "the data folder was damaged and is set aside; this replica is empty now: \
-             take it in again with `oleandermountctl replica replace`");
+            "the data folder was damaged and has been moved aside; this replica is empty now: \
+             add it to the group again with `oleandermountctl replica replace`");
     }
 }
 
@@ -182,19 +184,19 @@
     DriverError::Storage { folder, reason: reason.to_owned() }
 }
 
-/// What reaches the task from its handles.
+/// Inputs of the task from its handles.
 enum DriverInput {
     Message {
         from: VmId,
         message: Box<ReplicaMessage>,
-        /// Its bytes of [`INPUT_BYTES`], which are free again when the replica takes it.
-        room: OwnedSemaphorePermit,
+        /// The share of [`INPUT_BYTES`], released when the replica handles the message.
+        permit: OwnedSemaphorePermit,
     },
     Propose {
         command: Box<Command>,
         reply: ProposalReply,
-        /// As above.
-        room: OwnedSemaphorePermit,
+        /// The share of [`INPUT_BYTES`], released when the replica handles the command.
+        permit: OwnedSemaphorePermit,
     },
     Introduce {
         peers: BTreeSet<VmId>,
@@ -203,8 +205,8 @@
 
 type ProposalReply = oneshot::Sender<Result<CommandOutcome, LocalProposeError>>;
 
-/// Where the task shows the state.
-struct StatusFeeds {
+/// The channels on which the task publishes its state.
+struct StatusSenders {
     config: watch::Sender<Arc<ActiveConfig>>,
     status: watch::Sender<Arc<ReplicaStatus>>,
     weights: watch::Sender<Arc<DesiredWeights>>,
@@ -213,9 +215,9 @@
     documents: watch::Sender<Arc<DocumentState>>,
 }
 
-/// Where handles see it.
+/// The receiving ends of [`StatusSenders`], for the handles.
 #[derive(Clone)]
-struct StatusWatches {
+struct StatusReceivers {
     config: ConfigWatch,
     status: watch::Receiver<Arc<ReplicaStatus>>,
     weights: watch::Receiver<Arc<DesiredWeights>>,
@@ -224,56 +226,56 @@
     documents: watch::Receiver<Arc<DocumentState>>,
 }
 
-fn status_feeds(replica: &Replica) -> (StatusFeeds, StatusWatches) {
+fn status_channels(replica: &Replica) -> (StatusSenders, StatusReceivers) {
     let state = replica.state();
-    let (config_feed, config) = watch::channel(replica.config().clone());
-    let (status_feed, status) = watch::channel(Arc::new(replica.status(Instant::now())));
-    let (weights_feed, weights) = watch::channel(Arc::new(state.orders().desired().clone()));
-    let (suspects_feed, suspects) = watch::channel(Arc::new(state.suspects().strikes()));
-    let (history_feed, history) = watch::channel(Arc::new(latest_changes(state)));
-    let (documents_feed, documents) = watch::channel(Arc::new(state.documents().clone()));
-    let feeds = StatusFeeds {
-        config: config_feed,
-        status: status_feed,
-        weights: weights_feed,
-        suspects: suspects_feed,
-        history: history_feed,
-        documents: documents_feed,
+    let (config_sender, config) = watch::channel(replica.config().clone());
+    let (status_sender, status) = watch::channel(Arc::new(replica.status(Instant::now())));
+    let (weights_sender, weights) = watch::channel(Arc::new(state.orders().desired().clone()));
+    let (suspects_sender, suspects) = watch::channel(Arc::new(state.suspects().strikes()));
+    let (history_sender, history) = watch::channel(Arc::new(latest_changes(state)));
+    let (documents_sender, documents) = watch::channel(Arc::new(state.documents().clone()));
+    let senders = StatusSenders {
+        config: config_sender,
+        status: status_sender,
+        weights: weights_sender,
+        suspects: suspects_sender,
+        history: history_sender,
+        documents: documents_sender,
     };
-    (feeds, StatusWatches { config, status, weights, suspects, history, documents })
+    (senders, StatusReceivers { config, status, weights, suspects, history, documents })
 }
 
 /// The latest accepted changes, the newest first.
 fn latest_changes(state: &ControlState) -> Vec<ConfigChange> {
     let mut changes: Vec<ConfigChange> = state.configuration().changes().cloned().collect();
     changes.reverse();
-    changes.truncate(SHOWN_CHANGES);
+    changes.truncate(MAX_HISTORY_CHANGES);
     changes
 }
 
-/// Reaches a running replica.
+/// A handle to a running replica; the replica ends when the last one is dropped.
 #[derive(Clone)]
 pub struct ControlHandle {
     inputs: mpsc::Sender<DriverInput>,
-    /// What is left of [`INPUT_BYTES`].
-    room: Arc<Semaphore>,
-    watches: StatusWatches,
+    /// The unused part of [`INPUT_BYTES`].
+    free_bytes: Arc<Semaphore>,
+    receivers: StatusReceivers,
 }
 
 impl ControlHandle {
-    /// Proposes a command at this replica, also a change of the replicas, and waits for its
+    /// Proposes a command at this replica, including changes of the membership, and waits for its
     /// outcome.
     ///
     /// # Errors
-    /// All but `OutcomeUnknown` promise that the command did not enter the log.
+    /// All errors but `OutcomeUnknown` guarantee that the command did not enter the log.
     pub async fn propose_local(
         &self,
         command: Command,
     ) -> Result<CommandOutcome, LocalProposeError> {
         let (reply, outcome) = oneshot::channel();
         let length = HEAD_BYTES + command.body_bytes();
-        let Some(room) = self.take_room(length) else { return Err(LocalProposeError::Busy) };
-        let input = DriverInput::Propose { command: Box::new(command), reply, room };
+        let Some(permit) = self.reserve_bytes(length) else { return Err(LocalProposeError::Busy) };
+        let input = DriverInput::Propose { command: Box::new(command), reply, permit };
         match self.inputs.try_send(input) {
             Ok(()) => {}
             Err(mpsc::error::TrySendError::Full(_)) => return Err(LocalProposeError::Busy),
@@ -281,74 +283,76 @@
                 return Err(LocalProposeError::NotLeader { leader: None });
             }
         }
-        match timeout(PROPOSAL_WAIT, outcome).await {
+        match timeout(PROPOSAL_TIMEOUT, outcome).await {
             Ok(Ok(outcome)) => outcome,
-            // The replica stopped or takes too long; the command may yet be committed.
+            // The replica has stopped or takes too long; the command may still be committed.
             Ok(Err(_)) | Err(_) => Err(LocalProposeError::OutcomeUnknown),
         }
     }
 
-    /// Hands over a message from another replica; one that finds the queue full is lost.
+    /// Queues a message from another replica; it is dropped when the queue is full.
     pub fn deliver(&self, from: VmId, message: ReplicaMessage) {
-        let room = self.take_room(message.bytes());
+        let permit = self.reserve_bytes(message.bytes());
         let message = Box::new(message);
-        let queued = room.map(|room| DriverInput::Message { from, message, room });
+        let queued = permit.map(|permit| DriverInput::Message { from, message, permit });
         if queued.is_none_or(|input| self.inputs.try_send(input).is_err()) {
             metrics::counter!("oleandermount_control_messages_lost_total").increment(1);
         }
     }
 
-    fn take_room(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
+    fn reserve_bytes(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         let bytes = u32::try_from(bytes).ok()?;
-        Arc::clone(&self.room).try_acquire_many_owned(bytes).ok()
+        Arc::clone(&self.free_bytes).try_acquire_many_owned(bytes).ok()
     }
 
-    /// Names VMs that a replica without a group makes itself known to, beside its founders. With a
-    /// full queue they are not noted; the caller names them again with the next change it sees.
+    /// Sets the VMs that a replica without a group contacts in addition to its founders. The call
+    /// has no effect when the queue is full; the caller repeats it with the next change of the
+    /// list.
     pub fn introduce(&self, peers: BTreeSet<VmId>) {
         if self.inputs.try_send(DriverInput::Introduce { peers }).is_err() {
-            log::warn!("VMs of the settings are not noted: the replica is busy or has stopped");
+            log::warn!("VMs of the settings ignored: the replica is busy or has stopped");
         }
     }
 
     /// The committed configuration as far as this replica has applied it.
     pub fn config(&self) -> ConfigWatch {
-        self.watches.config.clone()
+        self.receivers.config.clone()
     }
 
-    /// What the replica was last seen to be.
+    /// The latest status of the replica.
     pub fn status(&self) -> Arc<ReplicaStatus> {
-        self.watches.status.borrow().clone()
+        self.receivers.status.borrow().clone()
     }
 
-    /// Follows the status.
+    /// A watch on the status.
     pub fn status_watch(&self) -> watch::Receiver<Arc<ReplicaStatus>> {
-        self.watches.status.clone()
+        self.receivers.status.clone()
     }
 
-    /// Whether this replica leads and no other can at this moment. Ask right before each act.
+    /// Whether this replica leads under a lease that excludes any other leader at this moment. Must
+    /// be checked immediately before each action that relies on it.
     pub fn lease_valid(&self) -> bool {
         self.status().lease_until.is_some_and(|until| Instant::now() < until)
     }
 
     /// The desired weights, as far as this replica has applied them.
     pub fn desired_weights(&self) -> watch::Receiver<Arc<DesiredWeights>> {
-        self.watches.weights.clone()
+        self.receivers.weights.clone()
     }
 
     /// The latest accepted changes of the configuration, the newest first.
     pub fn history(&self) -> Arc<Vec<ConfigChange>> {
-        self.watches.history.borrow().clone()
+        self.receivers.history.borrow().clone()
     }
 
     /// The operators' document and named weights, as far as this replica has applied them.
     pub fn documents(&self) -> watch::Receiver<Arc<DocumentState>> {
-        self.watches.documents.clone()
+        self.receivers.documents.clone()
     }
 
     /// The suspects, as far as this replica has applied them.
     pub fn suspects(&self) -> watch::Receiver<Arc<SuspectStrikes>> {
-        self.watches.suspects.clone()
+        self.receivers.suspects.clone()
     }
 }
 
--- a/src/daemon/control_driver/runner.rs
+++ b/src/daemon/control_driver/runner.rs
@@ -1,10 +1,10 @@
-//! The task around a replica.
+//! The task that runs a replica.
 
 use {
     super::{
-        BATCH_BYTES, DriverInput, DriverSettings, ProposalReply, StatusFeeds, latest_changes,
-        note_set_aside, open_replica,
-        writer::{LifeBatch, ReplicaLife, WriteReport},
+        BATCH_BYTES, DriverInput, DriverSettings, ProposalReply, StatusSenders, latest_changes,
+        log_set_aside, open_replica,
+        writer::{GenerationBatch, ReplicaGeneration, WriteReport},
     },
     crate::{
         control::{
@@ -27,40 +27,41 @@
     },
 };
 
-/// The thread for the files takes no more batches.
-struct FilesGone;
+/// The writer thread has ended and accepts no more batches.
+struct WriterClosed;
 
-/// What is said when that thread left no reason.
-const THREAD_ENDED: &str = "the thread for the files has ended; restart the daemon";
+/// The reason in the log when the writer thread has ended without reporting one.
+const WRITER_ENDED: &str = "the thread for the files has ended; restart the daemon";
 
-/// Why a life of the replica ended.
-enum LifeEnd {
-    /// Nobody can reach it any more.
-    HandlesGone,
-    /// The disk failed; the folder is being opened anew.
+/// Why a generation of the replica ended.
+enum StopReason {
+    /// All handles have been dropped.
+    HandlesDropped,
+    /// The disk failed; the writer thread reopens the folder.
     DiskFailed(String),
-    /// Nothing is written any more.
-    ThreadGone,
+    /// The writer thread has ended.
+    WriterClosed,
 }
 
-/// The task around a replica.
+/// The state of the task that runs a replica.
 pub(super) struct ReplicaRunner {
     settings: DriverSettings,
     replica: Replica,
     outbound: mpsc::Sender<(VmId, ReplicaMessage)>,
-    batches: mpsc::Sender<LifeBatch>,
-    /// What is left of [`BATCH_BYTES`].
-    room: Arc<Semaphore>,
-    life: ReplicaLife,
-    /// Bounded by the replica's limit on proposals: it completes each one, at once when full.
+    batches: mpsc::Sender<GenerationBatch>,
+    /// The unused part of [`BATCH_BYTES`].
+    free_bytes: Arc<Semaphore>,
+    generation: ReplicaGeneration,
+    /// Replies that are awaited. Bounded by the replica's limit on proposals: it completes each
+    /// proposal, immediately when the limit is reached.
     waiting: BTreeMap<ProposalId, ProposalReply>,
     next_proposal: ProposalId,
-    feeds: StatusFeeds,
-    /// VMs that the settings name; each life of the replica is told of them.
+    senders: StatusSenders,
+    /// VMs that the settings name; each generation of the replica is given them.
     introduced: BTreeSet<VmId>,
-    /// The last entry that was applied when the life before ended. Until this life has caught up
-    /// with it, what it holds is older than what was shown, and is not shown.
-    shown_until: LogIndex,
+    /// The last index that an earlier generation had applied. Until this generation has applied it,
+    /// its state is older than the published one and is not published.
+    published_index: LogIndex,
 }
 
 impl ReplicaRunner {
@@ -68,21 +69,21 @@
         settings: DriverSettings,
         replica: Replica,
         outbound: mpsc::Sender<(VmId, ReplicaMessage)>,
-        batches: mpsc::Sender<LifeBatch>,
-        feeds: StatusFeeds,
+        batches: mpsc::Sender<GenerationBatch>,
+        senders: StatusSenders,
     ) -> Self {
         ReplicaRunner {
             settings,
             replica,
             outbound,
             batches,
-            room: Arc::new(Semaphore::new(BATCH_BYTES)),
-            life: 0,
+            free_bytes: Arc::new(Semaphore::new(BATCH_BYTES)),
+            generation: 0,
             waiting: BTreeMap::new(),
             next_proposal: 0,
-            feeds,
+            senders,
             introduced: BTreeSet::new(),
-            shown_until: 0,
+            published_index: 0,
         }
     }
 
@@ -92,69 +93,69 @@
         mut reports: mpsc::Receiver<WriteReport>,
     ) {
         loop {
-            let reason = match self.live(&mut inputs, &mut reports).await {
-                LifeEnd::HandlesGone => return,
-                LifeEnd::ThreadGone => return self.stop(THREAD_ENDED),
-                LifeEnd::DiskFailed(reason) => reason,
+            let reason = match self.run_generation(&mut inputs, &mut reports).await {
+                StopReason::HandlesDropped => return,
+                StopReason::WriterClosed => return self.stop(WRITER_ENDED),
+                StopReason::DiskFailed(reason) => reason,
             };
             self.stop(&reason);
-            let opened = self.wait_opened(&mut inputs, &mut reports).await;
-            let Some((life, state)) = opened else { return };
-            if !self.begin(life, state) || self.introduce().await.is_err() {
+            let opened = self.wait_reopened(&mut inputs, &mut reports).await;
+            let Some((generation, state)) = opened else { return };
+            if !self.begin(generation, state) || self.introduce().await.is_err() {
                 return;
             }
         }
     }
 
-    async fn live(
+    async fn run_generation(
         &mut self,
         inputs: &mut mpsc::Receiver<DriverInput>,
         reports: &mut mpsc::Receiver<WriteReport>,
-    ) -> LifeEnd {
+    ) -> StopReason {
         loop {
             let wakeup = self.replica.next_wakeup().unwrap_or_else(Instant::now);
             let input = tokio::select! {
                 biased;
                 report = reports.recv() => match report {
                     Some(WriteReport::Synced(number)) => ReplicaInput::Persisted { number },
-                    Some(WriteReport::Failed(reason)) => return LifeEnd::DiskFailed(reason),
+                    Some(WriteReport::Failed(reason)) => return StopReason::DiskFailed(reason),
                     Some(WriteReport::Opened { .. }) => continue,
-                    None => return LifeEnd::ThreadGone,
+                    None => return StopReason::WriterClosed,
                 },
                 input = inputs.recv() => match input {
-                    Some(input) => self.take_in(input),
-                    None => return LifeEnd::HandlesGone,
+                    Some(input) => self.accept(input),
+                    None => return StopReason::HandlesDropped,
                 },
                 () = sleep_until(wakeup.into()) => ReplicaInput::Tick,
             };
-            if self.carry_out_all(input).await.is_err() {
-                return LifeEnd::ThreadGone;
+            if self.process(input).await.is_err() {
+                return StopReason::WriterClosed;
             }
-            self.show();
+            self.publish();
         }
     }
 
-    /// Tells a new life of the replica whom the settings name.
-    async fn introduce(&mut self) -> Result<(), FilesGone> {
+    /// Gives a new generation of the replica the VMs that the settings name.
+    async fn introduce(&mut self) -> Result<(), WriterClosed> {
         let input = ReplicaInput::Introduce { peers: self.introduced.clone() };
-        self.carry_out_all(input).await
+        self.process(input).await
     }
 
-    async fn carry_out_all(&mut self, input: ReplicaInput) -> Result<(), FilesGone> {
+    async fn process(&mut self, input: ReplicaInput) -> Result<(), WriterClosed> {
         for action in self.replica.handle(Instant::now(), input) {
-            self.carry_out(action).await?;
+            self.execute(action).await?;
         }
         Ok(())
     }
 
-    fn take_in(&mut self, input: DriverInput) -> ReplicaInput {
+    fn accept(&mut self, input: DriverInput) -> ReplicaInput {
         match input {
-            DriverInput::Message { from, message, room } => {
-                drop(room);
+            DriverInput::Message { from, message, permit } => {
+                drop(permit);
                 ReplicaInput::Received { from, message: *message }
             }
-            DriverInput::Propose { command, reply, room } => {
-                drop(room);
+            DriverInput::Propose { command, reply, permit } => {
+                drop(permit);
                 self.next_proposal += 1;
                 let proposal = self.next_proposal;
                 self.waiting.insert(proposal, reply);
@@ -167,12 +168,12 @@
         }
     }
 
-    async fn carry_out(&mut self, action: ReplicaAction) -> Result<(), FilesGone> {
+    async fn execute(&mut self, action: ReplicaAction) -> Result<(), WriterClosed> {
         match action {
             ReplicaAction::Persist(batch) => {
-                let room = self.batch_room(&batch).await;
-                let batch = LifeBatch { life: self.life, batch, room };
-                self.batches.send(batch).await.map_err(|_| FilesGone)?;
+                let permit = self.reserve_batch_bytes(&batch).await;
+                let batch = GenerationBatch { generation: self.generation, batch, permit };
+                self.batches.send(batch).await.map_err(|_| WriterClosed)?;
             }
             ReplicaAction::Send { to, message } => {
                 if self.outbound.try_send((to, message)).is_err() {
@@ -180,7 +181,7 @@
                 }
             }
             ReplicaAction::Completed { proposal, outcome } => {
-                // Whoever waited may be gone; the outcome stands in the log all the same.
+                // Fails only when the proposer no longer waits; the outcome is in the log anyway.
                 let _ = self.waiting.remove(&proposal).map(|reply| reply.send(outcome));
             }
             ReplicaAction::Report(text) => log::warn!("{text}"),
@@ -188,84 +189,87 @@
         Ok(())
     }
 
-    /// Waits until the disk has room for a batch.
-    async fn batch_room(&self, batch: &PersistBatch) -> OwnedSemaphorePermit {
+    /// Waits until the batch fits into the queue for the disk.
+    async fn reserve_batch_bytes(&self, batch: &PersistBatch) -> OwnedSemaphorePermit {
         let bytes: usize = batch.writes.iter().map(DurableWrite::bytes).sum();
         let bytes = u32::try_from(bytes.min(BATCH_BYTES)).expect("the bound is below 4 GiB");
-        let room = Arc::clone(&self.room).acquire_many_owned(bytes).await;
-        room.expect("the semaphore is never closed")
+        let permit = Arc::clone(&self.free_bytes).acquire_many_owned(bytes).await;
+        permit.expect("the semaphore is never closed")
     }
 
-    fn show(&self) {
+    fn publish(&self) {
         let state = self.replica.state();
-        let feeds = &self.feeds;
+        let senders = &self.senders;
         let status = self.replica.status(Instant::now());
-        let caught_up = status.applied >= self.shown_until;
+        let caught_up = status.applied >= self.published_index;
         let config = self.replica.config();
-        if caught_up && !Arc::ptr_eq(config, &feeds.config.borrow()) {
-            feeds.config.send_replace(config.clone());
-            feeds.history.send_replace(Arc::new(latest_changes(state)));
+        if caught_up && !Arc::ptr_eq(config, &senders.config.borrow()) {
+            senders.config.send_replace(config.clone());
+            senders.history.send_replace(Arc::new(latest_changes(state)));
         }
-        // Before the status: who sees there that a command is applied must find what it changed.
-        if caught_up && **feeds.documents.borrow() != *state.documents() {
-            feeds.documents.send_replace(Arc::new(state.documents().clone()));
+        // Documents are published before the status: a reader that sees a command as applied in the
+        // status must find its effect.
+        if caught_up && **senders.documents.borrow() != *state.documents() {
+            senders.documents.send_replace(Arc::new(state.documents().clone()));
         }
-        if **feeds.status.borrow() == status {
+        if **senders.status.borrow() == status {
             return;
         }
-        let applied = feeds.status.borrow().applied != status.applied;
-        feeds.status.send_replace(Arc::new(status));
+        let applied = senders.status.borrow().applied != status.applied;
+        senders.status.send_replace(Arc::new(status));
         if !applied || !caught_up {
             return;
         }
-        if **feeds.weights.borrow() != *state.orders().desired() {
-            feeds.weights.send_replace(Arc::new(state.orders().desired().clone()));
+        if **senders.weights.borrow() != *state.orders().desired() {
+            senders.weights.send_replace(Arc::new(state.orders().desired().clone()));
         }
         let strikes = state.suspects().strikes();
-        if **feeds.suspects.borrow() != strikes {
-            feeds.suspects.send_replace(Arc::new(strikes));
+        if **senders.suspects.borrow() != strikes {
+            senders.suspects.send_replace(Arc::new(strikes));
         }
     }
 
-    /// Ends a life of the replica: it votes, acknowledges and leads no more, since nothing that it
-    /// would promise would last. The daemon goes on serving with the configuration that it has.
+    /// Ends a generation of the replica: it no longer votes, acknowledges or leads, since nothing
+    /// that it acknowledged would be durable. The daemon continues to serve with its present
+    /// configuration.
     fn stop(&mut self, reason: &str) {
         log::error!(reason = reason; "{}", events::DISK_LOST);
         metrics::counter!("oleandermount_control_replica_stopped_total").increment(1);
-        // Whoever waits is told that the outcome is not known.
+        // Dropping the replies reports an unknown outcome to the proposers.
         self.waiting.clear();
-        let mut status = ReplicaStatus::clone(&self.feeds.status.borrow());
-        self.shown_until = self.shown_until.max(status.applied);
+        let mut status = ReplicaStatus::clone(&self.senders.status.borrow());
+        self.published_index = self.published_index.max(status.applied);
         status.lease_until = None;
         status.leader_since = None;
         status.leader = None;
         status.is_fresh = false;
         status.role = Default::default();
         status.failure = Some(reason.to_owned());
-        self.feeds.status.send_replace(Arc::new(status));
+        self.senders.status.send_replace(Arc::new(status));
     }
 
-    /// Refuses what comes until the folder is open again; `None` once nobody is left.
-    async fn wait_opened(
+    /// Refuses inputs until the folder is open again; `None` if the writer thread has ended or all
+    /// handles have been dropped.
+    async fn wait_reopened(
         &mut self,
         inputs: &mut mpsc::Receiver<DriverInput>,
         reports: &mut mpsc::Receiver<WriteReport>,
-    ) -> Option<(ReplicaLife, SavedState)> {
+    ) -> Option<(ReplicaGeneration, SavedState)> {
         loop {
             tokio::select! {
                 report = reports.recv() => match report? {
-                    WriteReport::Opened { life, state, set_aside } => {
-                        note_set_aside(&self.settings.vm, set_aside.as_deref());
-                        return Some((life, state));
+                    WriteReport::Opened { generation, state, set_aside } => {
+                        log_set_aside(&self.settings.vm, set_aside.as_deref());
+                        return Some((generation, state));
                     }
                     WriteReport::Failed(reason) => {
-                        log::debug!(reason = reason.as_str(); "the folder cannot be opened yet");
+                        log::debug!(reason = reason.as_str(); "cannot reopen the data folder; retrying");
                     }
                     WriteReport::Synced(_) => {}
                 },
                 input = inputs.recv() => match input? {
                     DriverInput::Propose { reply, .. } => {
-                        // Whoever asked may be gone.
+                        // Fails only when the proposer no longer waits.
                         let _ = reply.send(Err(LocalProposeError::NotLeader { leader: None }));
                     }
                     DriverInput::Introduce { peers } => self.introduced = peers,
@@ -275,18 +279,18 @@
         }
     }
 
-    /// Begins the next life with what the disk holds; false if that cannot be used.
-    fn begin(&mut self, life: ReplicaLife, state: SavedState) -> bool {
+    /// Starts the next generation from the contents of the disk; false if these are unusable.
+    fn begin(&mut self, generation: ReplicaGeneration, state: SavedState) -> bool {
         match open_replica(&self.settings, state) {
             Ok(replica) => {
-                self.life = life;
+                self.generation = generation;
                 self.replica = replica;
-                log::warn!(life = life; "{}", events::DISK_BACK);
-                self.show();
+                log::warn!(life = generation; "{}", events::DISK_BACK);
+                self.publish();
                 true
             }
             Err(error) => {
-                log::error!(error:% = error; "the folder's state cannot be used");
+                log::error!(error:% = error; "the state in the data folder is unusable; the replica stays stopped");
                 false
             }
         }
--- a/src/daemon/control_driver/writer.rs
+++ b/src/daemon/control_driver/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes a replica's folder, and opens it anew when its disk has failed.
+//! The thread that writes a replica's folder and reopens it after a disk failure.
 
 use {
     crate::{
@@ -14,43 +14,44 @@
     tokio::sync::{OwnedSemaphorePermit, mpsc},
 };
 
-/// Batches synced at once, so that the queue of reports to the replica stays short.
-const BATCHES_AT_ONCE: usize = 256;
+/// The maximum number of batches in one sync, which bounds the queue of reports to the replica.
+const MAX_BATCHES_PER_SYNC: usize = 256;
 
-/// Opens a replica's folder: once at the start, and again after each failure.
+/// Opens a replica's folder, at the start and after each disk failure.
 pub type FolderOpener = Box<dyn FnMut() -> io::Result<Box<dyn FileSystem>> + Send>;
 
-/// Lives of the replica within one process, from 0: each ends when the disk fails.
-pub(super) type ReplicaLife = u64;
+/// The number of the replica's generation within one process, from 0. A generation ends when the
+/// disk fails.
+pub(super) type ReplicaGeneration = u64;
 
-/// A batch with the life that made it: what a life had queued when its disk failed must not be
-/// written over what the next one begins with.
-pub(super) struct LifeBatch {
-    pub life: ReplicaLife,
+/// A batch with the generation that created it. Batches that were queued when the disk failed must
+/// not be written over the state from which the next generation starts.
+pub(super) struct GenerationBatch {
+    pub generation: ReplicaGeneration,
     pub batch: PersistBatch,
-    /// Its bytes of [`BATCH_BYTES`](super::BATCH_BYTES), which are free again when it is written.
-    pub room: OwnedSemaphorePermit,
+    /// The share of [`BATCH_BYTES`](super::BATCH_BYTES), released when the batch is written.
+    pub permit: OwnedSemaphorePermit,
 }
 
-/// What the thread tells the task.
+/// Reports of the writer thread to the task.
 pub(super) enum WriteReport {
     /// All batches up to this number are synced.
     Synced(u64),
-    /// The disk failed, or the folder cannot be opened yet.
+    /// The disk failed, or an attempt to reopen the folder did.
     Failed(String),
-    /// The folder is open again for this life, and holds this.
-    Opened { life: ReplicaLife, state: SavedState, set_aside: Option<String> },
+    /// The folder is open again for this generation, with this state.
+    Opened { generation: ReplicaGeneration, state: SavedState, set_aside: Option<String> },
 }
 
-/// A replica's folder.
-pub(super) struct WatchedFolder {
+/// A replica's folder, which is reopened after disk failures.
+pub(super) struct ReplicaFolder {
     opener: FolderOpener,
     reopen_after: Duration,
 }
 
-impl WatchedFolder {
+impl ReplicaFolder {
     pub(super) fn new(opener: FolderOpener, reopen_after: Duration) -> Self {
-        WatchedFolder { opener, reopen_after }
+        ReplicaFolder { opener, reopen_after }
     }
 
     /// Opens the folder; the error's text names the remedy.
@@ -59,37 +60,38 @@
         LogStore::open(files, fresh_incarnation()).map_err(|error| error.to_string())
     }
 
-    /// Writes batches until the task is gone. Must run on a thread of its own.
+    /// Writes batches until the task has ended. Blocks, so it must run on its own thread.
     pub(super) fn run(
         mut self,
         store: LogStore,
-        mut queue: mpsc::Receiver<LifeBatch>,
+        mut queue: mpsc::Receiver<GenerationBatch>,
         reports: mpsc::Sender<WriteReport>,
     ) {
-        let mut life = 0;
+        let mut generation = 0;
         let mut store = store;
-        while let Some(error) = write_life(store, life, &mut queue, &reports) {
+        while let Some(error) = write_generation(store, generation, &mut queue, &reports) {
             if reports.blocking_send(WriteReport::Failed(error.to_string())).is_err() {
                 return;
             }
-            life += 1;
+            generation += 1;
             let Some(opened) = self.reopen(&mut queue, &reports) else { return };
             store = opened.store;
             let (state, set_aside) = (opened.state, opened.set_aside);
-            if reports.blocking_send(WriteReport::Opened { life, state, set_aside }).is_err() {
+            if reports.blocking_send(WriteReport::Opened { generation, state, set_aside }).is_err()
+            {
                 return;
             }
         }
     }
 
-    /// Opens the folder as soon as that succeeds; `None` once the task is gone.
+    /// Retries until the folder can be opened; `None` if the task has ended.
     ///
-    /// Batches that wait are of the life that ended. They are dropped at once: a task that waits for
-    /// room in the queue would otherwise learn of the failure only when the disk is sound again, and
-    /// show until then that it leads.
+    /// Queued batches belong to the generation that ended and are dropped immediately. Otherwise a
+    /// task that waits for space in the queue would learn of the failure only when the disk works
+    /// again, and would until then report that it leads.
     fn reopen(
         &mut self,
-        queue: &mut mpsc::Receiver<LifeBatch>,
+        queue: &mut mpsc::Receiver<GenerationBatch>,
         reports: &mpsc::Sender<WriteReport>,
     ) -> Option<OpenedStore> {
         loop {
@@ -103,31 +105,32 @@
     }
 }
 
-/// Writes one life's batches, those that wait together, until one fails; `None` once the task is
-/// gone. The store is closed at the end, and its folder free.
-fn write_life(
+/// Writes the batches of one generation until a write fails; `None` if the task has ended. Batches
+/// that wait are written together. The store is closed at the end, which unlocks the folder.
+fn write_generation(
     mut store: LogStore,
-    life: ReplicaLife,
-    queue: &mut mpsc::Receiver<LifeBatch>,
+    generation: ReplicaGeneration,
+    queue: &mut mpsc::Receiver<GenerationBatch>,
     reports: &mpsc::Sender<WriteReport>,
 ) -> Option<StorageError> {
     while let Some(first) = queue.blocking_recv() {
-        if first.life != life {
+        if first.generation != generation {
             continue;
         }
         let PersistBatch { mut number, mut writes } = first.batch;
-        let mut room = first.room;
-        for _ in 1..BATCHES_AT_ONCE {
+        let mut permit = first.permit;
+        for _ in 1..MAX_BATCHES_PER_SYNC {
             let Ok(next) = queue.try_recv() else { break };
             number = next.batch.number;
             writes.extend(next.batch.writes);
-            room.merge(next.room);
+            permit.merge(next.permit);
         }
         if let Err(error) = store.append(writes) {
             return Some(error);
         }
-        // Before the report: the task may wait for room, and takes no reports while it does.
-        drop(room);
+        // The permit is released before the report, since the task receives no reports while it
+        // waits for space.
+        drop(permit);
         if reports.blocking_send(WriteReport::Synced(number)).is_err() {
             return None;
         }
@@ -135,8 +138,8 @@
     None
 }
 
-/// A number that no other disk has: the time, and twenty bits of chance for two disks that are
-/// emptied in the same millisecond or under a clock that was set back.
+/// A number that is unique to a newly created folder: the time in milliseconds, and twenty random
+/// bits for folders that are created in the same millisecond or after the clock was set back.
 fn fresh_incarnation() -> Incarnation {
     let elapsed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let millis = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
--- a/src/daemon/control_port.rs
+++ b/src/daemon/control_port.rs
@@ -1,4 +1,4 @@
-//! What the pipeline and the operators' interface need of the replicated state.
+//! The interface of the replicated state for the pipeline and the operators' API.
 
 use {
     crate::{
@@ -10,21 +10,21 @@
     tokio::sync::watch,
 };
 
-/// The configuration in force at this daemon; its revision never falls.
+/// The configuration in force at this daemon; its revision never decreases.
 pub type ConfigWatch = watch::Receiver<Arc<ActiveConfig>>;
 
-/// Proposes commands, wherever the leader is.
+/// Proposes commands to the leader, on whichever VM it runs.
 pub trait ControlPort: Send + Sync {
     /// Proposes `command` and waits for its outcome.
     ///
     /// # Errors
-    /// `NoQuorum` and `Busy` promise that the command did not enter the log;
-    /// `OutcomeUnknown` promises nothing.
+    /// `NoQuorum` and `Busy` guarantee that the command did not enter the log; after
+    /// `OutcomeUnknown` it may have.
     fn propose(&self, command: Command) -> BoxFuture<'_, Result<CommandOutcome, ProposeError>>;
 }
 
-/// A port without replicas, for daemons that have found no control replica: nothing can be
-/// decided, and callers are told so truthfully.
+/// A port for daemons that have found no control replica: each proposal fails with `NoQuorum`,
+/// which guarantees that it was not executed.
 pub struct UnavailableControl;
 
 impl ControlPort for UnavailableControl {
--- a/src/daemon/duties.rs
+++ b/src/daemon/duties.rs
@@ -1,4 +1,4 @@
-//! Work of the dispatcher that belongs to no request: cancel calls, probes and digests.
+//! Background work of the dispatcher that belongs to no request: cancel calls, probes and digests.
 
 use {
     super::{server_monitor::ServerMonitor, server_probe::probe_server},
@@ -14,33 +14,33 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Duties that wait; the dispatcher gives those again that are dropped.
+/// The length of the queue of duties; the dispatcher repeats those that are dropped.
 pub const DUTY_QUEUE_LENGTH: usize = 4096;
-/// Cancel calls and probes under way at once; further ones wait in the queue.
-const RUNNING_DUTIES: usize = 256;
+/// Cancel calls and probes in progress at a time; further ones wait in the queue.
+const MAX_RUNNING_DUTIES: usize = 256;
 
-/// Tries of one cancel call; each waits a second at the most.
-const CANCEL_TRIES: u32 = 3;
-/// Daemons of each other domain that hear this one's digests: all of today's three, and at the
-/// design size a dozen in all.
-const FAR_DIGESTS: usize = 3;
+/// Attempts of one cancel call; each takes a second at most.
+const MAX_CANCEL_ATTEMPTS: u32 = 3;
+/// Daemons of each other failure domain that receive this daemon's digests. It covers all daemons
+/// of a domain of three, and bounds the messages at the design size to about a dozen.
+const REMOTE_DIGEST_PEERS: usize = 3;
 
-/// Carries out duties until the dispatcher's port is gone.
+/// Performs duties until the dispatcher's port is closed.
 pub async fn run_duties(
     core: Arc<PipelineCore>,
     network: PeerNetwork,
-    watch: ServerMonitor,
+    monitor: ServerMonitor,
     mut duties: mpsc::Receiver<DispatchDuty>,
 ) {
     let mut running = JoinSet::new();
     while let Some(duty) = duties.recv().await {
-        if running.len() >= RUNNING_DUTIES {
+        if running.len() >= MAX_RUNNING_DUTIES {
             running.join_next().await;
         }
         while running.try_join_next().is_some() {}
         match duty {
             DispatchDuty::Publish(mut digest) => {
-                digest.findings = watch.findings();
+                digest.findings = monitor.findings();
                 publish(&core, &network, digest);
             }
             DispatchDuty::Probe { server } => {
@@ -59,20 +59,22 @@
     }
 }
 
-/// Closing the connection stops most engines; the call stops those that generate on. It is made
-/// again when a busy engine does not answer in time, since nothing else would stop such a one.
+/// Cancels an attempt at an engine. Closing the connection stops most engines; the cancel call
+/// stops those that continue to generate. It is retried when a busy engine does not answer in time,
+/// since nothing else would stop the generation.
 async fn cancel_attempt(address: SocketAddr, attempt: AttemptId) {
-    for _ in 0..CANCEL_TRIES {
+    for _ in 0..MAX_CANCEL_ATTEMPTS {
         match engine::cancel(address, attempt).await {
             Ok(()) | Err(BackendError::Status { .. }) => return,
-            Err(error) => log::debug!(error:% = error; "the engine did not take the cancel call"),
+            Err(error) => log::debug!(error:% = error; "cancel call failed"),
         }
     }
 }
 
-/// Sends a digest to the own failure domain and to a bounded number of daemons in each other one:
-/// a request that crashes backend servers is sent again through daemons of all domains, and each
-/// domain would lose its own two servers to it (docs/decisions/0030).
+/// Sends a digest to the daemon's own failure domain and to a bounded number of daemons in each
+/// other domain. Other domains need it because a request that crashes backend servers is retried
+/// through daemons of all domains, and would otherwise crash two servers in each domain
+/// (docs/decisions/0030).
 fn publish(core: &PipelineCore, network: &PeerNetwork, digest: DomainDigest) {
     let serving = core.serving();
     digest_targets(&core.vm, &serving.view.daemons).into_iter().for_each(|peer| {
@@ -80,8 +82,8 @@
     });
 }
 
-/// Who gets the digests of `vm`. In other domains those that a rendezvous hash picks, so that the
-/// digests of different daemons reach different ones.
+/// The recipients of the digests of `vm`. In other domains a rendezvous hash selects them, so that
+/// the digests of different daemons reach different recipients.
 pub fn digest_targets(
     vm: &VmId,
     daemons: &BTreeMap<FailureDomainId, BTreeMap<VmId, f64>>,
@@ -93,7 +95,7 @@
             let mut others: Vec<&VmId> = domain.keys().filter(|other| *other != vm).collect();
             if !domain.contains_key(vm) {
                 others.sort_by_key(|other| rank(other));
-                others.truncate(FAR_DIGESTS);
+                others.truncate(REMOTE_DIGEST_PEERS);
             }
             others
         })
--- a/src/daemon/lifecycle.rs
+++ b/src/daemon/lifecycle.rs
@@ -1,4 +1,5 @@
-//! The life of a daemon as types: what may not be done in a state has no method there.
+//! The lifecycle of a daemon as a typestate: an operation that is not allowed in a state has no
+//! method there.
 
 use {
     super::{
@@ -50,29 +51,31 @@
     viz::Router,
 };
 
-/// Messages of the replica that wait for the network; further ones are lost and sent again.
-const OUTBOUND_BOUND: usize = 4096;
+/// Messages of the replica that wait for the network; further ones are dropped, and the replica
+/// repeats them.
+const OUTBOUND_QUEUE_LENGTH: usize = 4096;
 
-/// The replica's part of the data folder.
+/// The name of the replica's folder within the data folder.
 const REPLICA_FOLDER: &str = "replica";
 
-/// Why a daemon did not start.
+/// Why a daemon failed to start.
 #[derive(Debug, Display)]
 pub enum DaemonError {
-    /// no keys: give --authority, --certificate and --key; `oleandermountctl keys create` makes them
+    /// no keys: set --authority, --certificate and --key; `oleandermountctl keys create` creates
+    /// them
     KeysMissing,
-    /// {option} {address} cannot be listened on: {reason}; choose a free address of this VM
+    /// cannot listen on {option} {address}: {reason}; choose a free address of this VM
     Listen {
-        /// The option.
+        /// The command-line option.
         option: &'static str,
         /// The address.
         address: SocketAddr,
-        /// The system's reason.
+        /// The error of the operating system.
         reason: io::Error,
     },
-    /// the network between daemons did not start: {0}
+    /// cannot start the peer network: {0}
     Network(TransportError),
-    /// the replica did not start: {0}
+    /// cannot start the replica: {0}
     Replica(DriverError),
     /// {0}
     Metrics(MetricsError),
@@ -80,16 +83,16 @@
 
 impl std::error::Error for DaemonError {}
 
-/// State of a daemon that does nothing yet.
+/// State of a daemon that has not been started.
 pub struct Starting;
 
-/// State of a daemon that takes requests.
-pub struct Serving(LiveParts);
+/// State of a daemon that accepts requests.
+pub struct Serving(RunningParts);
 
-/// State of a daemon that finishes what it has.
-pub struct Draining(LiveParts);
+/// State of a daemon that finishes its requests in flight and accepts no new ones.
+pub struct Draining(RunningParts);
 
-struct LiveParts {
+struct RunningParts {
     core: Arc<PipelineCore>,
     network: PeerNetwork,
     callers: HttpServer,
@@ -97,10 +100,10 @@
     tasks: JoinSet<()>,
 }
 
-/// What a drain came to.
+/// The result of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainReport {
-    /// Requests that were cut off because the wait ended first.
+    /// Requests that were aborted because the grace period ended first.
     pub cut: usize,
 }
 
@@ -111,29 +114,29 @@
 }
 
 impl Daemon<Starting> {
-    /// A daemon that can be started.
+    /// A daemon with these options; nothing runs before [`Self::start`].
     pub fn new(options: DaemonOptions) -> Self {
         Daemon { options, state: Starting }
     }
 
-    /// Starts all parts. Needs no quorum and waits for nobody: it serves with the highest
-    /// committed configuration that it finds, as soon as it finds one.
+    /// Starts all parts. It needs no quorum and waits for no other daemon: it serves with the
+    /// highest committed configuration that it finds, as soon as it finds one.
     ///
     /// # Errors
-    /// When an address, the keys or the data folder cannot be used.
+    /// When an address, the keys or the data folder are unusable.
     pub async fn start(self) -> Result<Daemon<Serving>, DaemonError> {
         let options = self.options;
         let metrics = measures::install().map_err(DaemonError::Metrics)?;
         let mut tasks = JoinSet::new();
         tasks.spawn(measures::upkeep(metrics.clone()));
-        let wired = wire_parts(&options, &mut tasks)?;
-        let WiredParts { parts, network, .. } = &wired;
+        let connected = connect_parts(&options, &mut tasks)?;
+        let ConnectedParts { parts, network, .. } = &connected;
         let gate = CallerGate { core: Arc::clone(&parts.core), limits: options.limits.clone() };
         let callers = match options.identity.role {
             DaemonRole::Entry => caller_router(gate),
             DaemonRole::Control => health_router(),
         };
-        let operators = operator::router(operator_state(&options, &wired, metrics));
+        let operators = operator::router(operator_state(&options, &connected, metrics));
         let addresses = &options.network;
         let callers = listen("--listen", addresses.listen, callers, &options).await?;
         let operators =
@@ -146,63 +149,66 @@
             "serving"
         );
         let (core, network) = (Arc::clone(&parts.core), network.clone());
-        let live = LiveParts { core, network, callers, operators, tasks };
-        Ok(Daemon { options, state: Serving(live) })
+        let running = RunningParts { core, network, callers, operators, tasks };
+        Ok(Daemon { options, state: Serving(running) })
     }
 }
 
-/// The parts of a daemon, connected and running, before its HTTP ports open.
-struct WiredParts {
+/// The parts of a daemon, connected and running, before its HTTP ports are open.
+struct ConnectedParts {
     parts: DaemonParts,
     network: PeerNetwork,
-    board: Arc<ServerTable>,
+    server_table: Arc<ServerTable>,
 }
 
-fn wire_parts(options: &DaemonOptions, tasks: &mut JoinSet<()>) -> Result<WiredParts, DaemonError> {
-    let desk = Arc::new(PeerService::default());
-    let network = start_network(options, Arc::clone(&desk))?;
+fn connect_parts(
+    options: &DaemonOptions,
+    tasks: &mut JoinSet<()>,
+) -> Result<ConnectedParts, DaemonError> {
+    let service = Arc::new(PeerService::default());
+    let network = start_network(options, Arc::clone(&service))?;
     let replica = start_replica(options, &network, tasks)?;
-    let control = Arc::new(remote_proposer(options, &network, replica.as_ref()));
+    let control = Arc::new(create_proposer(options, &network, replica.as_ref()));
     let (duties, duty_queue) = mpsc::channel(DUTY_QUEUE_LENGTH);
     let core = start_core(options, Arc::clone(&control), duties);
-    let (spread, spread_task) = start_spread(options);
-    let board = Arc::new(ServerTable::default());
-    let news = Arc::new(ServerUpdates::new(Arc::clone(&core), Arc::clone(&board)));
+    let (dissemination, dissemination_task) = start_dissemination(options);
+    let server_table = Arc::new(ServerTable::default());
+    let updates = Arc::new(ServerUpdates::new(Arc::clone(&core), Arc::clone(&server_table)));
     let (findings, finding_queue) = mpsc::channel(UPDATE_QUEUE_LENGTH);
-    let watch = ServerMonitor::start(Arc::new(HttpProbe), findings);
-    let parts = DaemonParts { core, replica, control, spread, watch, news };
-    desk.open(parts.clone());
-    let wired = WiredParts { parts, network, board };
-    wired.spawn_tasks(options, tasks);
-    let WiredParts { parts, network, .. } = &wired;
-    tasks.spawn(run_spread(spread_task, network.clone(), parts.replica.clone()));
-    let (core, watch) = (Arc::clone(&parts.core), parts.watch.clone());
-    tasks.spawn(run_duties(core, network.clone(), watch, duty_queue));
-    let news = Arc::clone(&parts.news);
-    tasks.spawn(async move { news.run(finding_queue).await });
-    Ok(wired)
+    let monitor = ServerMonitor::start(Arc::new(HttpProbe), findings);
+    let parts = DaemonParts { core, replica, control, dissemination, monitor, updates };
+    service.open(parts.clone());
+    let connected = ConnectedParts { parts, network, server_table };
+    connected.spawn_tasks(options, tasks);
+    let ConnectedParts { parts, network, .. } = &connected;
+    tasks.spawn(run_dissemination(dissemination_task, network.clone(), parts.replica.clone()));
+    let (core, monitor) = (Arc::clone(&parts.core), parts.monitor.clone());
+    tasks.spawn(run_duties(core, network.clone(), monitor, duty_queue));
+    let updates = Arc::clone(&parts.updates);
+    tasks.spawn(async move { updates.run(finding_queue).await });
+    Ok(connected)
 }
 
-impl WiredParts {
-    /// Starts the tasks that take nothing but shared parts.
+impl ConnectedParts {
+    /// Starts the tasks that need only shared parts.
     fn spawn_tasks(&self, options: &DaemonOptions, tasks: &mut JoinSet<()>) {
-        let WiredParts { parts, network, board } = self;
-        let follower = ConfigApplier {
+        let ConnectedParts { parts, network, server_table } = self;
+        let applier = ConfigApplier {
             core: Arc::clone(&parts.core),
             network: network.clone(),
-            spread: parts.spread.clone(),
-            watch: parts.watch.clone(),
-            board: Arc::clone(board),
+            dissemination: parts.dissemination.clone(),
+            monitor: parts.monitor.clone(),
+            server_table: Arc::clone(server_table),
             options: options.clone(),
         };
-        tasks.spawn(follower.run());
+        tasks.spawn(applier.run());
         if let Some(replica) = &parts.replica {
             let orders = HttpOrders {
                 core: Arc::clone(&parts.core),
                 network: network.clone(),
-                news: Arc::clone(&parts.news),
+                updates: Arc::clone(&parts.updates),
             };
-            tasks.spawn(run_orders(replica.clone(), orders, parts.spread.watch()));
+            tasks.spawn(run_orders(replica.clone(), orders, parts.dissemination.watch()));
         }
         if parts.replica.is_none() {
             let (core, control) = (Arc::clone(&parts.core), Arc::clone(&parts.control));
@@ -217,41 +223,48 @@
 
 fn operator_state(
     options: &DaemonOptions,
-    wired: &WiredParts,
+    connected: &ConnectedParts,
     metrics: PrometheusHandle,
 ) -> OperatorState {
-    let WiredParts { parts, network, board } = wired;
+    let ConnectedParts { parts, network, server_table } = connected;
     let source = StatusService {
         identity: options.identity.clone(),
         started: Instant::now(),
         parts: parts.clone(),
-        board: Arc::clone(board),
+        server_table: Arc::clone(server_table),
         network: network.clone(),
     };
     let control = Arc::clone(&parts.control);
-    OperatorState { control, config: parts.spread.watch(), source: Arc::new(source), metrics }
+    OperatorState {
+        control,
+        config: parts.dissemination.watch(),
+        source: Arc::new(source),
+        metrics,
+    }
 }
 
 impl Daemon<Serving> {
-    /// Where callers reach it.
+    /// The address that callers connect to.
     pub fn caller_address(&self) -> SocketAddr {
         self.state.0.callers.address()
     }
 
-    /// Where operators reach it.
+    /// The address of the operators' API.
     pub fn admin_address(&self) -> SocketAddr {
         self.state.0.operators.address()
     }
 
-    /// Takes up renewed key files; the former keys stay in use if they cannot be read.
+    /// Reloads the key files; the previous keys stay in use if they cannot be read.
     pub fn reload_keys(&self) {
         match self.state.0.network.reload_keys() {
-            Ok(()) => log::info!("keys renewed"),
-            Err(error) => log::error!(error:% = error; "keys not renewed"),
+            Ok(()) => log::info!("keys reloaded"),
+            Err(error) => {
+                log::error!(error:% = error; "cannot reload the keys; the previous keys stay in use")
+            }
         }
     }
 
-    /// Takes no new work from now on; `/readyz` answers 503.
+    /// Stops accepting requests; `/readyz` answers 503 from now on.
     pub fn drain(self) -> Daemon<Draining> {
         self.state.0.core.gate.begin();
         metrics::gauge!(measures::DRAINING).set(1.0);
@@ -261,18 +274,18 @@
 }
 
 impl Daemon<Draining> {
-    /// Waits for the requests in flight, for the grace in the options or until `cut` is ready,
-    /// then stops.
-    pub async fn finish(self, cut: impl Future<Output = ()>) -> DrainReport {
-        let LiveParts { core, network, callers, operators, mut tasks } = self.state.0;
+    /// Waits until all requests in flight have ended, the grace period of the options is over or
+    /// `abort` completes, then stops.
+    pub async fn finish(self, abort: impl Future<Output = ()>) -> DrainReport {
+        let RunningParts { core, network, callers, operators, mut tasks } = self.state.0;
         let ended = tokio::select! {
             () = core.gate.wait_empty() => DrainReport { cut: 0 },
-            () = cut => DrainReport { cut: core.gate.in_flight() },
+            () = abort => DrainReport { cut: core.gate.in_flight() },
             () = sleep(self.options.life.grace) => DrainReport { cut: core.gate.in_flight() },
         };
         if ended.cut > 0 {
             metrics::counter!(measures::CUT_REQUESTS).increment(ended.cut as u64);
-            log::error!(cut = ended.cut; "requests were cut off");
+            log::error!(cut = ended.cut; "requests aborted during shutdown");
         }
         callers.stop().await;
         operators.stop().await;
@@ -285,7 +298,7 @@
 
 fn start_network(
     options: &DaemonOptions,
-    desk: Arc<PeerService>,
+    service: Arc<PeerService>,
 ) -> Result<PeerNetwork, DaemonError> {
     let settings = NetworkSettings {
         vm: options.identity.vm.clone(),
@@ -293,7 +306,7 @@
         keys: options.keys.clone().ok_or(DaemonError::KeysMissing)?,
         peers: options.group.peers.clone(),
     };
-    PeerNetwork::start(settings, desk).map_err(DaemonError::Network)
+    PeerNetwork::start(settings, service).map_err(DaemonError::Network)
 }
 
 fn start_replica(
@@ -302,10 +315,10 @@
     tasks: &mut JoinSet<()>,
 ) -> Result<Option<ControlHandle>, DaemonError> {
     let Some(folder) = &options.group.data_dir else { return Ok(None) };
-    let (outbound, mut messages) = mpsc::channel(OUTBOUND_BOUND);
+    let (outbound, mut messages) = mpsc::channel(OUTBOUND_QUEUE_LENGTH);
     let founders = options.group.founders.iter().cloned().collect();
     let vm = options.identity.vm.clone();
-    // A folder of its own: the replica removes files there that are not its own.
+    // The replica needs a separate folder, since it removes files there that are not its own.
     let folder = folder.join(REPLICA_FOLDER);
     let settings = DriverSettings::new(vm, founders, folder, random_seed());
     let handle = ControlDriver::start(settings, outbound).map_err(DaemonError::Replica)?;
@@ -318,7 +331,7 @@
     Ok(Some(handle))
 }
 
-fn remote_proposer(
+fn create_proposer(
     options: &DaemonOptions,
     network: &PeerNetwork,
     replica: Option<&ControlHandle>,
@@ -350,7 +363,8 @@
     })
 }
 
-/// A later life has a higher number, as long as the clock does not run backwards over a restart.
+/// A new incarnation number from the clock. It is higher than that of earlier processes, provided
+/// that the clock is not set back across the restart.
 fn fresh_incarnation() -> Incarnation {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(now.as_nanos()).unwrap_or(u64::MAX)
@@ -360,7 +374,7 @@
     OsRng.try_next_u64().expect("the kernel's random numbers are always there on supported systems")
 }
 
-fn start_spread(options: &DaemonOptions) -> (ConfigDissemination, DisseminationTask) {
+fn start_dissemination(options: &DaemonOptions) -> (ConfigDissemination, DisseminationTask) {
     ConfigDissemination::new(DisseminationSettings {
         data_dir: options.group.data_dir.clone(),
         view: seed_view(options),
@@ -368,18 +382,22 @@
     })
 }
 
-/// The peers that the settings name; the register replaces them once there is one.
+/// The peers that the settings name; the register replaces them once one is in force.
 fn seed_view(options: &DaemonOptions) -> PeerView {
     let own = &options.identity.vm;
     let others = options.group.peers.keys().filter(|vm| *vm != own).cloned().collect();
     PeerView { domain: Vec::new(), durable_peers: Vec::new(), others }
 }
 
-async fn run_spread(task: DisseminationTask, network: PeerNetwork, replica: Option<ControlHandle>) {
+async fn run_dissemination(
+    task: DisseminationTask,
+    network: PeerNetwork,
+    replica: Option<ControlHandle>,
+) {
     task.run(network, replica.map(|replica| replica.config())).await;
 }
 
-/// Gives weight orders while the replica here leads.
+/// Sends weight orders while the replica on this VM leads.
 async fn run_orders(replica: ControlHandle, orders: HttpOrders, config: ConfigWatch) {
     let desired = replica.desired_weights();
     WeightOrders::new(Arc::new(replica), Arc::new(orders), config, desired).run().await;
--- a/src/daemon/peer_service.rs
+++ b/src/daemon/peer_service.rs
@@ -1,4 +1,4 @@
-//! Answers what other daemons send.
+//! Handles messages and requests of other daemons.
 
 use {
     super::{
@@ -16,35 +16,35 @@
     std::sync::{Arc, OnceLock},
 };
 
-/// What a daemon answers its peers with. The parts come up one after the other; until all are
-/// there, peers are told to come back.
+/// Handles what peers send. The parts of a daemon start one after the other; until all are running,
+/// messages are dropped and requests are refused with a hint to retry.
 #[derive(Default)]
 pub struct PeerService {
     parts: OnceLock<DaemonParts>,
 }
 
-/// The parts behind a desk.
+/// The parts of a daemon that requests of peers and operators need.
 #[derive(Clone)]
 pub struct DaemonParts {
-    /// The pipeline.
+    /// The request pipeline.
     pub core: Arc<PipelineCore>,
-    /// The replica here, if any.
+    /// The replica on this VM, if any.
     pub replica: Option<ControlHandle>,
-    /// Passes proposals on.
+    /// Proposes commands to the leader.
     pub control: Arc<RemoteProposer>,
-    /// The configuration.
-    pub spread: ConfigDissemination,
-    /// The watch over backend servers.
-    pub watch: ServerMonitor,
-    /// What is passed on of it.
-    pub news: Arc<ServerUpdates>,
+    /// The dissemination of configurations.
+    pub dissemination: ConfigDissemination,
+    /// The health monitor of backend servers.
+    pub monitor: ServerMonitor,
+    /// The filter between the health monitor and the dispatcher.
+    pub updates: Arc<ServerUpdates>,
 }
 
 impl PeerService {
-    /// Opens the desk; a second call changes nothing.
+    /// Starts to serve with `parts`; a second call has no effect.
     pub fn open(&self, parts: DaemonParts) {
         if self.parts.set(parts).is_err() {
-            log::error!("the desk for peers was opened twice");
+            log::error!("the peer service was opened twice");
         }
     }
 }
@@ -58,17 +58,17 @@
                     replica.deliver(from.clone(), (*message).clone());
                 });
             }
-            // A digest counts in the name that the sender's certificate proves, or one VM could call
-            // another's servers dead.
+            // The sender is the VM that its certificate proves. Without this check one VM could
+            // report another's servers as dead.
             PeerMessage::Digest(digest) if digest.daemon != from => {
-                log::warn!(from = from.as_str(); "a digest in another VM's name was dropped");
+                log::warn!(from = from.as_str(); "digest dropped: it names another VM as its sender");
             }
             PeerMessage::Digest(digest) => {
-                parts.watch.digest(&digest);
+                parts.monitor.digest(&digest);
                 parts.core.port.tell(PolicyInput::Digest(*digest));
             }
-            PeerMessage::DrainServer { server } => parts.news.hold(&server),
-            PeerMessage::ConfigNotice { revision } => parts.spread.notice(from, revision),
+            PeerMessage::DrainServer { server } => parts.updates.hold(&server),
+            PeerMessage::ConfigNotice { revision } => parts.dissemination.notice(from, revision),
         }
     }
 
@@ -77,7 +77,7 @@
         Box::pin(async move {
             match parts {
                 Some(parts) => parts.answer(request).await,
-                None => PeerReply::Refused("this daemon starts; ask again in a second".to_owned()),
+                None => PeerReply::Refused("this daemon is starting; retry in a second".to_owned()),
             }
         })
     }
@@ -89,7 +89,7 @@
             PeerRequest::Propose { command, may_forward } => {
                 self.control.serve(*command, may_forward).await
             }
-            PeerRequest::FetchConfig { have } => self.spread.answer(have),
+            PeerRequest::FetchConfig { have } => self.dissemination.answer(have),
             PeerRequest::Explain { request } => {
                 PeerReply::Explained(self.core.trace.lines(&request))
             }
@@ -98,13 +98,13 @@
                 self.core.gate.begin();
                 PeerReply::Draining
             }
-            PeerRequest::Follow(_) => {
-                PeerReply::Refused("this daemon serves no followers; ask a control VM".to_owned())
-            }
+            PeerRequest::Follow(_) => PeerReply::Refused(
+                "this daemon does not serve followers; ask a control VM".to_owned(),
+            ),
         }
     }
 
-    /// The revision that requests here are served by; the spread may be a moment ahead of it.
+    /// The revision that requests are served with; the dissemination may be slightly ahead of it.
     pub fn revision(&self) -> Revision {
         self.core.serving().config.revision
     }
--- a/src/daemon/peer_status.rs
+++ b/src/daemon/peer_status.rs
@@ -1,4 +1,5 @@
-//! What a daemon tells its peers about itself, and how the revisions in force are gathered.
+//! The status that a daemon reports to its peers, and the collection of the statuses of all
+//! daemons.
 
 use {
     crate::{
@@ -10,40 +11,40 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Peers asked at the same time; all 380 are heard in a few round trips.
-const ASKED_TOGETHER: usize = 32;
-/// A peer that takes longer counts as silent.
-const STATUS_LIMIT: Duration = Duration::from_secs(2);
+/// Concurrent status requests; 380 peers take a few round trips.
+const MAX_CONCURRENT_REQUESTS: usize = 32;
+/// A peer that takes longer counts as unresponsive.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The state of one daemon, as its peers see it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// The revision in force there.
+    /// The revision in force at the daemon.
     pub revision: Revision,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub serving: bool,
-    /// The leader it knows.
+    /// The leader that its replica knows; `None` without one.
     #[serde(default)]
     pub leader: Option<VmId>,
-    /// The voters it knows.
+    /// The voters that its replica knows; empty without a replica.
     #[serde(default)]
     pub voters: Vec<VmId>,
 }
 
 impl PeerStatus {
-    /// The reply that carries it.
+    /// The status as a reply to [`PeerRequest::Status`].
     pub fn reply(&self) -> PeerReply {
         PeerReply::Status(serde_json::to_string(self).expect("a status always encodes"))
     }
 
-    /// Reads a reply; `None` if it is not a status.
+    /// Decodes a reply; `None` if it is not a status.
     pub fn read(reply: &PeerReply) -> Option<Self> {
         let PeerReply::Status(text) = reply else { return None };
         serde_json::from_str(text).ok()
     }
 }
 
-/// Asks each of `peers` for its status, at most [`ASKED_TOGETHER`] at a time; `None` stands for
+/// Requests the status of each peer, at most [`MAX_CONCURRENT_REQUESTS`] at a time; `None` for
 /// those that did not answer.
 pub async fn fetch_statuses(
     network: &PeerNetwork,
@@ -51,11 +52,11 @@
 ) -> BTreeMap<VmId, Option<PeerStatus>> {
     stream::iter(peers)
         .map(|peer| async move {
-            let reply = network.call(&peer, PeerRequest::Status, STATUS_LIMIT).await;
+            let reply = network.call(&peer, PeerRequest::Status, STATUS_TIMEOUT).await;
             let status = reply.ok().as_ref().and_then(PeerStatus::read);
             (peer, status)
         })
-        .buffer_unordered(ASKED_TOGETHER)
+        .buffer_unordered(MAX_CONCURRENT_REQUESTS)
         .collect()
         .await
 }
--- a/src/daemon/remote_proposer.rs
+++ b/src/daemon/remote_proposer.rs
@@ -1,5 +1,5 @@
-//! Proposes commands from any daemon: at the local replica if it leads, else at the leader through
-//! the replicas that are known.
+//! Proposes commands from any daemon: at the local replica if it leads, otherwise at the leader,
+//! which the known replicas name or forward to.
 
 use {
     crate::{
@@ -20,31 +20,35 @@
     tokio::time::{Instant, sleep, timeout},
 };
 
-/// How long a replica may take to commit and reply. Beyond it the outcome is unknown.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
-/// The same for a claim, which is small and is asked again under the same number: a killed leader
-/// does not answer, and a caller that books must not wait for its connection to be given up.
-const CLAIM_LIMIT: Duration = Duration::from_millis(1_200);
-/// The same for a replica that passes a command on: shorter, so that its reply still arrives.
-const FORWARD_LIMIT: Duration = Duration::from_secs(4);
-const CLAIM_FORWARD_LIMIT: Duration = Duration::from_millis(1_000);
-/// How long a proposal waits for a leader while replicas answer but know none: one election with
-/// a split vote. Longer would only hold back the refusal of a domain that is cut off.
+/// How long a replica may take to commit and reply; after this the outcome is unknown.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// The same for a claim. It is shorter, since a claim is small and is proposed again under the same
+/// number: a killed leader does not answer, and the caller of a non-repeatable call must not wait
+/// until the connection to that leader times out.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// The same for a command that a replica forwards. It is shorter, so that the reply of the
+/// forwarding replica still arrives in time.
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(4);
+const CLAIM_FORWARD_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long a proposal waits for a leader while replicas answer but know none: the time of one
+/// election with a split vote. A longer wait would only delay the refusal in a domain that is cut
+/// off.
 const ELECTION_WAIT: Duration = Duration::from_millis(1_500);
-/// Between two rounds over the replicas during that wait.
-const ROUND_WAIT: Duration = Duration::from_millis(100);
-/// Replicas asked at most: the seven VMs that may be set aside, and as many being replaced.
-const MOST_VOTERS: usize = 14;
+/// The pause between two rounds over the replicas during that wait.
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
+/// The maximum number of replicas to ask: seven VMs for replicas, and as many that are being
+/// replaced.
+const MAX_VOTERS: usize = 14;
 
 /// A replica on this VM.
 pub trait ReplicaPort: Send + Sync {
-    /// Proposes at this replica alone.
+    /// Proposes at this replica only; nothing is forwarded.
     fn propose_at_replica(
         &self,
         command: Command,
     ) -> BoxFuture<'_, Result<CommandOutcome, LocalProposeError>>;
 
-    /// The voters that the replica knows.
+    /// The voters of the group that the replica knows.
     fn known_voters(&self) -> Vec<VmId>;
 }
 
@@ -61,9 +65,9 @@
     }
 }
 
-/// The way to replicas on other VMs.
+/// Requests to replicas on other VMs.
 pub trait ReplicaCalls: Send + Sync {
-    /// Asks one peer.
+    /// Sends a request to one peer and waits for its reply.
     fn ask<'a>(
         &'a self,
         to: &'a VmId,
@@ -88,29 +92,29 @@
     vm: VmId,
     calls: Arc<dyn ReplicaCalls>,
     local: Option<Arc<dyn ReplicaPort>>,
-    view: Mutex<VoterView>,
+    view: Mutex<KnownVoters>,
 }
 
 #[derive(Default)]
-struct VoterView {
-    /// At most [`MOST_VOTERS`], without this VM.
+struct KnownVoters {
+    /// At most [`MAX_VOTERS`], without this VM.
     voters: BTreeSet<VmId>,
-    /// Where a proposal last succeeded, or whom a replica named.
+    /// The replica where the last proposal succeeded, or the leader that a replica named.
     leader: Option<VmId>,
 }
 
-/// What one peer made of a proposal.
-enum PeerVerdict {
-    /// It decided, or nobody can tell whether it did.
+/// The result of a proposal at one peer.
+enum PeerOutcome {
+    /// The outcome, or the error that it is unknown.
     Final(Result<CommandOutcome, ProposeError>),
-    /// It surely has not taken the command, but it answered.
-    NotTaken,
-    /// It surely has not seen the command.
+    /// The peer answered, and the command certainly did not enter its log.
+    NotAccepted,
+    /// The command certainly did not reach the peer.
     Unreachable,
 }
 
 impl RemoteProposer {
-    /// A port of the daemon on `vm`; `voters` are those to ask until others are known.
+    /// A proposer of the daemon on `vm`; it asks `voters` until it learns of others.
     pub fn new(
         vm: VmId,
         calls: Arc<dyn ReplicaCalls>,
@@ -122,32 +126,36 @@
         port
     }
 
-    /// Replaces the voters to ask; an empty list is ignored, since it could not be left again.
+    /// Replaces the voters to ask. An empty list is ignored, since with it no replica could be
+    /// asked who the voters are.
     pub fn set_voters(&self, voters: impl IntoIterator<Item = VmId>) {
         let voters: BTreeSet<VmId> =
-            voters.into_iter().filter(|vm| *vm != self.vm).take(MOST_VOTERS).collect();
+            voters.into_iter().filter(|vm| *vm != self.vm).take(MAX_VOTERS).collect();
         if !voters.is_empty() {
             self.view().voters = voters;
         }
     }
 
-    /// Notes who leads, as another daemon tells.
+    /// Records the leader that another daemon reported.
     pub fn set_leader(&self, leader: VmId) {
         self.view().leader = Some(leader);
     }
 
-    /// Answers a peer's proposal: at the local replica, or once more at the leader that it names.
+    /// Handles a peer's proposal: proposes at the local replica, or forwards it to the leader that
+    /// this replica names, at most once.
     pub async fn serve(&self, command: Command, may_forward: bool) -> PeerReply {
         let Some(local) = &self.local else {
-            return PeerReply::Refused("this VM holds no replica; ask a control VM".to_owned());
+            return PeerReply::Refused("this VM has no replica; ask a control VM".to_owned());
         };
         let result = match local.propose_at_replica(command.clone()).await {
             Err(LocalProposeError::NotLeader { leader: Some(leader) })
                 if may_forward && leader != self.vm =>
             {
-                match self.ask_peer(&leader, command, Forwarding::Ended).await {
-                    PeerVerdict::Final(result) => result,
-                    PeerVerdict::NotTaken | PeerVerdict::Unreachable => Err(ProposeError::NoQuorum),
+                match self.ask_peer(&leader, command, Forwarding::Forbidden).await {
+                    PeerOutcome::Final(result) => result,
+                    PeerOutcome::NotAccepted | PeerOutcome::Unreachable => {
+                        Err(ProposeError::NoQuorum)
+                    }
                 }
             }
             result => result.map_err(ProposeError::from),
@@ -155,78 +163,79 @@
         PeerReply::Proposed(result)
     }
 
-    async fn propose_anywhere(&self, command: Command) -> Result<CommandOutcome, ProposeError> {
+    async fn propose_at_leader(&self, command: Command) -> Result<CommandOutcome, ProposeError> {
         let started = Instant::now();
         loop {
             let mut answered = self.local.is_some();
-            if let PeerVerdict::Final(result) = self.ask_local(command.clone()).await {
+            if let PeerOutcome::Final(result) = self.ask_local(command.clone()).await {
                 return result;
             }
             for peer in self.candidates() {
                 match self.ask_peer(&peer, command.clone(), Forwarding::Allowed).await {
-                    PeerVerdict::Final(result) => {
+                    PeerOutcome::Final(result) => {
                         if result.is_ok() {
                             self.set_leader(peer);
                         }
                         return result;
                     }
-                    PeerVerdict::NotTaken => answered = true,
-                    PeerVerdict::Unreachable => {}
+                    PeerOutcome::NotAccepted => answered = true,
+                    PeerOutcome::Unreachable => {}
                 }
             }
             if !answered || started.elapsed() >= ELECTION_WAIT {
                 return Err(ProposeError::NoQuorum);
             }
-            sleep(ROUND_WAIT).await;
+            sleep(ROUND_INTERVAL).await;
         }
     }
 
-    async fn ask_local(&self, command: Command) -> PeerVerdict {
-        let Some(local) = &self.local else { return PeerVerdict::NotTaken };
-        let limit = call_limit(&command, &Forwarding::Allowed);
+    async fn ask_local(&self, command: Command) -> PeerOutcome {
+        let Some(local) = &self.local else { return PeerOutcome::NotAccepted };
+        let limit = call_timeout(&command, &Forwarding::Allowed);
         let proposed = timeout(limit, local.propose_at_replica(command)).await;
         match proposed.unwrap_or(Err(LocalProposeError::OutcomeUnknown)) {
-            Ok(outcome) => PeerVerdict::Final(Ok(outcome)),
+            Ok(outcome) => PeerOutcome::Final(Ok(outcome)),
             Err(LocalProposeError::NotLeader { leader }) => {
                 self.set_voters(local.known_voters());
                 self.view().leader = leader;
-                PeerVerdict::NotTaken
+                PeerOutcome::NotAccepted
             }
-            Err(LocalProposeError::NoQuorum) => PeerVerdict::NotTaken,
+            Err(LocalProposeError::NoQuorum) => PeerOutcome::NotAccepted,
             Err(error @ (LocalProposeError::Busy | LocalProposeError::OutcomeUnknown)) => {
-                PeerVerdict::Final(Err(error.into()))
+                PeerOutcome::Final(Err(error.into()))
             }
         }
     }
 
-    /// Asks one peer, and tells whether it can have taken the command. Where that is not ruled out
-    /// no other peer is asked: the command would be proposed twice, and a caller told that it did
-    /// not enter the log might run a call whose claim was committed by then.
-    async fn ask_peer(&self, peer: &VmId, command: Command, forwarding: Forwarding) -> PeerVerdict {
+    /// Proposes at one peer. Unless it is certain that the command did not enter the log there, no
+    /// other peer may be asked: the command could be proposed twice, and a caller that is told that
+    /// it did not enter the log might run a call whose claim is committed meanwhile.
+    async fn ask_peer(&self, peer: &VmId, command: Command, forwarding: Forwarding) -> PeerOutcome {
         let may_forward = matches!(forwarding, Forwarding::Allowed);
-        let limit = call_limit(&command, &forwarding);
+        let limit = call_timeout(&command, &forwarding);
         let request = PeerRequest::Propose { command: Box::new(command), may_forward };
         match self.calls.ask(peer, request, limit).await {
-            Ok(PeerReply::Proposed(Err(ProposeError::NoQuorum))) => PeerVerdict::NotTaken,
-            Ok(PeerReply::Proposed(result)) => PeerVerdict::Final(result),
-            Ok(PeerReply::Refused(_)) => PeerVerdict::NotTaken,
-            Err(error) if error.surely_not_sent() => PeerVerdict::Unreachable,
+            Ok(PeerReply::Proposed(Err(ProposeError::NoQuorum))) => PeerOutcome::NotAccepted,
+            Ok(PeerReply::Proposed(result)) => PeerOutcome::Final(result),
+            Ok(PeerReply::Refused(_)) => PeerOutcome::NotAccepted,
+            Err(error) if error.surely_not_sent() => PeerOutcome::Unreachable,
             Ok(_) | Err(_) => {
-                self.doubt_leader(peer);
-                PeerVerdict::Final(Err(ProposeError::OutcomeUnknown))
+                self.forget_leader(peer);
+                PeerOutcome::Final(Err(ProposeError::OutcomeUnknown))
             }
         }
     }
 
-    /// A leader that did not answer may be dead: the next proposal asks the others first.
-    fn doubt_leader(&self, peer: &VmId) {
+    /// Forgets a leader that did not answer and may have failed, so that the next proposal asks the
+    /// others first.
+    fn forget_leader(&self, peer: &VmId) {
         let mut view = self.view();
         if view.leader.as_ref() == Some(peer) {
             view.leader = None;
         }
     }
 
-    /// The leader first, then the other voters.
+    /// The replicas to ask in order: the leader first, then the other voters.
     fn candidates(&self) -> Vec<VmId> {
         let view = self.view();
         let leader = view.leader.iter().filter(|leader| **leader != self.vm);
@@ -234,12 +243,12 @@
         leader.chain(others).cloned().collect()
     }
 
-    fn view(&self) -> std::sync::MutexGuard<'_, VoterView> {
+    fn view(&self) -> std::sync::MutexGuard<'_, KnownVoters> {
         self.view.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn call_limit(command: &Command, forwarding: &Forwarding) -> Duration {
+fn call_timeout(command: &Command, forwarding: &Forwarding) -> Duration {
     let is_claim = matches!(
         command,
         Command::Reserve { .. }
@@ -248,21 +257,21 @@
             | Command::MarkUnknown { .. }
     );
     match (is_claim, forwarding) {
-        (true, Forwarding::Allowed) => CLAIM_LIMIT,
-        (true, Forwarding::Ended) => CLAIM_FORWARD_LIMIT,
-        (false, Forwarding::Allowed) => CALL_LIMIT,
-        (false, Forwarding::Ended) => FORWARD_LIMIT,
+        (true, Forwarding::Allowed) => CLAIM_TIMEOUT,
+        (true, Forwarding::Forbidden) => CLAIM_FORWARD_TIMEOUT,
+        (false, Forwarding::Allowed) => CALL_TIMEOUT,
+        (false, Forwarding::Forbidden) => FORWARD_TIMEOUT,
     }
 }
 
-/// Whether a peer may pass a command on.
+/// Whether a peer may forward a command to the leader.
 enum Forwarding {
     Allowed,
-    Ended,
+    Forbidden,
 }
 
 impl ControlPort for RemoteProposer {
     fn propose(&self, command: Command) -> BoxFuture<'_, Result<CommandOutcome, ProposeError>> {
-        Box::pin(self.propose_anywhere(command))
+        Box::pin(self.propose_at_leader(command))
     }
 }
--- a/src/daemon/server_monitor.rs
+++ b/src/daemon/server_monitor.rs
@@ -1,4 +1,5 @@
-//! Watches backend servers: probes this daemon's share and passes findings to the dispatcher.
+//! Monitors the health of backend servers: probes this daemon's share of them and reports the
+//! findings to the dispatcher.
 
 pub mod monitor_core;
 
@@ -23,13 +24,13 @@
     },
 };
 
-/// Inputs that wait for the task: one probe for each of 870 servers and a digest from each daemon
-/// of a domain. Beyond it digests are lost, and the next second brings others.
+/// The length of the input queue: one probe for each of 870 servers and a digest from each daemon
+/// of a domain. Digests that find it full are dropped; each daemon sends another one every second.
 const QUEUE_LENGTH: usize = 1_024;
 
-/// Asks a backend server how it is.
+/// Health checks of backend servers.
 pub trait ServerProbe: Send + Sync {
-    /// Probes once; gives up by itself or is dropped after [`PROBE_TIMEOUT`].
+    /// Probes a server once; the future is dropped after [`PROBE_TIMEOUT`].
     fn probe(
         &self,
         server: ServerId,
@@ -38,7 +39,7 @@
     ) -> BoxFuture<'_, ProbeResult>;
 }
 
-/// A handle on the watch of one daemon; clones share it.
+/// A handle to the monitor of one daemon; clones share the monitor.
 #[derive(Clone)]
 pub struct ServerMonitor {
     core: Arc<Mutex<MonitorCore>>,
@@ -46,53 +47,53 @@
 }
 
 impl ServerMonitor {
-    /// Starts to watch; nothing is probed before the first [`Self::configure`]. Findings and loads
-    /// go to `findings`. The watch ends when the last handle is dropped.
+    /// Starts the monitor; nothing is probed before the first [`Self::configure`]. Health findings
+    /// and load reports are sent to `findings`. The monitor ends when the last handle is dropped.
     pub fn start(probe: Arc<dyn ServerProbe>, findings: mpsc::Sender<PolicyInput>) -> Self {
         let core = Arc::new(Mutex::new(MonitorCore::new(Instant::now().into_std())));
         let (inputs, queue) = mpsc::channel(QUEUE_LENGTH);
-        let task = WatchTask { core: core.clone(), results: inputs.downgrade(), probe, findings };
+        let task = MonitorTask { core: core.clone(), results: inputs.downgrade(), probe, findings };
         tokio::spawn(task.run(queue));
         Self { core, inputs }
     }
 
-    /// Watches what `config` lists, as the daemon on `vm`.
+    /// Monitors the servers that `config` lists, as the daemon on `vm`.
     pub async fn configure(&self, vm: &VmId, config: &ActiveConfig) {
-        // Without a task there is nothing to watch for.
+        // Fails only when the task has ended.
         let _ = self.inputs.send(MonitorInput::Configure(monitor_plan(vm, config))).await;
     }
 
-    /// Takes the findings in a domain peer's digest.
+    /// Handles the findings in the digest of a daemon of the same domain.
     pub fn digest(&self, digest: &DomainDigest) {
         let findings = digest.findings.clone();
         let _ =
             self.inputs.try_send(MonitorInput::Digest { from: digest.daemon.clone(), findings });
     }
 
-    /// Probes a server at once, because the platform's list tells of a change.
+    /// Probes a server immediately, since the platform's list shows a change of it.
     pub fn hint(&self, server: ServerId) {
         let _ = self.inputs.try_send(MonitorInput::Hint { server });
     }
 
-    /// Findings for this daemon's own digest.
+    /// The findings for this daemon's next digest.
     pub fn findings(&self) -> Vec<(ServerId, ServerHealth)> {
         lock(&self.core).findings(Instant::now().into_std())
     }
 }
 
-/// Who watches what under `config`, seen from the daemon on `vm`.
+/// The servers and daemons of `config`, as the monitor of the daemon on `vm` needs them.
 pub fn monitor_plan(vm: &VmId, config: &ActiveConfig) -> MonitorPlan {
     let register = &config.register;
     let own = register.vms.iter().find(|record| record.id == *vm);
     let failure_domain = own.map(|record| record.failure_domain.clone()).unwrap_or_default();
     let daemons = register.vms.iter().filter(|record| record.failure_domain == failure_domain);
     let servers = register.servers.iter().map(|record| {
-        let watched = MonitoredServer {
+        let monitored = MonitoredServer {
             failure_domain: record.failure_domain.clone(),
             address: record.address,
             kind: record.kind,
         };
-        (record.id.clone(), watched)
+        (record.id.clone(), monitored)
     });
     MonitorPlan {
         vm: vm.clone(),
@@ -102,14 +103,14 @@
     }
 }
 
-struct WatchTask {
+struct MonitorTask {
     core: Arc<Mutex<MonitorCore>>,
     results: mpsc::WeakSender<MonitorInput>,
     probe: Arc<dyn ServerProbe>,
     findings: mpsc::Sender<PolicyInput>,
 }
 
-impl WatchTask {
+impl MonitorTask {
     async fn run(self, mut inputs: mpsc::Receiver<MonitorInput>) {
         loop {
             let wakeup = Instant::from_std(lock(&self.core).next_wakeup());
@@ -140,9 +141,9 @@
         let Some(results) = self.results.upgrade() else { return };
         let probe = self.probe.clone();
         tokio::spawn(async move {
-            let asked = timeout(PROBE_TIMEOUT, probe.probe(server.clone(), address, kind));
-            let result = asked.await.unwrap_or(ProbeResult::NoAnswer);
-            // The watch may have ended meanwhile.
+            let probed = timeout(PROBE_TIMEOUT, probe.probe(server.clone(), address, kind));
+            let result = probed.await.unwrap_or(ProbeResult::NoAnswer);
+            // Fails only when the monitor has ended.
             let _ = results.send(MonitorInput::Probed { server, number, result }).await;
         });
     }
--- a/src/daemon/server_monitor/monitor_core.rs
+++ b/src/daemon/server_monitor/monitor_core.rs
@@ -1,9 +1,9 @@
-//! Decides which servers to probe, when, and what is held of each: without a network.
+//! Decides which servers to probe, when, and which health to report of each; does no I/O.
 //!
-//! Load pattern: 870 servers before 380 daemons. Were each daemon to probe each server twice a
-//! second, a server would answer 760 probes a second. Instead three daemons of its own domain
-//! watch it, one to three of each other domain look on, and the rest learn from their domain's
-//! digests.
+//! Load pattern: 870 servers and 380 daemons. If each daemon probed each server twice a second, a
+//! server would answer 760 probes a second. Instead three daemons of its own failure domain and one
+//! to three daemons of each other domain probe it, and the other daemons learn the result from the
+//! digests within their domain.
 
 use {
     crate::{
@@ -19,53 +19,55 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Daemons of a server's own domain that watch it: with one down and one late a third remains.
+/// Daemons that probe a server of their own domain: with one of them down and one late, a third is
+/// left.
 pub const LOCAL_MONITORS: usize = 3;
-/// Servers of other domains that a daemon looks at, in the mean. Where the domain's daemons can
-/// share them within this, as many look at each as at a near one; at the design size, with 746
-/// servers to 54 daemons, it is one: requests cross domains seldom, and a failed attempt tells
-/// the same.
-const FAR_SHARE: usize = 16;
-/// Between the starts of two probes of a server of the own domain.
+/// Servers of other domains that a daemon probes on average. Small sites thereby get as many
+/// monitors for a remote server as for a local one. At the design size, with 746 remote servers and
+/// 54 daemons, it yields one monitor each, which suffices: requests rarely cross domains, and a
+/// failed attempt gives the same information.
+const REMOTE_SHARE: usize = 16;
+/// The interval between the starts of two probes of a server of the own domain.
 pub const LOCAL_INTERVAL: Duration = Duration::from_millis(500);
-/// Between the starts of two probes of a server of another domain.
-const FAR_INTERVAL: Duration = Duration::from_secs(1);
-/// A probe without an answer for so long is a miss.
+/// The interval between the starts of two probes of a server of another domain.
+const REMOTE_INTERVAL: Duration = Duration::from_secs(1);
+/// A probe that is not answered within this time has failed.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Misses in a row that make a server of the own domain dead: three probes and one interval are
-/// 2 s, which leaves a second of the three for the digest.
-const NEAR_MISSES: u32 = 3;
+/// Consecutive failures after which a server of the own domain counts as dead. Three probes and one
+/// interval take 2 s, which leaves one second for the digest until the limit of three seconds.
+const LOCAL_FAILURES: u32 = 3;
 /// The same for a server of another domain.
-const FAR_MISSES: u32 = 2;
-/// A digest counts for so long: three of them may be lost at one a second.
-const DIGEST_LIFE: Duration = Duration::from_secs(3);
-/// How long a return or a new incarnation is told in digests.
-const NEWS_LIFE: Duration = Duration::from_secs(10);
-/// Findings told in one digest at most, the unhealthy first.
-const MOST_FINDINGS: usize = 64;
-/// A daemon that did not run for so long was paused, not its servers.
-const PAUSE_LIMIT: Duration = Duration::from_secs(2);
-/// The life of a server that is back and that this daemon has not spoken to: nothing is expected
-/// of its cache.
+const REMOTE_FAILURES: u32 = 2;
+/// How long a digest is valid. Each daemon sends one a second, so up to three may be lost.
+const DIGEST_VALIDITY: Duration = Duration::from_secs(3);
+/// How long digests contain a server that has recovered or has a new incarnation.
+const RECOVERY_REPORT_TIME: Duration = Duration::from_secs(10);
+/// The maximum number of findings in one digest; the unhealthy servers come first.
+const MAX_FINDINGS: usize = 64;
+/// A daemon that did not run for this long was paused itself; its failed probes say nothing about
+/// the servers.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
+/// The incarnation of a server that is alive again and that this daemon has not probed: its cache
+/// is assumed to be empty.
 pub const UNKNOWN_INCARNATION: Incarnation = 0;
 
-/// A backend server to be watched.
+/// A backend server to be monitored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MonitoredServer {
-    /// Its failure domain.
+    /// The failure domain of the server.
     pub failure_domain: FailureDomainId,
-    /// Where it answers.
+    /// The address that it is probed at.
     pub address: SocketAddr,
-    /// What it does.
+    /// Whether it is an engine or a service.
     pub kind: ServerKind,
 }
 
-/// Who watches what.
+/// The servers to monitor and the daemons that share them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MonitorPlan {
-    /// This daemon's VM.
+    /// The VM of this daemon.
     pub vm: VmId,
-    /// Its failure domain.
+    /// The failure domain of this daemon.
     pub failure_domain: FailureDomainId,
     /// All daemons of the domain, this one included.
     pub daemons: BTreeSet<VmId>,
@@ -73,23 +75,23 @@
     pub servers: BTreeMap<ServerId, MonitoredServer>,
 }
 
-/// What a probe found.
+/// The result of a probe.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProbeResult {
     /// The server answered.
     Alive {
-        /// Its present life.
+        /// Its present incarnation.
         incarnation: Incarnation,
-        /// Whether it says that it is leaving.
+        /// Whether it announced that it is shutting down.
         leaving: bool,
-        /// Its load, if it reports one.
+        /// Its load report; `None` if it sends none.
         report: Option<LoadReport>,
     },
-    /// It did not answer in time, or refused the connection.
+    /// The server did not answer in time, or refused the connection.
     NoAnswer,
 }
 
-/// What can happen.
+/// An event for the core.
 #[derive(Clone, Debug)]
 pub enum MonitorInput {
     /// The register changed.
@@ -98,84 +100,85 @@
     Probed {
         /// The server.
         server: ServerId,
-        /// The number that [`MonitorAction::Probe`] gave.
+        /// The number from [`MonitorAction::Probe`].
         number: u64,
-        /// What it found.
+        /// The result of the probe.
         result: ProbeResult,
     },
-    /// A daemon of the domain tells its findings.
+    /// A daemon of the domain reported its findings.
     Digest {
         /// The daemon.
         from: VmId,
         /// Its findings.
         findings: Vec<(ServerId, ServerHealth)>,
     },
-    /// The platform's list says that something changed about a server. The list lags, so this
-    /// only hastens the next probe.
+    /// The platform's list shows a change of a server. The list lags, so this only triggers the
+    /// next probe earlier.
     Hint {
         /// The server.
         server: ServerId,
     },
-    /// Time passed.
+    /// The time of [`MonitorCore::next_wakeup`] has come.
     Wake,
 }
 
-/// What is to be done.
+/// An action that the core requests.
 #[derive(Clone, Debug)]
 pub enum MonitorAction {
     /// Probe a server; exactly one `Probed` with the same number follows.
     Probe {
         /// The server.
         server: ServerId,
-        /// Where it answers.
+        /// The address of the server.
         address: SocketAddr,
-        /// What it does.
+        /// Whether it is an engine or a service.
         kind: ServerKind,
-        /// Tells this probe from others.
+        /// Identifies this probe.
         number: u64,
     },
-    /// Tell the dispatcher.
+    /// Notify the dispatcher.
     Notify(PolicyInput),
 }
 
-/// What this daemon's own probes found of one server.
-struct ServerWatch {
+/// The state of this daemon's own probes of one server.
+struct ProbeState {
     next_probe: Instant,
-    /// The probe under way; one at a time.
+    /// The number of the probe in progress; there is one at a time.
     probing: Option<u64>,
-    /// Misses in a row.
-    misses: u32,
-    /// The last finding; `None` before the first.
+    /// Consecutive failed probes.
+    failures: u32,
+    /// The health that the probes show; `None` before the first result.
     finding: Option<ServerHealth>,
-    /// When `finding` last changed.
+    /// The time of the last change of `finding`.
     changed: Instant,
 }
 
-/// What one daemon of the domain told last.
-struct HeardDigest {
+/// The last digest of one daemon of the domain.
+struct PeerDigest {
     at: Instant,
-    /// At most [`MOST_FINDINGS`].
+    /// At most [`MAX_FINDINGS`].
     findings: BTreeMap<ServerId, ServerHealth>,
 }
 
-/// The state of one daemon's watch.
+/// The state of the monitor at one daemon.
 pub struct MonitorCore {
-    list: MonitorPlan,
-    /// How many daemons of this domain watch a server of another; follows `list`.
-    far_watchers: usize,
+    plan: MonitorPlan,
+    /// The number of daemons of this domain that probe each server of another; derived from `plan`.
+    remote_monitors: usize,
     /// The servers that this daemon probes itself.
-    watches: BTreeMap<ServerId, ServerWatch>,
+    probes: BTreeMap<ServerId, ProbeState>,
     /// At most one for each daemon of the domain.
-    heard: BTreeMap<VmId, HeardDigest>,
-    /// What the dispatcher was told last; no entry means it takes the server for alive.
-    told: BTreeMap<ServerId, ServerHealth>,
+    digests: BTreeMap<VmId, PeerDigest>,
+    /// The health last reported to the dispatcher; it considers a server without an entry alive.
+    reported: BTreeMap<ServerId, ServerHealth>,
     next_number: u64,
     last_input: Instant,
     next_review: Instant,
 }
 
-/// The daemons of one domain that watch `server`: those whose hash with it is highest, so that
-/// all daemons name the same ones without a message, and a daemon that leaves moves only its own.
+/// The `count` daemons of one domain that probe `server`, by rendezvous hashing: all daemons
+/// compute the same ones without communication, and when a daemon is removed only its servers are
+/// reassigned.
 pub fn assigned_monitors<'a>(
     server: &str,
     daemons: impl IntoIterator<Item = &'a VmId>,
@@ -189,74 +192,76 @@
 }
 
 impl MonitorPlan {
-    fn is_near(&self, watched: &MonitoredServer) -> bool {
-        watched.failure_domain == self.failure_domain
+    fn is_local(&self, monitored: &MonitoredServer) -> bool {
+        monitored.failure_domain == self.failure_domain
     }
 
-    /// How many daemons of this domain watch each server of another.
-    fn far_watchers(&self) -> usize {
-        let far = self.servers.values().filter(|other| !self.is_near(other)).count();
-        (self.daemons.len() * FAR_SHARE / far.max(1)).clamp(1, LOCAL_MONITORS)
+    /// The number of daemons of this domain that probe each server of another.
+    fn remote_monitors(&self) -> usize {
+        let remote = self.servers.values().filter(|other| !self.is_local(other)).count();
+        (self.daemons.len() * REMOTE_SHARE / remote.max(1)).clamp(1, LOCAL_MONITORS)
     }
 }
 
 impl MonitorCore {
-    /// A watch without servers.
+    /// A monitor without servers.
     pub fn new(now: Instant) -> Self {
         Self {
-            list: MonitorPlan::default(),
-            far_watchers: LOCAL_MONITORS,
-            watches: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            told: BTreeMap::new(),
+            plan: MonitorPlan::default(),
+            remote_monitors: LOCAL_MONITORS,
+            probes: BTreeMap::new(),
+            digests: BTreeMap::new(),
+            reported: BTreeMap::new(),
             next_number: 0,
             last_input: now,
             next_review: now + LOCAL_INTERVAL,
         }
     }
 
-    /// When `Wake` is wanted next.
+    /// The time at which the next `Wake` is due.
     pub fn next_wakeup(&self) -> Instant {
-        let idle = self.watches.values().filter(|watch| watch.probing.is_none());
-        idle.map(|watch| watch.next_probe).fold(self.next_review, Instant::min)
+        let idle = self.probes.values().filter(|probe| probe.probing.is_none());
+        idle.map(|probe| probe.next_probe).fold(self.next_review, Instant::min)
     }
 
-    /// This daemon's findings for its next digest: the unhealthy, then returns and new lives.
+    /// This daemon's findings for its next digest: first unhealthy servers, then those that
+    /// recovered or have a new incarnation.
     pub fn findings(&self, now: Instant) -> Vec<(ServerId, ServerHealth)> {
-        let found = self.watches.iter().filter_map(|(server, watch)| {
-            let health = watch.finding?;
+        let found = self.probes.iter().filter_map(|(server, probe)| {
+            let health = probe.finding?;
             let alive = matches!(health, ServerHealth::Alive { .. });
-            let told = !alive || now.saturating_duration_since(watch.changed) < NEWS_LIFE;
-            told.then(|| (alive, server.clone(), health))
+            let is_included =
+                !alive || now.saturating_duration_since(probe.changed) < RECOVERY_REPORT_TIME;
+            is_included.then(|| (alive, server.clone(), health))
         });
         let mut found: Vec<_> = found.collect();
         found.sort_by_key(|(alive, ..)| *alive);
-        found.into_iter().take(MOST_FINDINGS).map(|(_, server, health)| (server, health)).collect()
+        found.into_iter().take(MAX_FINDINGS).map(|(_, server, health)| (server, health)).collect()
     }
 
-    /// Takes one input.
+    /// Handles one event.
     pub fn handle(&mut self, now: Instant, input: MonitorInput) -> Vec<MonitorAction> {
-        self.forget_pause(now);
+        self.reset_after_pause(now);
         let mut actions = Vec::new();
         match input {
-            MonitorInput::Configure(list) => self.configure(now, list),
+            MonitorInput::Configure(plan) => self.configure(now, plan),
             MonitorInput::Probed { server, number, result } => {
-                self.take_probe(now, &server, number, result, &mut actions);
+                self.handle_result(now, &server, number, result, &mut actions);
                 self.review(now, &server, &mut actions);
             }
             MonitorInput::Digest { from, findings } => {
-                self.take_digest(now, from, findings, &mut actions);
+                self.handle_digest(now, from, findings, &mut actions);
             }
             MonitorInput::Hint { server } => {
-                if let Some(watch) = self.watches.get_mut(&server) {
-                    watch.next_probe = now;
+                if let Some(probe) = self.probes.get_mut(&server) {
+                    probe.next_probe = now;
                 }
             }
             MonitorInput::Wake => {}
         }
         if now >= self.next_review {
             self.next_review = now + LOCAL_INTERVAL;
-            for server in self.told.keys().cloned().collect::<Vec<_>>() {
+            for server in self.reported.keys().cloned().collect::<Vec<_>>() {
                 self.review(now, &server, &mut actions);
             }
         }
@@ -264,51 +269,53 @@
         actions
     }
 
-    /// After a pause every probe under way has run out of time, although the servers answered;
-    /// taken as misses they would make this daemon drop all its servers at once. So probes from
-    /// before the pause no longer count, nor do earlier misses or digests.
-    fn forget_pause(&mut self, now: Instant) {
-        let paused = now.saturating_duration_since(self.last_input) >= PAUSE_LIMIT;
+    /// Discards probes in progress, earlier failures and digests after a pause of this process. All
+    /// probes in progress have timed out by then, although the servers answered; counted as
+    /// failures they would make this daemon drop all its servers at the same time.
+    fn reset_after_pause(&mut self, now: Instant) {
+        let paused = now.saturating_duration_since(self.last_input) >= PAUSE_THRESHOLD;
         self.last_input = now;
         if paused {
-            self.heard.clear();
-            for watch in self.watches.values_mut() {
-                watch.misses = 0;
-                watch.probing = None;
-                watch.next_probe = now;
+            self.digests.clear();
+            for probe in self.probes.values_mut() {
+                probe.failures = 0;
+                probe.probing = None;
+                probe.next_probe = now;
             }
         }
     }
 
-    fn configure(&mut self, now: Instant, list: MonitorPlan) {
-        let far_watchers = list.far_watchers();
-        let mine = |server: &ServerId, watched: &MonitoredServer| {
-            let count = if list.is_near(watched) { LOCAL_MONITORS } else { far_watchers };
-            assigned_monitors(server, &list.daemons, count).contains(&&list.vm)
+    fn configure(&mut self, now: Instant, plan: MonitorPlan) {
+        let remote_monitors = plan.remote_monitors();
+        let is_assigned = |server: &ServerId, monitored: &MonitoredServer| {
+            let count = if plan.is_local(monitored) { LOCAL_MONITORS } else { remote_monitors };
+            assigned_monitors(server, &plan.daemons, count).contains(&&plan.vm)
         };
-        let moved = |server: &ServerId| self.list.servers.get(server) != list.servers.get(server);
-        self.watches.retain(|server, _| {
-            !moved(server) && list.servers.get(server).is_some_and(|watched| mine(server, watched))
+        let has_changed =
+            |server: &ServerId| self.plan.servers.get(server) != plan.servers.get(server);
+        self.probes.retain(|server, _| {
+            !has_changed(server)
+                && plan.servers.get(server).is_some_and(|monitored| is_assigned(server, monitored))
         });
-        for (server, watched) in &list.servers {
-            if mine(server, watched) && !self.watches.contains_key(server) {
-                let watch = ServerWatch {
+        for (server, monitored) in &plan.servers {
+            if is_assigned(server, monitored) && !self.probes.contains_key(server) {
+                let probe = ProbeState {
                     next_probe: now,
                     probing: None,
-                    misses: 0,
+                    failures: 0,
                     finding: None,
                     changed: now,
                 };
-                self.watches.insert(server.clone(), watch);
+                self.probes.insert(server.clone(), probe);
             }
         }
-        self.told.retain(|server, _| list.servers.contains_key(server));
-        self.heard.retain(|vm, _| list.daemons.contains(vm));
-        self.far_watchers = far_watchers;
-        self.list = list;
+        self.reported.retain(|server, _| plan.servers.contains_key(server));
+        self.digests.retain(|vm, _| plan.daemons.contains(vm));
+        self.remote_monitors = remote_monitors;
+        self.plan = plan;
     }
 
-    fn take_probe(
+    fn handle_result(
         &mut self,
         now: Instant,
         server: &ServerId,
@@ -316,16 +323,16 @@
         result: ProbeResult,
         actions: &mut Vec<MonitorAction>,
     ) {
-        let near = self.is_near(server);
-        let Some(watch) = self.watches.get_mut(server) else { return };
-        // An answer to a probe that no longer counts may tell of a former life.
-        if watch.probing != Some(number) {
+        let is_local = self.is_local(server);
+        let Some(probe) = self.probes.get_mut(server) else { return };
+        // The result of a discarded probe may belong to an earlier incarnation of the server.
+        if probe.probing != Some(number) {
             return;
         }
-        watch.probing = None;
+        probe.probing = None;
         let finding = match result {
             ProbeResult::Alive { incarnation, leaving, report } => {
-                watch.misses = 0;
+                probe.failures = 0;
                 let report = report.map(PolicyInput::Load);
                 actions.extend(report.map(MonitorAction::Notify));
                 match leaving {
@@ -334,104 +341,107 @@
                 }
             }
             ProbeResult::NoAnswer => {
-                watch.misses = watch.misses.saturating_add(1);
-                let limit = if near { NEAR_MISSES } else { FAR_MISSES };
-                if watch.misses >= limit { Some(ServerHealth::Dead) } else { watch.finding }
+                probe.failures = probe.failures.saturating_add(1);
+                let limit = if is_local { LOCAL_FAILURES } else { REMOTE_FAILURES };
+                if probe.failures >= limit { Some(ServerHealth::Dead) } else { probe.finding }
             }
         };
-        if watch.finding != finding {
-            watch.finding = finding;
-            watch.changed = now;
+        if probe.finding != finding {
+            probe.finding = finding;
+            probe.changed = now;
         }
     }
 
-    fn take_digest(
+    fn handle_digest(
         &mut self,
         now: Instant,
         from: VmId,
         findings: Vec<(ServerId, ServerHealth)>,
         actions: &mut Vec<MonitorAction>,
     ) {
-        if !self.list.daemons.contains(&from) || from == self.list.vm {
+        if !self.plan.daemons.contains(&from) || from == self.plan.vm {
             return;
         }
-        let findings = findings.into_iter().take(MOST_FINDINGS).collect();
-        let former = self.heard.insert(from.clone(), HeardDigest { at: now, findings });
-        let mut touched: BTreeSet<ServerId> =
+        let findings = findings.into_iter().take(MAX_FINDINGS).collect();
+        let former = self.digests.insert(from.clone(), PeerDigest { at: now, findings });
+        let mut affected: BTreeSet<ServerId> =
             former.into_iter().flat_map(|digest| digest.findings.into_keys()).collect();
-        touched.extend(self.heard[&from].findings.keys().cloned());
-        for server in touched {
+        affected.extend(self.digests[&from].findings.keys().cloned());
+        for server in affected {
             self.review(now, &server, actions);
         }
     }
 
-    /// Tells the dispatcher when what is held of a server changed.
+    /// Notifies the dispatcher if the known health of a server has changed.
     fn review(&mut self, now: Instant, server: &ServerId, actions: &mut Vec<MonitorAction>) {
-        if !self.list.servers.contains_key(server) {
+        if !self.plan.servers.contains_key(server) {
             return;
         }
-        let own = self.watches.get(server).and_then(|watch| watch.finding);
-        let health = match own.or_else(|| self.heard_health(now, server)) {
+        let own = self.probes.get(server).and_then(|probe| probe.finding);
+        let health = match own.or_else(|| self.digest_health(now, server)) {
             Some(health) => health,
-            // Nobody calls it unhealthy any more: it is back, in a life not known here.
-            None => match self.told.get(server) {
+            // No monitor reports it as unhealthy any more: it is alive under an unknown
+            // incarnation.
+            None => match self.reported.get(server) {
                 Some(ServerHealth::Dead | ServerHealth::Leaving) => {
                     ServerHealth::Alive { incarnation: UNKNOWN_INCARNATION }
                 }
                 Some(ServerHealth::Alive { .. } | ServerHealth::Reserved { .. }) | None => return,
             },
         };
-        if self.told.insert(server.clone(), health) != Some(health) {
+        if self.reported.insert(server.clone(), health) != Some(health) {
             let server = server.clone();
             actions.push(MonitorAction::Notify(PolicyInput::Health { server, health }));
         }
     }
 
-    /// What the server's watchers in this domain tell. One that calls it leaving is enough, for
-    /// the server said so itself; dead it is when half of the watchers heard say so, since a
-    /// single daemon on a bad line would otherwise take servers from the whole domain.
-    fn heard_health(&self, now: Instant, server: &ServerId) -> Option<ServerHealth> {
-        if !self.heard.values().any(|digest| digest.findings.contains_key(server)) {
+    /// The health of a server according to the digests of its monitors in this domain. One monitor
+    /// that reports it as leaving is enough, since the server announced that itself. It counts as
+    /// dead when at least half of the monitors with a valid digest report so; otherwise a single
+    /// daemon with a bad link would take servers from the whole domain.
+    fn digest_health(&self, now: Instant, server: &ServerId) -> Option<ServerHealth> {
+        if !self.digests.values().any(|digest| digest.findings.contains_key(server)) {
             return None;
         }
-        let count = if self.is_near(server) { LOCAL_MONITORS } else { self.far_watchers };
-        let told: Vec<Option<ServerHealth>> = assigned_monitors(server, &self.list.daemons, count)
-            .into_iter()
-            .filter_map(|vm| self.heard.get(vm))
-            .filter(|digest| now.saturating_duration_since(digest.at) < DIGEST_LIFE)
-            .map(|digest| digest.findings.get(server).copied())
-            .collect();
-        if told.contains(&Some(ServerHealth::Leaving)) {
+        let count = if self.is_local(server) { LOCAL_MONITORS } else { self.remote_monitors };
+        let findings: Vec<Option<ServerHealth>> =
+            assigned_monitors(server, &self.plan.daemons, count)
+                .into_iter()
+                .filter_map(|vm| self.digests.get(vm))
+                .filter(|digest| now.saturating_duration_since(digest.at) < DIGEST_VALIDITY)
+                .map(|digest| digest.findings.get(server).copied())
+                .collect();
+        if findings.contains(&Some(ServerHealth::Leaving)) {
             return Some(ServerHealth::Leaving);
         }
-        let dead = told.iter().filter(|health| **health == Some(ServerHealth::Dead)).count();
-        if dead > 0 && dead * 2 >= told.len() {
+        let dead = findings.iter().filter(|health| **health == Some(ServerHealth::Dead)).count();
+        if dead > 0 && dead * 2 >= findings.len() {
             return Some(ServerHealth::Dead);
         }
-        told.into_iter().flatten().filter(|health| *health != ServerHealth::Dead).max()
+        findings.into_iter().flatten().filter(|health| *health != ServerHealth::Dead).max()
     }
 
     fn start_probes(&mut self, now: Instant, actions: &mut Vec<MonitorAction>) {
-        for (server, watch) in &mut self.watches {
-            if watch.probing.is_some() || now < watch.next_probe {
+        for (server, probe) in &mut self.probes {
+            if probe.probing.is_some() || now < probe.next_probe {
                 continue;
             }
-            let watched = &self.list.servers[server];
-            let near = self.list.is_near(watched);
+            let monitored = &self.plan.servers[server];
+            let is_local = self.plan.is_local(monitored);
             self.next_number += 1;
-            watch.probing = Some(self.next_number);
-            watch.next_probe = now + if near { LOCAL_INTERVAL } else { FAR_INTERVAL };
+            probe.probing = Some(self.next_number);
+            probe.next_probe = now + if is_local { LOCAL_INTERVAL } else { REMOTE_INTERVAL };
             actions.push(MonitorAction::Probe {
                 server: server.clone(),
-                address: watched.address,
-                kind: watched.kind,
+                address: monitored.address,
+                kind: monitored.kind,
                 number: self.next_number,
             });
         }
     }
 
-    fn is_near(&self, server: &ServerId) -> bool {
-        let watched = self.list.servers.get(server);
-        watched.is_some_and(|watched| self.list.is_near(watched))
+    fn is_local(&self, server: &ServerId) -> bool {
+        let monitored = self.plan.servers.get(server);
+        monitored.is_some_and(|monitored| self.plan.is_local(monitored))
     }
 }
--- a/src/daemon/server_probe.rs
+++ b/src/daemon/server_probe.rs
@@ -1,4 +1,4 @@
-//! Speaks to backend servers beside requests: signs of life and weight orders.
+//! Calls to backend servers outside requests: health checks and weight orders.
 
 use {
     super::{
@@ -21,10 +21,10 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// Asks one server for its load.
+/// Health check of one server: requests its load report.
 ///
 /// # Errors
-/// As the load call; any error counts as no sign of life.
+/// Those of the load call; each counts as a failed health check.
 pub async fn probe_server(
     server: ServerId,
     address: SocketAddr,
@@ -32,7 +32,7 @@
     engine::load(address, server).await
 }
 
-/// Probes over HTTP.
+/// Probes servers over HTTP.
 pub struct HttpProbe;
 
 impl ServerProbe for HttpProbe {
@@ -55,14 +55,14 @@
     }
 }
 
-/// Orders weights over HTTP, and has servers drained by all daemons.
+/// Sends weight orders over HTTP, and requests all daemons to drain a server.
 pub struct HttpOrders {
-    /// The pipeline, which knows the daemons of the register.
+    /// The pipeline, whose configuration lists the daemons.
     pub core: Arc<PipelineCore>,
-    /// The way to the other daemons.
+    /// The network to the other daemons.
     pub network: PeerNetwork,
-    /// The holds of this daemon.
-    pub news: Arc<ServerUpdates>,
+    /// The drained servers of this daemon.
+    pub updates: Arc<ServerUpdates>,
 }
 
 impl OrderPort for HttpOrders {
@@ -72,10 +72,11 @@
             match engine::order_weights(address, model, weights, fencing, send_before.into()).await
             {
                 Ok(()) => OrderResult::Taken,
-                // Fenced: the engine has seen a later order.
+                // Status 409 is the fencing refusal: the engine has seen a later order.
                 Err(BackendError::Status { status: 409, .. }) => OrderResult::NotTaken,
                 Err(error) if error.nothing_sent() => OrderResult::NotTaken,
-                // It may have arrived: counted as one that loads, so that the limit holds.
+                // The order may have arrived. It counts as accepted, so that the limit on
+                // concurrent loads holds.
                 Err(_) => OrderResult::Taken,
             }
         })
@@ -86,7 +87,7 @@
     }
 
     fn drain(&self, server: ServerId) {
-        self.news.hold(&server);
+        self.updates.hold(&server);
         let serving = self.core.serving();
         let vms = serving.config.register.vms.iter().map(|vm| &vm.id);
         let others: Vec<&VmId> = vms.filter(|vm| **vm != self.core.vm).collect();
--- a/src/daemon/server_table.rs
+++ b/src/daemon/server_table.rs
@@ -1,4 +1,4 @@
-//! What this daemon has last heard of each backend server.
+//! The last known state of each backend server at this daemon.
 
 use {
     crate::{
@@ -11,17 +11,17 @@
     },
 };
 
-/// The last news of one server.
+/// The last known state of one server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerEntry {
-    /// Its health, if anybody looked.
+    /// Its health; `None` before the first finding.
     pub health: Option<ServerHealth>,
-    /// Its last report.
+    /// Its last load report; `None` before the first.
     pub report: Option<LoadReport>,
 }
 
 impl ServerEntry {
-    /// The name that operators see.
+    /// The name of the health state in the operators' API.
     pub fn health_name(&self) -> &'static str {
         match self.health {
             None => "unknown",
@@ -33,15 +33,15 @@
     }
 }
 
-/// News by server; bounded by the register, see [`ServerTable::keep`].
+/// States by server, bounded by the register through [`ServerTable::retain`].
 #[derive(Default)]
 pub struct ServerTable {
     entries: Mutex<BTreeMap<ServerId, ServerEntry>>,
 }
 
 impl ServerTable {
-    /// Notes what goes to the dispatcher, if it is news of a server.
-    pub fn note(&self, input: &PolicyInput) {
+    /// Records the health or load in an input of the dispatcher; other inputs are ignored.
+    pub fn record(&self, input: &PolicyInput) {
         match input {
             PolicyInput::Health { server, health } => {
                 self.lock().entry(server.clone()).or_default().health = Some(*health);
@@ -53,17 +53,17 @@
         }
     }
 
-    /// Forgets servers that left the register.
-    pub fn keep(&self, servers: &BTreeSet<ServerId>) {
+    /// Removes all servers but these, which are those of the register.
+    pub fn retain(&self, servers: &BTreeSet<ServerId>) {
         self.lock().retain(|server, _| servers.contains(server));
     }
 
-    /// The news of one server.
+    /// The state of one server; `None` if nothing is known of it.
     pub fn entry(&self, server: &ServerId) -> Option<ServerEntry> {
         self.lock().get(server).cloned()
     }
 
-    /// All news.
+    /// A copy of all states.
     pub fn snapshot(&self) -> BTreeMap<ServerId, ServerEntry> {
         self.lock().clone()
     }
--- a/src/daemon/server_updates.rs
+++ b/src/daemon/server_updates.rs
@@ -1,5 +1,5 @@
-//! Passes findings about backend servers to the dispatcher, less those that are held back from
-//! new work so that they may load weights.
+//! Forwards the findings about backend servers to the dispatcher, except for servers that are
+//! drained so that they can load weights.
 
 use {
     super::server_table::ServerTable,
@@ -19,40 +19,42 @@
     },
 };
 
-/// Findings that wait for the dispatcher.
+/// The length of the queue of findings for the dispatcher.
 pub const UPDATE_QUEUE_LENGTH: usize = 1024;
-/// The longest drain and the longest load together; then the server serves again, whatever it has.
-const HOLD_LIMIT: Duration = Duration::from_secs(20);
-/// How often ended holds are looked for.
-const HOLD_LOOK: Duration = Duration::from_millis(500);
+/// The longest drain and the longest load together. After this the server gets work again, whatever
+/// weights it has.
+const HOLD_TIMEOUT: Duration = Duration::from_secs(20);
+/// The interval between two checks for holds that have ended.
+const HOLD_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a server had loaded when it was held back, and since when it is.
+/// A server that gets no new work, with the weights that it had when the hold began.
 struct ServerHold {
     since: Instant,
     weights: Option<BTreeMap<ModelId, WeightsVersion>>,
 }
 
-/// The desk that all news of servers passes.
+/// Filters all updates of servers on their way to the dispatcher.
 pub struct ServerUpdates {
     core: Arc<PipelineCore>,
-    board: Arc<ServerTable>,
-    /// Servers of the register that load or are about to; a few at a time, by the rules.
+    server_table: Arc<ServerTable>,
+    /// Servers of the register that load weights or are about to; the rules limit their number.
     holds: Mutex<BTreeMap<ServerId, ServerHold>>,
 }
 
 impl ServerUpdates {
-    /// A desk without holds.
-    pub fn new(core: Arc<PipelineCore>, board: Arc<ServerTable>) -> Self {
-        ServerUpdates { core, board, holds: Mutex::default() }
+    /// A filter without holds.
+    pub fn new(core: Arc<PipelineCore>, server_table: Arc<ServerTable>) -> Self {
+        ServerUpdates { core, server_table, holds: Mutex::default() }
     }
 
-    /// Gives a server no new work until it reports other weights or [`HOLD_LIMIT`] is over.
+    /// Withholds new work from a server until it reports other weights or [`HOLD_TIMEOUT`] is over.
+    /// A server that is not in the register is ignored.
     pub fn hold(&self, server: &ServerId) {
         let known = self.core.serving().addresses.contains_key(server);
         if !known {
             return;
         }
-        let report = self.board.entry(server).and_then(|entry| entry.report);
+        let report = self.server_table.entry(server).and_then(|entry| entry.report);
         let hold =
             ServerHold { since: Instant::now(), weights: report.map(|report| report.weights) };
         self.holds().insert(server.clone(), hold);
@@ -60,24 +62,24 @@
         self.core.port.tell(PolicyInput::Health { server: server.clone(), health });
     }
 
-    /// Passes on what comes through `findings` until the watch ends.
+    /// Forwards the `findings` until the monitor ends.
     pub async fn run(&self, mut findings: mpsc::Receiver<PolicyInput>) {
-        let mut looks = interval(HOLD_LOOK);
+        let mut checks = interval(HOLD_CHECK_INTERVAL);
         loop {
             tokio::select! {
                 finding = findings.recv() => match finding {
-                    Some(finding) => self.pass(finding),
+                    Some(finding) => self.forward(finding),
                     None => return,
                 },
-                _ = looks.tick() => self.end_holds(),
+                _ = checks.tick() => self.end_holds(),
             }
         }
     }
 
-    fn pass(&self, finding: PolicyInput) {
-        self.board.note(&finding);
+    fn forward(&self, finding: PolicyInput) {
+        self.server_table.record(&finding);
         if let PolicyInput::Load(report) = &finding {
-            self.confirm_life(report);
+            self.confirm_health(report);
         }
         match &finding {
             PolicyInput::Health { server, health: ServerHealth::Alive { .. } }
@@ -86,11 +88,12 @@
         }
     }
 
-    /// The watch tells a server's health when it changes; a report of the same life says again that
-    /// it lives, so that a request whose connection broke is acquitted of having crashed it.
-    fn confirm_life(&self, report: &LoadReport) {
+    /// Repeats that a server is alive when it reports under the same incarnation, since the monitor
+    /// only reports changes of health. The dispatcher then knows that a request whose connection
+    /// broke did not crash the server.
+    fn confirm_health(&self, report: &LoadReport) {
         let server = &report.server;
-        let health = self.board.entry(server).and_then(|entry| entry.health);
+        let health = self.server_table.entry(server).and_then(|entry| entry.health);
         let same = ServerHealth::Alive { incarnation: report.incarnation };
         if health == Some(same) && !self.holds().contains_key(server) {
             let server = server.clone();
@@ -102,22 +105,22 @@
         if self.holds().is_empty() {
             return;
         }
-        let board = self.board.snapshot();
+        let states = self.server_table.snapshot();
         let has_changed = |server: &ServerId, hold: &ServerHold| {
-            let report = board.get(server).and_then(|entry| entry.report.as_ref());
+            let report = states.get(server).and_then(|entry| entry.report.as_ref());
             let weights = report.map(|report| &report.weights);
             hold.weights.is_some() && weights.is_some() && hold.weights.as_ref() != weights
         };
         let mut ended = Vec::new();
         self.holds().retain(|server, hold| {
-            let ends = hold.since.elapsed() >= HOLD_LIMIT || has_changed(server, hold);
+            let ends = hold.since.elapsed() >= HOLD_TIMEOUT || has_changed(server, hold);
             if ends {
                 ended.push(server.clone());
             }
             !ends
         });
         ended.into_iter().for_each(|server| {
-            let health = board.get(&server).and_then(|entry| entry.health);
+            let health = states.get(&server).and_then(|entry| entry.health);
             health.into_iter().for_each(|health| {
                 self.core.port.tell(PolicyInput::Health { server: server.clone(), health });
             });
--- a/src/daemon/status_service.rs
+++ b/src/daemon/status_service.rs
@@ -1,4 +1,4 @@
-//! Answers what operators ask of a running daemon.
+//! Answers operators' requests to a running daemon.
 
 use {
     super::{peer_service::DaemonParts, peer_status::fetch_statuses, server_table::ServerTable},
@@ -22,20 +22,20 @@
     },
 };
 
-/// An order or a question to one daemon takes a round trip; longer means it cannot be reached.
-const PEER_LIMIT: Duration = Duration::from_secs(2);
+/// Time limit of a request to one daemon, which takes a round trip.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers for one daemon.
+/// Answers operators' requests at one daemon.
 pub struct StatusService {
-    /// Who it is.
+    /// The identity of the daemon.
     pub identity: IdentityOptions,
-    /// When it started.
+    /// The time at which the daemon started.
     pub started: Instant,
-    /// The parts it asks.
+    /// The parts that the answers are taken from.
     pub parts: DaemonParts,
-    /// What is known of backend servers.
-    pub board: Arc<ServerTable>,
-    /// The way to other daemons.
+    /// The last known state of each backend server.
+    pub server_table: Arc<ServerTable>,
+    /// The network to the other daemons.
     pub network: PeerNetwork,
 }
 
@@ -70,7 +70,7 @@
     fn servers(&self) -> Vec<ServerStatus> {
         let serving = self.parts.core.serving();
         let in_flight = self.parts.core.usage.in_flight();
-        let reports = self.board.snapshot();
+        let reports = self.server_table.snapshot();
         let servers = serving.config.register.servers.iter();
         servers
             .map(|record| {
@@ -142,8 +142,8 @@
 
     fn revisions(&self) -> BoxFuture<'_, Vec<VmRevision>> {
         Box::pin(async move {
-            // This daemon itself comes first: before its first register it knows no other, and an
-            // empty list would look like a revision in force everywhere.
+            // The list always contains this daemon: before its first register it knows no other,
+            // and an empty list would look as if the revision were in force everywhere.
             let own = VmRevision {
                 vm: self.identity.vm.clone(),
                 failure_domain: self.identity.failure_domain.clone(),
@@ -156,7 +156,10 @@
             let others = others.map(|vm| VmRevision {
                 vm: vm.id.clone(),
                 failure_domain: vm.failure_domain.clone(),
-                revision: answers.get(&vm.id).and_then(Option::as_ref).map(|told| told.revision),
+                revision: answers
+                    .get(&vm.id)
+                    .and_then(Option::as_ref)
+                    .map(|status| status.revision),
             });
             std::iter::once(own.clone()).chain(others).collect()
         })
@@ -169,11 +172,11 @@
                 return Ok(());
             }
             let known =
-                self.parts.core.serving().config.register.vms.iter().any(|one| one.id == vm);
+                self.parts.core.serving().config.register.vms.iter().any(|record| record.id == vm);
             if !known {
                 return Err(SourceError::UnknownVm(vm));
             }
-            match self.network.call(&vm, PeerRequest::Drain, PEER_LIMIT).await {
+            match self.network.call(&vm, PeerRequest::Drain, PEER_TIMEOUT).await {
                 Ok(PeerReply::Draining) => Ok(()),
                 Ok(_) => Err(SourceError::OutcomeUnknown(vm)),
                 Err(error) if error.surely_not_sent() => Err(SourceError::Unreachable(vm)),
@@ -187,13 +190,14 @@
         request: RequestId,
     ) -> BoxFuture<'_, Result<BTreeMap<VmId, Vec<String>>, SourceError>> {
         Box::pin(async move {
-            // A request id is VM, life and count; the VM's name may hold dots itself.
+            // A request id consists of VM, incarnation and count, joined by dots; the name of the
+            // VM may contain dots itself.
             let vm = request.rsplitn(3, '.').nth(2).unwrap_or_default().to_owned();
             let lines = if vm == self.identity.vm {
                 self.parts.core.trace.lines(&request)
             } else {
                 let question = PeerRequest::Explain { request: request.clone() };
-                match self.network.call(&vm, question, PEER_LIMIT).await {
+                match self.network.call(&vm, question, PEER_TIMEOUT).await {
                     Ok(PeerReply::Explained(lines)) => lines,
                     _ => return Err(SourceError::Unreachable(vm)),
                 }
--- a/src/daemon/voter_poller.rs
+++ b/src/daemon/voter_poller.rs
@@ -1,4 +1,5 @@
-//! Keeps a daemon without a replica informed of who votes and who leads.
+//! Polls the peers of a daemon without a replica for the voters and the leader of the control
+//! group.
 
 use {
     super::{peer_status::PeerStatus, remote_proposer::RemoteProposer},
@@ -11,31 +12,31 @@
     tokio::time::{MissedTickBehavior, interval},
 };
 
-/// A replaced replica is known within a round over a domain's peers; until then proposals go to
-/// the others, which pass them on.
-const ASK_PERIOD: Duration = Duration::from_secs(10);
-/// A peer that takes longer is asked again in a later turn.
-const ASK_LIMIT: Duration = Duration::from_secs(2);
+/// The interval between two polls. A replaced replica becomes known within one round over the
+/// peers; until then proposals go to the other replicas, which forward them.
+const POLL_INTERVAL: Duration = Duration::from_secs(10);
+/// A peer that takes longer is skipped until the next round.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Asks one peer after the other for ever. A peer that knows no voters changes nothing.
+/// Polls one peer after the other, forever. The answer of a peer that knows no voters is ignored.
 pub async fn poll_voters(
     core: Arc<PipelineCore>,
     network: PeerNetwork,
     control: Arc<RemoteProposer>,
 ) {
-    let mut ticks = interval(ASK_PERIOD);
+    let mut ticks = interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     for turn in 0_usize.. {
         ticks.tick().await;
-        let Some(peer) = peer_of_turn(&core, turn) else { continue };
-        let reply = network.call(&peer, PeerRequest::Status, ASK_LIMIT).await;
+        let Some(peer) = next_peer(&core, turn) else { continue };
+        let reply = network.call(&peer, PeerRequest::Status, POLL_TIMEOUT).await;
         let Some(status) = reply.ok().as_ref().and_then(PeerStatus::read) else { continue };
         control.set_voters(status.voters);
         status.leader.into_iter().for_each(|leader| control.set_leader(leader));
     }
 }
 
-fn peer_of_turn(core: &PipelineCore, turn: usize) -> Option<VmId> {
+fn next_peer(core: &PipelineCore, turn: usize) -> Option<VmId> {
     let serving = core.serving();
     let vms = &serving.config.register.vms;
     let others: Vec<&VmId> = vms.iter().map(|vm| &vm.id).filter(|vm| **vm != core.vm).collect();
--- a/src/daemon/weight_orders.rs
+++ b/src/daemon/weight_orders.rs
@@ -1,4 +1,5 @@
-//! Brings each engine to the weights that the register wants: desired against observed.
+//! Reconciles the weights of each engine with those that the register specifies: compares desired
+//! and observed versions and orders loads.
 
 pub mod order_core;
 mod order_types;
@@ -26,31 +27,33 @@
     },
 };
 
-/// Results that wait for the task: more than are ever under way.
+/// The length of the queue of results; there are never as many calls in progress.
 const QUEUE_LENGTH: usize = 128;
-/// A server that does not tell its state for so long counts as away.
-const LOOK_LIMIT: Duration = Duration::from_secs(1);
-/// How often it is looked whether this replica leads.
-const LEASE_LOOK: Duration = Duration::from_millis(250);
+/// A server that does not answer a probe for this long counts as unresponsive.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The interval between two checks whether this replica leads.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Speaks to engines.
+/// Calls to engines.
 pub trait OrderPort: Send + Sync {
-    /// Sends an order. Dropped at the end of [`order_core::ORDER_TIMEOUT`]: it must then close the connection.
+    /// Sends an order. The future is dropped after [`order_core::ORDER_TIMEOUT`] and must then
+    /// close the connection.
     fn order(&self, address: SocketAddr, order: WeightOrder) -> BoxFuture<'_, OrderResult>;
 
-    /// Asks for the state.
+    /// Requests the load report of a server; `None` if it does not answer.
     fn probe(&self, server: ServerId, address: SocketAddr) -> BoxFuture<'_, Option<LoadReport>>;
 
-    /// Asks all daemons to give a server no new work until it reports its new weights.
+    /// Requests all daemons to send a server no new work until it reports its new weights.
     fn drain(&self, server: ServerId);
 }
 
-/// What the orders need of the replica on this VM.
+/// The interface of the replica on this VM for the weight orders.
 pub trait LeasePort: Send + Sync {
-    /// The term and the time since when this replica leads, if no other can lead now.
+    /// The term and the time since which this replica leads; `None` unless its lease excludes any
+    /// other leader.
     fn lease(&self) -> Option<(Term, std::time::Instant)>;
 
-    /// Proposes a command.
+    /// Proposes a command and waits for its outcome.
     fn propose(&self, command: Command) -> BoxFuture<'_, Result<CommandOutcome, ProposeError>>;
 }
 
@@ -66,41 +69,43 @@
     }
 }
 
-/// Gives weight orders while the replica on this VM leads.
+/// Sends weight orders while the replica on this VM leads.
 pub struct WeightOrders {
     core: OrderCore,
     lease: Arc<dyn LeasePort>,
     port: Arc<dyn OrderPort>,
     config: ConfigWatch,
     desired: watch::Receiver<Arc<DesiredWeights>>,
-    notice: RolloutReporter,
+    reporter: RolloutReporter,
 }
 
 impl WeightOrders {
-    /// Orders by `config` and by the replicated `desired` state; runs once [`Self::run`] does.
+    /// Orders according to `config` and the replicated `desired` state. Nothing is sent before
+    /// [`Self::run`].
     pub fn new(
         lease: Arc<dyn LeasePort>,
         port: Arc<dyn OrderPort>,
         config: ConfigWatch,
         desired: watch::Receiver<Arc<DesiredWeights>>,
     ) -> Self {
-        let notice = RolloutReporter::default();
-        Self { core: OrderCore::default(), lease, port, config, desired, notice }
+        let reporter = RolloutReporter::default();
+        Self { core: OrderCore::default(), lease, port, config, desired, reporter }
     }
 
-    /// The same with its own timing.
+    /// Replaces the default timing.
     pub fn timed(self, timing: OrderTiming) -> Self {
         Self { core: OrderCore::with_timing(timing), ..self }
     }
 
-    /// Runs until the replica is gone.
+    /// Runs until the replica has ended.
     pub async fn run(mut self) {
         let (results, mut queue) = mpsc::channel(QUEUE_LENGTH);
         self.config.mark_changed();
         self.desired.mark_changed();
         loop {
             let now = Instant::now();
-            let wakeup = self.core.next_wakeup().map_or(now + LEASE_LOOK, Instant::from_std);
+            let wakeup =
+                self.core.next_wakeup().map_or(now + LEASE_CHECK_INTERVAL, Instant::from_std);
             let input = tokio::select! {
                 Some(input) = queue.recv() => input,
                 changed = self.config.changed() => match changed {
@@ -111,18 +116,18 @@
                     Ok(()) => OrderInput::Desired(self.desired.borrow_and_update().clone()),
                     Err(_gone) => return,
                 },
-                () = sleep_until(wakeup.min(now + LEASE_LOOK)) => OrderInput::Wake,
+                () = sleep_until(wakeup.min(now + LEASE_CHECK_INTERVAL)) => OrderInput::Wake,
             };
-            self.take(input, &results);
+            self.handle(input, &results);
         }
     }
 
-    fn take(&mut self, input: OrderInput, results: &mpsc::Sender<OrderInput>) {
+    fn handle(&mut self, input: OrderInput, results: &mpsc::Sender<OrderInput>) {
         let now = Instant::now().into_std();
         let lease = self.lease.lease();
         let mut actions = self.core.handle(now, OrderInput::Lease(lease));
         actions.extend(self.core.handle(now, input));
-        self.notice.note(now, lease.map(|(term, _)| term), &self.core);
+        self.reporter.update(now, lease.map(|(term, _)| term), &self.core);
         for action in actions {
             self.perform(action, results.clone());
         }
@@ -139,7 +144,7 @@
             OrderAction::Drain { server } => port.drain(server),
             OrderAction::Propose { model, command } => drop(tokio::spawn(async move {
                 if let Err(error) = lease.propose(command).await {
-                    log::debug!(model = model.as_str(); "weights are not noted yet: {error}");
+                    log::debug!(model = model.as_str(); "cannot record the desired weights; retrying: {error}");
                 }
                 let _ = results.send(OrderInput::Proposed { model }).await;
             })),
@@ -148,8 +153,8 @@
                 tokio::spawn(async move {
                     let report = match address {
                         Some(address) => {
-                            let look = timeout(LOOK_LIMIT, port.probe(server.clone(), address));
-                            look.await.ok().flatten()
+                            let probe = timeout(PROBE_TIMEOUT, port.probe(server.clone(), address));
+                            probe.await.ok().flatten()
                         }
                         None => None,
                     };
@@ -172,12 +177,12 @@
     }
 }
 
-/// Sends an order unless its time is over.
+/// Sends an order unless it has expired.
 ///
-/// Between the decision and this line the process may have been stopped for minutes, and another
-/// leader may have ordered a later version. An engine that does not check numbers would go back to
-/// the older one. So clock, lease and term are looked at again, with nothing awaited between the
-/// look and the call, and the call ends with the order's life, which a new leader waits out.
+/// Between the decision and this call the process may have been paused for minutes, and another
+/// leader may have ordered a later version. An engine that does not check fencing numbers would
+/// return to the older one. So clock, lease and term are checked again, with no await point between
+/// the check and the call, and the call ends when the order expires, which a new leader waits for.
 pub async fn send_order(
     lease: &dyn LeasePort,
     port: &dyn OrderPort,
@@ -185,15 +190,15 @@
     order: WeightOrder,
 ) -> OrderResult {
     let deadline = Instant::from_std(order.send_before);
-    let held = lease.lease().is_some_and(|(term, _)| term == order.term);
-    if !held || Instant::now() >= deadline {
+    let is_leader = lease.lease().is_some_and(|(term, _)| term == order.term);
+    if !is_leader || Instant::now() >= deadline {
         metrics::counter!("oleandermount_stale_orders_total").increment(1);
         return OrderResult::NotTaken;
     }
     timeout_at(deadline, port.order(address, order)).await.unwrap_or(OrderResult::Taken)
 }
 
-/// The weights that `config` wants at each server.
+/// The weights that `config` specifies for each server.
 pub fn order_plan(config: &ActiveConfig) -> OrderPlan {
     let register = &config.register;
     let engines = || register.servers.iter().filter(|server| server.kind == ServerKind::Engine);
--- a/src/daemon/weight_orders/order_types.rs
+++ b/src/daemon/weight_orders/order_types.rs
@@ -1,4 +1,4 @@
-//! What the weight orders take in and ask for.
+//! Events, actions and data of the weight orders.
 
 use {
     crate::{
@@ -13,24 +13,24 @@
     },
 };
 
-/// When orders are given and servers looked at.
+/// The timing of orders and probes.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderTiming {
-    /// How long a server may report other weights after an accepted order before it is ordered
-    /// again.
+    /// How long a server may report other weights after an accepted order before the order is
+    /// repeated.
     pub load_limit: Duration,
-    /// After an order that did not arrive.
+    /// The delay before an order that was not accepted is repeated.
     pub retry_wait: Duration,
-    /// How long a server is given to finish its work before it loads anyway.
+    /// How long a server may take to finish its work before it is ordered to load anyway.
     pub drain_limit: Duration,
-    /// Between two looks at a server that is not as desired.
+    /// The interval between two probes of a server that drains, loads or does not answer.
     pub busy_probe_interval: Duration,
-    /// Between two looks at a server that is as desired, at least.
+    /// The minimum interval between two probes of any other server.
     pub idle_probe_interval: Duration,
 }
 
 impl Default for OrderTiming {
-    /// A load takes 0.6 s, several times that beside others, and reports lag.
+    /// A load takes 0.6 s, several times as long beside other loads, and reports lag.
     fn default() -> Self {
         OrderTiming {
             load_limit: Duration::from_secs(10),
@@ -45,106 +45,107 @@
 /// A server and one model that it runs.
 pub type OrderPlace = (ServerId, ModelId);
 
-/// What the register and the rules want.
+/// The weights that the register and the rules specify.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OrderPlan {
-    /// Loads that may run at the same time.
+    /// The maximum number of concurrent loads.
     pub limit: u32,
-    /// The version of each model.
+    /// The wanted version of each model.
     pub weights: BTreeMap<ModelId, WeightsVersion>,
     /// The models that each server may run; each of them has a version.
     pub servers: BTreeMap<ServerId, BTreeSet<ModelId>>,
-    /// Whether all these servers refuse orders with a lower number than one that they have seen.
+    /// Whether all these servers refuse orders with a lower fencing number than one that they have
+    /// seen.
     pub fenced: bool,
 }
 
-/// What an order was decided by, for the log.
+/// The reason for an order, for the log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OrderReason {
     /// The version that the server reported last.
     pub observed: Option<WeightsVersion>,
-    /// How long the ordered version has been wanted here.
+    /// How long the ordered version has been wanted at this replica.
     pub wanted_for: Duration,
-    /// Orders of this version that the server was given before, in this term.
+    /// Earlier orders of this version to the server in this term.
     pub given_before: u32,
 }
 
-/// How many servers do not have the version that is wanted of a model.
+/// The number of servers that lack the wanted version of a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingServers {
-    /// The version.
+    /// The wanted version.
     pub weights: WeightsVersion,
-    /// Since when it has been wanted here.
+    /// The time since which it has been wanted at this replica.
     pub since: Instant,
-    /// Servers that answer and report another one, or have not answered yet.
+    /// Servers that report another version, or that have not been probed yet.
     pub servers: usize,
 }
 
 /// An order to load weights.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightOrder {
-    /// The server.
+    /// The server to load the weights.
     pub server: ServerId,
-    /// The model.
+    /// The model to be loaded.
     pub model: ModelId,
-    /// The version.
+    /// The version to be loaded.
     pub weights: WeightsVersion,
-    /// The number that servers compare, where they do.
+    /// The fencing number, for servers that check it.
     pub fencing: FencingNumber,
-    /// The leader's term at the decision; in another term the order must not be sent.
+    /// The leader's term at the decision; the order must not be sent in another term.
     pub term: Term,
-    /// After this the order must not be sent.
+    /// The time after which the order must not be sent.
     pub send_before: Instant,
-    /// Tells this order from others.
+    /// Identifies this order.
     pub number: u64,
-    /// What it was decided by.
+    /// The reason for the order.
     pub reason: OrderReason,
 }
 
-/// What became of an order.
+/// The result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderResult {
-    /// The server took it, or may have.
+    /// The server accepted the order, or may have.
     Taken,
-    /// It surely did not: not sent, or refused.
+    /// The server certainly did not accept it: it was not sent, or was refused.
     NotTaken,
 }
 
-/// What can happen.
+/// An event for the core.
 #[derive(Clone, Debug)]
 pub enum OrderInput {
     /// The configuration changed.
     Configure(OrderPlan),
-    /// The replicated state changed.
+    /// The desired weights in the replicated state changed.
     Desired(Arc<DesiredWeights>),
-    /// This replica leads under a lease in this term since this time, or does not.
+    /// The term and the time since which this replica leads under a lease; `None` if it does not.
     Lease(Option<(Term, Instant)>),
-    /// A look at a server ended, with a report if it answered.
+    /// A probe of a server ended.
     Probed {
         /// The server.
         server: ServerId,
-        /// Its report.
+        /// The load report; `None` if the server did not answer.
         report: Option<LoadReport>,
     },
     /// An order ended.
     Ordered {
-        /// Where.
+        /// The server and the model.
         place: OrderPlace,
-        /// Its number.
+        /// The number of the order.
         number: u64,
-        /// What became of it.
+        /// The result of the order.
         result: OrderResult,
     },
-    /// A proposal ended, whatever came of it; the state tells.
+    /// A proposal ended. Its effect, if any, shows in the replicated state.
     Proposed {
         /// The model that it was for.
         model: ModelId,
     },
-    /// Time passed.
+    /// The time of [`super::order_core::OrderCore::next_wakeup`] has come.
     Wake,
 }
 
-/// What is to be done.
+/// An action that the core requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OrderAction {
     /// Propose a command; exactly one `Proposed` follows.
@@ -154,16 +155,16 @@
         /// The command.
         command: Command,
     },
-    /// Ask a server for its report; exactly one `Looked` follows.
+    /// Request the load report of a server; exactly one `Probed` follows.
     Probe {
         /// The server.
         server: ServerId,
     },
-    /// Give a server no new work for now.
+    /// Stop sending new work to a server until it has loaded.
     Drain {
         /// The server.
         server: ServerId,
     },
-    /// Send an order if the lease still holds; exactly one `Ordered` follows.
+    /// Send an order if the lease is still valid; exactly one `Ordered` follows.
     Order(WeightOrder),
 }
--- a/src/daemon/weight_orders/rollout_reporter.rs
+++ b/src/daemon/weight_orders/rollout_reporter.rs
@@ -1,4 +1,4 @@
-//! Tells in the log and the measures how far the leader's weight orders are.
+//! Reports the progress of the leader's weight orders in the log and the metrics.
 
 use {
     super::order_core::{OrderCore, PendingServers},
@@ -12,27 +12,28 @@
     },
 };
 
-/// Between two looks at what is still to do, which counts all servers.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// The interval between two reports; each of them counts all servers.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the log was told last.
+/// The state last reported.
 #[derive(Debug, Default)]
 pub struct RolloutReporter {
-    /// The term in which orders are given; `None` while this replica has no lease.
+    /// The term in which this replica sends orders; `None` while it has no lease.
     term: Option<Term>,
-    /// The version of each model that was told to be in force; only of models of the plan.
+    /// The version of each model last reported as in force; only for models of the plan.
     in_force: BTreeMap<ModelId, WeightsVersion>,
-    looked: Option<Instant>,
+    reported_at: Option<Instant>,
 }
 
 impl RolloutReporter {
-    /// Takes in the term in which orders are given, if any, and the core's state.
-    pub fn note(&mut self, now: Instant, term: Option<Term>, core: &OrderCore) {
-        let is_due = self.looked.is_none_or(|at| now >= at + LOOK_EVERY);
+    /// Reports a changed term and, at intervals, the pending servers. `term` is the one in which
+    /// this replica sends orders; `None` without a lease.
+    pub fn update(&mut self, now: Instant, term: Option<Term>, core: &OrderCore) {
+        let is_due = self.reported_at.is_none_or(|at| now >= at + REPORT_INTERVAL);
         if term == self.term && (term.is_none() || !is_due) {
             return;
         }
-        self.looked = Some(now);
+        self.reported_at = Some(now);
         let pending = core.pending();
         if term != self.term {
             let count: usize = pending.values().map(|pending| pending.servers).sum();
@@ -48,11 +49,11 @@
             self.term = term;
         }
         if term.is_some() {
-            self.note_pending(now, pending);
+            self.report_pending(now, pending);
         }
     }
 
-    fn note_pending(&mut self, now: Instant, pending: BTreeMap<ModelId, PendingServers>) {
+    fn report_pending(&mut self, now: Instant, pending: BTreeMap<ModelId, PendingServers>) {
         self.in_force.retain(|model, _| pending.contains_key(model));
         for (model, PendingServers { weights, since, servers }) in pending {
             metrics::gauge!(WEIGHTS_PENDING, "model" => model.clone()).set(servers as f64);
