--- a/src/follow.rs
+++ b/src/follow.rs
@@ -1,11 +1,11 @@
-//! How every daemon follows the state that all share: the operators' document, the named weights
-//! and the list of backend servers.
+//! Replication of the shared state to every daemon: the operators' document, the named weights and
+//! the list of backend servers.
 //!
-//! A daemon asks one control VM at a time and says what it holds; the answer waits until there is
-//! something newer, or a second has passed. So a change is on its way at once, an idle daemon costs
-//! one small message a second, and no daemon speaks to all others. Each prefers the control VM of
-//! its own failure domain, which keeps the traffic inside the domain, as long as that VM itself
-//! is up to date.
+//! A daemon polls one control VM at a time and sends the versions that it has (long polling): the
+//! answer is delayed until there is something newer, or for a second. Changes are thereby sent
+//! immediately, an idle daemon costs one small message a second, and no daemon communicates with
+//! all others. A daemon prefers the control VM of its own failure domain, which keeps the traffic
+//! within the domain, as long as that VM is up to date.
 
 pub mod confirmation;
 pub mod document_delta;
@@ -24,114 +24,115 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// How long an answer waits for a change.
+/// The longest time that an answer is delayed while nothing changes.
 pub const ANSWER_WAIT: Duration = Duration::from_secs(1);
 
-/// Who follows.
+/// The role of a follower.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowerKind {
-    /// An entry, which needs everything.
+    /// An entry, which needs the whole state.
     #[default]
     Entry,
-    /// Another control VM, which needs the server list alone: its replica brings the rest.
+    /// Another control VM, which needs only the server list: its replica provides the rest.
     Control {
-        /// Entries that follow it.
+        /// The number of entries that follow this control VM.
         entries: u32,
     },
 }
 
-/// What a follower asks for.
+/// The kind of answer that a follower requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerMode {
-    /// How well the VM suits, and short news: many are asked at once, and one of them is followed.
+    /// The suitability of the control VM and small changes only. A follower asks many VMs at the
+    /// same time before it selects the one to follow.
     #[default]
     Suitability,
-    /// What has changed, at once.
+    /// All changes, immediately.
     Now,
-    /// What has changed, as soon as something has.
+    /// All changes, delayed by up to [`ANSWER_WAIT`] until there is one.
     Wait,
 }
 
-/// What a follower holds.
+/// A request of a follower, with the versions that it has.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FollowRequest {
-    /// The number of its document.
+    /// The number of its document; 0 before the first.
     pub document: DocumentNumber,
-    /// Its named weights; few, so they go whole.
+    /// Its named weights, in full, since there are few.
     pub weights: NamedWeights,
     /// The digest of its server list.
     pub fleet: u64,
-    /// The digest of the control VMs that it knows.
+    /// The digest of the control VMs that it knows; see [`control_digest`].
     pub control: u64,
-    /// The latest term in which it heard of a leader.
+    /// The latest term in which it learned of a leader.
     pub term: Term,
-    /// Who asks.
+    /// The role of the follower.
     pub follower: FollowerKind,
-    /// What it asks for.
+    /// The requested kind of answer.
     pub mode: AnswerMode,
-    /// Whether it needs the document whole: a difference did not fit.
+    /// Whether it needs the whole document, because a delta could not be applied.
     pub whole: bool,
 }
 
-/// What has changed; `None` where the asker is up to date.
+/// The changes for a follower; `None` where it is up to date.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FollowReply {
-    /// The document, if a newer one is in force and the asker's is not known.
+    /// The whole document, if there is a newer one and no delta from the follower's.
     pub document: Option<NumberedDocument>,
-    /// What makes it out of the asker's document, if that is known and much of it is kept.
+    /// The delta from the follower's document, if that is known here and the delta is small.
     pub document_delta: Option<DocumentDelta>,
     /// All named weights, if they differ.
     pub weights: Option<NamedWeights>,
-    /// The server list, if it differs and the asker's is not known.
+    /// The whole server list, if it differs and the follower's is not known here.
     pub fleet: Option<FleetSnapshot>,
-    /// What has changed of the asker's server list, if that is known.
+    /// The delta from the follower's server list, if that is known here.
     pub fleet_delta: Option<FleetDelta>,
     /// The control VMs, if they differ.
     pub control: Option<Vec<VmId>>,
-    /// Whether the answering VM has what the leader has committed: if not, others may know of later
-    /// changes.
+    /// Whether the answering VM has everything that the leader has committed. If not, other VMs may
+    /// have later changes.
     pub fresh: bool,
-    /// Whether its server list was read, or confirmed by who reads it, just now.
+    /// Whether its server list was recently read, or confirmed by the VM that reads it.
     pub list_fresh: bool,
-    /// Its failure domain.
+    /// The failure domain of the answering VM.
     pub failure_domain: FailureDomainId,
-    /// Entries in all, as far as it knows; at least 1.
+    /// The total number of entries, as far as the answering VM knows; at least 1.
     pub entries: u32,
-    /// The term of the leader that the answering VM hears from; 0 if it hears from none.
+    /// The term of the answering VM's leader; 0 if it knows none.
     pub term: Term,
-    /// The number of the document that the answering VM holds.
+    /// The number of the answering VM's document.
     pub held: DocumentNumber,
 }
 
-/// What a follower has learned; numbers never go back within a daemon's life.
+/// The state that a follower has received; numbers never decrease while the daemon runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SharedState {
     /// The operators' document.
     pub document: NumberedDocument,
     /// The named weights.
     pub weights: NamedWeights,
-    /// The server list; `None` before the first.
+    /// The server list; `None` before the first one.
     pub fleet: Option<Arc<FleetSnapshot>>,
-    /// The digest of the list as it was received: who sent it must not take what was kept of an
-    /// earlier one for a change, and send the same list again and again.
+    /// The digest of the list as it was received. `fleet` may retain servers of an earlier list; a
+    /// digest of it would differ from the sender's, which would then send the same list repeatedly.
     pub fleet_digest: u64,
-    /// The control VMs, as the replicas' membership names them; empty before the first answer.
+    /// The control VMs according to the replicas' membership; empty before the first answer.
     pub control: Vec<VmId>,
-    /// Entries that share the servers; at least 1 once known.
+    /// The number of entries that share the servers; 0 before the first answer.
     pub entries: u32,
-    /// The latest term in which a leader was heard of; it changes with each new leader.
+    /// The latest term in which a leader was known; it increases with each new leader.
     pub term: Term,
-    /// Whether a difference did not fit the document, so that the next one is needed whole.
+    /// Whether a delta could not be applied, so that the next document must be whole.
     pub needs_whole: bool,
 }
 
-/// Tells lists of control VMs apart; 0 for the empty one.
+/// The digest of a list of control VMs; 0 for the empty list.
 pub fn control_digest(control: &[VmId]) -> u64 {
     if control.is_empty() { 0 } else { xxh3_64(control.join("\n").as_bytes()).max(1) }
 }
 
 impl SharedState {
-    /// Takes over what is newer; true if anything was.
+    /// Applies everything in the reply that is newer; returns whether the state has changed.
     pub fn apply(&mut self, reply: FollowReply) -> bool {
         let before = self.clone();
         if let Some(document) = reply.document
@@ -141,7 +142,7 @@
             self.needs_whole = false;
         }
         if let Some(delta) = reply.document_delta {
-            self.take_delta(&delta);
+            self.apply_document_delta(&delta);
         }
         for (model, version) in reply.weights.into_iter().flatten() {
             let known = self.weights.entry(model).or_default();
@@ -149,13 +150,13 @@
         }
         if let Some(fleet) = reply.fleet {
             let digest = fleet.digest();
-            self.take_fleet(fleet, digest);
+            self.set_fleet(fleet, digest);
         }
         if let Some(delta) = reply.fleet_delta
             && delta.base == self.fleet_digest
         {
             let former = self.fleet.clone().unwrap_or_default();
-            self.take_fleet(former.with(&delta), delta.digest);
+            self.set_fleet(former.with(&delta), delta.digest);
         }
         if let Some(control) = reply.control {
             self.control = control;
@@ -165,7 +166,7 @@
         *self != before
     }
 
-    fn take_delta(&mut self, delta: &DocumentDelta) {
+    fn apply_document_delta(&mut self, delta: &DocumentDelta) {
         if delta.number <= self.document.number {
             return;
         }
@@ -173,13 +174,13 @@
             Ok(document) => self.document = document,
             Err(error) => {
                 log::warn!(document = self.document.number, error:% = error;
-                    "a changed document was not taken");
+                    "cannot apply a document delta; requesting the whole document");
                 self.needs_whole = true;
             }
         }
     }
 
-    fn take_fleet(&mut self, mut fleet: FleetSnapshot, digest: u64) {
+    fn set_fleet(&mut self, mut fleet: FleetSnapshot, digest: u64) {
         self.fleet_digest = digest;
         if let Some(former) = &self.fleet {
             fleet.keep_draining(former);
--- a/src/follow/confirmation.rs
+++ b/src/follow/confirmation.rs
@@ -1,49 +1,49 @@
-//! How long ago a follower last heard from a control VM that is up to date.
+//! Monitors how long ago a control VM that is up to date last answered a follower.
 
 use {
     crate::observe::{events, metrics::CONFIG_UNCONFIRMED},
     std::time::{Duration, Instant},
 };
 
-/// Without a confirmation for so long the log tells of it: longer than an election takes.
+/// A missing confirmation is logged after this time, which is longer than an election.
 pub const CONFIRMATION_LIMIT: Duration = Duration::from_secs(2);
 
-/// Who was asked, and who answered.
+/// The number of control VMs that were asked and that answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AskedPeers {
-    /// Control VMs that were asked.
+    /// The number of control VMs that were asked.
     pub asked: usize,
-    /// Those that answered.
+    /// The number of control VMs that answered.
     pub answered: usize,
 }
 
-/// Tells in the log and the measures when no control VM that is up to date answers.
+/// Reports in the log and the metrics when no control VM that is up to date answers.
 #[derive(Debug)]
 pub struct ConfirmationMonitor {
     confirmed_at: Instant,
-    is_told: bool,
+    is_unconfirmed: bool,
 }
 
 impl ConfirmationMonitor {
-    /// A watch that counts from `now`.
+    /// A monitor that measures from `now`.
     pub fn new(now: Instant) -> Self {
-        ConfirmationMonitor { confirmed_at: now, is_told: false }
+        ConfirmationMonitor { confirmed_at: now, is_unconfirmed: false }
     }
 
-    /// Takes in whether a VM that is up to date answered. True if the log was told of a change.
+    /// Records whether a VM that is up to date answered. Returns whether a change was logged.
     pub fn record(&mut self, now: Instant, confirmed: bool, peers: AskedPeers) -> bool {
         let age = now.saturating_duration_since(self.confirmed_at);
-        let was_told = self.is_told;
+        let was_unconfirmed = self.is_unconfirmed;
         if confirmed {
             self.confirmed_at = now;
-            self.is_told = false;
+            self.is_unconfirmed = false;
         } else {
-            self.is_told |= age >= CONFIRMATION_LIMIT;
+            self.is_unconfirmed |= age >= CONFIRMATION_LIMIT;
         }
-        let shown = if confirmed { Duration::ZERO } else { age };
-        metrics::gauge!(CONFIG_UNCONFIRMED).set(shown.as_secs_f64());
+        let gauge_value = if confirmed { Duration::ZERO } else { age };
+        metrics::gauge!(CONFIG_UNCONFIRMED).set(gauge_value.as_secs_f64());
         let age_ms = age.as_millis() as u64;
-        match (was_told, self.is_told) {
+        match (was_unconfirmed, self.is_unconfirmed) {
             (false, true) => log::warn!(asked = peers.asked, answered = peers.answered,
                 age_ms = age_ms; "{}", events::CONFIG_UNCONFIRMED),
             (true, false) => log::info!(age_ms = age_ms; "{}", events::CONFIG_CONFIRMED),
--- a/src/follow/document_delta.rs
+++ b/src/follow/document_delta.rs
@@ -1,8 +1,8 @@
-//! What changed of a document, for followers that hold an earlier one.
+//! Deltas between documents, for followers that have an earlier one.
 //!
-//! Load pattern: operators change a few routes of a long document, several times a minute, and hundreds of
-//! daemons follow it. Sent whole to each of them, it takes so much of a control VM's processor that the
-//! leader's heartbeats come too late.
+//! Load pattern: operators change a few routes of a long document several times a minute, and
+//! hundreds of daemons follow it. Sending the whole document to each of them takes so much
+//! processor time on a control VM that the leader's heartbeats are delayed.
 
 use {
     crate::{
@@ -19,61 +19,62 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Lengths in bytes of the chunks that documents are compared by: a route takes some hundred bytes.
+/// The minimum, average and maximum length in bytes of the chunks that documents are compared by. A
+/// route takes some hundred bytes.
 const CHUNK_LENGTHS: (usize, usize, usize) = (64, 256, 1_024);
-/// A difference that brings more than this part of the document is not made: the whole one is held once
-/// for all followers, a difference for each of them.
-const MOST_NEW: usize = 8;
-/// Documents kept beside the present one.
+/// No delta is created if more than one part in this many of the document is new: the whole
+/// document is stored once for all followers, a delta separately for each base.
+const MAX_NEW_DIVISOR: usize = 8;
+/// The maximum number of documents kept besides the present one.
 const KEPT_DOCUMENTS: usize = 16;
-/// Bytes of the documents kept beside the present one.
+/// The maximum total length in bytes of the documents kept besides the present one.
 const KEPT_BYTES: usize = 8 << 20;
 
-/// A part of a document.
+/// A part of a document in a delta.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DocumentPart {
-    /// Bytes of the former document.
+    /// Bytes copied from the base document.
     Kept {
-        /// The first of them.
+        /// The offset of the first byte.
         start: u32,
-        /// How many.
+        /// The number of bytes.
         length: u32,
     },
-    /// Bytes that it does not have there.
+    /// Bytes that are not copied from the base document.
     New(Vec<u8>),
 }
 
-/// What makes one document out of another.
+/// The delta from one document to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentDelta {
     /// The number of the document that it applies to.
     pub base: DocumentNumber,
-    /// The number of the document that comes out.
+    /// The number of the resulting document.
     pub number: DocumentNumber,
-    /// Its parts in order.
+    /// The parts of the resulting document in order.
     pub parts: Vec<DocumentPart>,
-    /// The digest of its body.
+    /// The digest of the resulting document's body.
     pub digest: u64,
 }
 
-/// Why a difference was not applied.
+/// Why a delta was not applied.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum DeltaError {
-    /// the difference is to document {base}, not to {held}; ask for the whole one
+    /// the delta applies to document {base}, not to {held}; request the whole document
     OtherBase {
-        /// The base of the difference.
+        /// The base of the delta.
         base: DocumentNumber,
-        /// The document held.
+        /// The number of the follower's document.
         held: DocumentNumber,
     },
-    /// the difference does not fit the document held; ask for the whole one
+    /// the delta does not fit the body of the base document; request the whole document
     OtherBody,
 }
 
 impl std::error::Error for DeltaError {}
 
 impl DocumentDelta {
-    /// The difference from `base` to `present`; `None` if too little of it would be kept.
+    /// The delta from `base` to `present`; `None` if too much of it would be new.
     pub fn between(base: &NumberedDocument, present: &NumberedDocument) -> Option<Self> {
         let (former, body) = (base.body.as_bytes(), present.body.as_bytes());
         let mut known: BTreeMap<&[u8], usize> = BTreeMap::new();
@@ -83,7 +84,7 @@
         let mut parts = Vec::new();
         let mut new_bytes = 0;
         for (_, chunk) in chunks(body) {
-            if keep(&mut parts, former, chunk, &known) {
+            if push_kept(&mut parts, former, chunk, &known) {
                 continue;
             }
             new_bytes += chunk.len();
@@ -95,14 +96,14 @@
             }
         }
         let (base, number, digest) = (base.number, present.number, xxh3_64(body));
-        let is_small = new_bytes <= body.len() / MOST_NEW;
+        let is_small = new_bytes <= body.len() / MAX_NEW_DIVISOR;
         is_small.then_some(DocumentDelta { base, number, parts, digest })
     }
 
-    /// The document that comes out of `base`.
+    /// Applies the delta to `base`.
     ///
     /// # Errors
-    /// When this is not the difference to `base`: then nothing may be made of it.
+    /// When `base` is not the document that the delta was created from.
     pub fn apply(&self, base: &NumberedDocument) -> Result<NumberedDocument, DeltaError> {
         if base.number != self.base {
             return Err(DeltaError::OtherBase { base: self.base, held: base.number });
@@ -130,13 +131,13 @@
 }
 
 fn chunks(body: &[u8]) -> impl Iterator<Item = (usize, &[u8])> {
-    let (least, usual, most) = CHUNK_LENGTHS;
-    FastCDC::new(body, least, usual, most)
+    let (minimum, average, maximum) = CHUNK_LENGTHS;
+    FastCDC::new(body, minimum, average, maximum)
         .map(|chunk| (chunk.offset, &body[chunk.offset..chunk.offset + chunk.length]))
 }
 
-/// Adds a chunk that the former document has; false if it has not.
-fn keep(
+/// Adds a chunk as a copy from the former document; false if that does not contain the chunk.
+fn push_kept(
     parts: &mut Vec<DocumentPart>,
     former: &[u8],
     chunk: &[u8],
@@ -154,27 +155,29 @@
     true
 }
 
-/// What a follower of the document lacks.
+/// The update of a follower to the present document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DocumentChange {
-    /// It holds a document that is known here.
+    /// The delta from the follower's document.
     Delta(Arc<DocumentDelta>),
-    /// It holds none, or one that is not known, or that little is left of.
+    /// The whole document: the follower has none, or an unknown one, or the delta would be too
+    /// large.
     Whole(NumberedDocument),
 }
 
-/// The latest documents, by number.
+/// The latest documents and the deltas to the present one.
 #[derive(Debug, Default)]
 pub struct DocumentHistory {
-    /// Oldest first, the present one last; beside it at most [`KEPT_DOCUMENTS`] of [`KEPT_BYTES`].
+    /// From the oldest to the present one; besides that at most [`KEPT_DOCUMENTS`] with at most
+    /// [`KEPT_BYTES`].
     documents: VecDeque<NumberedDocument>,
-    /// Differences to the present one by their base; `None` where none is worth it. At most one for each
-    /// document that is kept.
+    /// Deltas to the present document by the number of their base; `None` where the delta would be
+    /// too large. At most one for each document.
     deltas: BTreeMap<DocumentNumber, Option<Arc<DocumentDelta>>>,
 }
 
 impl DocumentHistory {
-    /// What makes `present` out of the document of number `held`.
+    /// The update from the document with number `held` to `present`.
     pub fn change_since(
         &mut self,
         held: DocumentNumber,
@@ -185,13 +188,13 @@
         let mut documents = self.documents.iter();
         let base = documents.find(|document| is_last && document.number == held);
         let delta = base.and_then(|base| {
-            let made = self.deltas.entry(held);
-            made.or_insert_with(|| DocumentDelta::between(base, present).map(Arc::new)).clone()
+            let cached = self.deltas.entry(held);
+            cached.or_insert_with(|| DocumentDelta::between(base, present).map(Arc::new)).clone()
         });
         delta.map_or_else(|| DocumentChange::Whole(present.clone()), DocumentChange::Delta)
     }
 
-    /// Keeps the present document, for followers that will lack the next one.
+    /// Adds the present document as a base for later deltas.
     pub fn record(&mut self, present: &NumberedDocument) {
         if self.documents.back().is_some_and(|last| last.number >= present.number) {
             return;
--- a/src/follow/service.rs
+++ b/src/follow/service.rs
@@ -1,4 +1,4 @@
-//! Answers followers at a control VM.
+//! Answers the requests of followers at a control VM.
 
 use {
     super::{
@@ -29,26 +29,29 @@
     tokio::time::{Instant, timeout},
 };
 
-/// A follower that did not ask for so long is gone: three waits for an answer.
-const FOLLOWER_SILENCE: Duration = Duration::from_secs(3);
-/// Followers counted: several times the 380 daemons of the design size.
+/// A follower that sends no request for this long is no longer counted: three times the longest
+/// delay of an answer.
+const FOLLOWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// The maximum number of followers that are counted: several times the 380 daemons of the design
+/// size.
 const MAX_FOLLOWERS: usize = 2_048;
 
-/// The desk of one control VM, open once its replica runs.
+/// Answers followers at one control VM, once its replica runs.
 pub struct FollowService {
     failure_domain: FailureDomainId,
     board: Arc<FleetBoard>,
     replica: std::sync::OnceLock<ControlHandle>,
-    /// The documents that followers may hold.
+    /// The documents that followers may have.
     documents: Mutex<DocumentHistory>,
-    /// When each follower last asked, and the entries it counts; at most [`MAX_FOLLOWERS`].
+    /// The time of each follower's last request and the number of entries that it stands for; at
+    /// most [`MAX_FOLLOWERS`].
     followers: Mutex<BTreeMap<VmId, (Instant, u32)>>,
-    /// Entries in all, as the leader last said.
-    told_entries: Mutex<u32>,
+    /// The total number of entries that the leader last reported.
+    total_entries: Mutex<u32>,
 }
 
 impl FollowService {
-    /// A desk that answers with a refusal until [`Self::open`].
+    /// A service that refuses requests until [`Self::open`].
     pub fn new(failure_domain: FailureDomainId, board: Arc<FleetBoard>) -> Self {
         FollowService {
             failure_domain,
@@ -56,37 +59,37 @@
             replica: std::sync::OnceLock::new(),
             documents: Mutex::default(),
             followers: Mutex::default(),
-            told_entries: Mutex::default(),
+            total_entries: Mutex::default(),
         }
     }
 
-    /// Opens the desk; a second call changes nothing.
+    /// Starts to serve with `replica`; a second call has no effect.
     pub fn open(&self, replica: ControlHandle) {
         if self.replica.set(replica).is_err() {
-            log::error!("the desk for followers was opened twice");
+            log::error!("the follow service was opened twice");
         }
     }
 
-    /// Notes the entries in all, as the leader counts them.
+    /// Sets the total number of entries that the leader reported.
     pub fn set_total_entries(&self, entries: u32) {
-        *self.told_entries.lock().unwrap_or_else(PoisonError::into_inner) = entries;
+        *self.total_entries.lock().unwrap_or_else(PoisonError::into_inner) = entries;
     }
 
-    /// Entries that follow this VM.
+    /// The number of entries that follow this VM, directly or through another control VM.
     pub fn own_entries(&self) -> u32 {
         let mut followers = self.followers.lock().unwrap_or_else(PoisonError::into_inner);
-        followers.retain(|_, (asked, _)| asked.elapsed() < FOLLOWER_SILENCE);
+        followers.retain(|_, (last_request, _)| last_request.elapsed() < FOLLOWER_TIMEOUT);
         metrics::gauge!(FOLLOWERS).set(followers.len() as f64);
         followers.values().map(|(_, entries)| *entries).sum()
     }
 
     fn entries(&self, status: &ReplicaStatus) -> u32 {
-        let told = *self.told_entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let reported = *self.total_entries.lock().unwrap_or_else(PoisonError::into_inner);
         let own = self.own_entries();
-        if status.role == ReplicaRole::Leader { own } else { own.max(told) }
+        if status.role == ReplicaRole::Leader { own } else { own.max(reported) }
     }
 
-    fn note_follower(&self, from: VmId, kind: FollowerKind) {
+    fn record_follower(&self, from: VmId, kind: FollowerKind) {
         let mut followers = self.followers.lock().unwrap_or_else(PoisonError::into_inner);
         if followers.len() < MAX_FOLLOWERS || followers.contains_key(&from) {
             let entries = match kind {
@@ -99,22 +102,26 @@
 
     async fn answer(&self, from: VmId, request: FollowRequest) -> PeerReply {
         let Some(replica) = self.replica.get() else {
-            return PeerReply::Refused("this replica starts; ask another control VM".to_owned());
+            return PeerReply::Refused(
+                "this replica is starting; ask another control VM".to_owned(),
+            );
         };
         if request.mode != AnswerMode::Suitability {
-            self.note_follower(from, request.follower);
+            self.record_follower(from, request.follower);
         }
         if request.mode == AnswerMode::Wait {
-            // After the wait the answer is that nothing has changed.
+            // After a timeout the reply is sent without changes.
             let _ = timeout(ANSWER_WAIT, self.changed(replica, &request)).await;
         }
         let status = replica.status();
         let documents = replica.documents();
         let state = documents.borrow().clone();
-        let mut reply = short_changes(&request, &state, &status);
+        let mut reply = small_changes(&request, &state, &status);
         match request.mode {
             AnswerMode::Suitability => {}
-            AnswerMode::Now | AnswerMode::Wait => self.add_long(&request, &state, &mut reply),
+            AnswerMode::Now | AnswerMode::Wait => {
+                self.add_large_changes(&request, &state, &mut reply)
+            }
         }
         reply.held = state.document().number;
         reply.fresh = status.is_fresh;
@@ -125,29 +132,31 @@
         PeerReply::Followed(Box::new(reply))
     }
 
-    /// Ends when there is something to tell.
+    /// Completes when there is a change to send.
     async fn changed(&self, replica: &ControlHandle, request: &FollowRequest) {
         let mut documents = replica.documents();
         let mut fleet = self.board.subscribe_shown();
         let mut status = replica.status_watch();
         loop {
             fleet.mark_unchanged();
-            let relisted = self.board.change_since(request.fleet).is_some();
+            let list_changed = self.board.change_since(request.fleet).is_some();
             let changed = {
                 let state = documents.borrow_and_update();
-                is_outdated(request, &state) || is_renamed(request, &state)
+                is_outdated(request, &state) || has_other_weights(request, &state)
             };
             let (behind, term) = {
                 let status = status.borrow_and_update();
                 (!status.is_fresh, leader_term(&status))
             };
-            // Who leads decides how long entries wait for named weights, so it is told at once.
-            let entry = request.follower == FollowerKind::Entry;
-            let another = entry && term > request.term;
-            if behind || another || changed || relisted {
+            // How long entries wait for named weights depends on the leader, so a new one is
+            // reported immediately.
+            let is_entry = request.follower == FollowerKind::Entry;
+            let has_new_leader = is_entry && term > request.term;
+            if behind || has_new_leader || changed || list_changed {
                 return;
             }
-            // An ended channel means that the replica is gone; the wait then runs out.
+            // A closed channel means that the replica has ended; the request then waits for its
+            // timeout.
             let ended = tokio::select! {
                 changed = documents.changed() => changed.is_err(),
                 changed = fleet.changed() => changed.is_err(),
@@ -184,8 +193,14 @@
         metrics::counter!(FOLLOW_DOCUMENTS, "kind" => kind).increment(1);
     }
 
-    /// Adds what only the VM that is followed is asked for.
-    fn add_long(&self, request: &FollowRequest, state: &DocumentState, reply: &mut FollowReply) {
+    /// Adds the document and the server list, which are requested only from the VM that is
+    /// followed.
+    fn add_large_changes(
+        &self,
+        request: &FollowRequest,
+        state: &DocumentState,
+        reply: &mut FollowReply,
+    ) {
         self.add_document(request, state, reply);
         match self.board.change_since(request.fleet) {
             Some(FleetChange::Delta(delta)) => {
@@ -201,24 +216,24 @@
     }
 }
 
-/// What every VM that is asked tells, since it is short: the followed one may know neither of the group
-/// nor of the newest weights.
-fn short_changes(
+/// The changes that every VM sends in its answer, since they are small: the VM that is followed may
+/// know neither the group nor the latest weights.
+fn small_changes(
     request: &FollowRequest,
     state: &DocumentState,
     status: &ReplicaStatus,
 ) -> FollowReply {
     let control = control_vms(status);
-    let is_news = !control.is_empty() && control_digest(&control) != request.control;
+    let has_other_control = !control.is_empty() && control_digest(&control) != request.control;
     FollowReply {
-        weights: is_renamed(request, state).then(|| state.weights().clone()),
-        control: is_news.then_some(control),
+        weights: has_other_weights(request, state).then(|| state.weights().clone()),
+        control: has_other_control.then_some(control),
         ..FollowReply::default()
     }
 }
 
-/// The control VMs that a replica names to its followers. One that is not up to date names whatever
-/// may lead to the group: its followers may know no other VM.
+/// The control VMs that a replica reports to its followers. A replica that is not up to date adds
+/// its contacts, through which its followers can reach the group: they may know no other VM.
 pub fn control_vms(status: &ReplicaStatus) -> Vec<VmId> {
     let mut vms: BTreeSet<&VmId> = status.members.voters.keys().collect();
     if !status.is_fresh {
@@ -227,26 +242,26 @@
     vms.into_iter().cloned().collect()
 }
 
-/// The term of the leader that a replica hears from; 0 if it hears from none.
+/// The term of the replica's leader; 0 if it knows none.
 fn leader_term(status: &ReplicaStatus) -> Term {
     if status.leader.is_some() { status.term } else { 0 }
 }
 
-/// Whether an entry lacks the document; a control VM's replica brings its own.
+/// Whether an entry lacks the present document; a control VM gets it through its replica.
 fn is_outdated(request: &FollowRequest, state: &DocumentState) -> bool {
     request.follower == FollowerKind::Entry && state.document().number > request.document
 }
 
-/// Whether an entry lacks named weights.
-fn is_renamed(request: &FollowRequest, state: &DocumentState) -> bool {
+/// Whether an entry has other named weights.
+fn has_other_weights(request: &FollowRequest, state: &DocumentState) -> bool {
     request.follower == FollowerKind::Entry
         && *state.weights() != request.weights
         && !state.weights().is_empty()
 }
 
-/// What a control VM takes from its peers.
+/// Handles messages and requests of peers at a control VM.
 pub struct ControlHandler {
-    /// Answers followers.
+    /// Answers the requests of followers.
     pub service: Arc<FollowService>,
 }
 
@@ -264,13 +279,13 @@
         Box::pin(async move {
             match request {
                 PeerRequest::Follow(request) => service.answer(from, *request).await,
-                _ => PeerReply::Refused("a control VM serves followers only".to_owned()),
+                _ => PeerReply::Refused("a control VM serves only followers".to_owned()),
             }
         })
     }
 }
 
-/// What an entry takes from its peers: nothing; it only asks.
+/// Handles messages and requests of peers at an entry, which ignores or refuses all of them.
 pub struct EntryHandler;
 
 impl PeerHandler for EntryHandler {
@@ -278,7 +293,7 @@
 
     fn request(&self, _from: VmId, _request: PeerRequest) -> BoxFuture<'static, PeerReply> {
         Box::pin(async {
-            PeerReply::Refused("an entry answers no peers; ask a control VM".to_owned())
+            PeerReply::Refused("an entry does not answer peers; ask a control VM".to_owned())
         })
     }
 }
--- a/src/follow/task.rs
+++ b/src/follow/task.rs
@@ -1,4 +1,4 @@
-//! Follows the control VMs from an entry, or the leader from another control VM.
+//! Follows a control VM from an entry, or the leader from another control VM.
 
 use {
     super::{
@@ -23,78 +23,81 @@
     xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed},
 };
 
-/// A waiting answer that is so much late is not awaited any longer: the VM or the way to it is gone.
-/// With the wait itself a silent VM is left after 1.4 s, within the 2 s in which an accepted change
-/// must be in force.
-const ANSWER_SLACK: Duration = Duration::from_millis(400);
-/// How long the others are asked one after the other, each for an answer at once.
-const QUICK_ANSWER: Duration = Duration::from_millis(300);
-/// The pause when nobody answers, or nobody who is up to date.
-const PAUSE: Duration = Duration::from_millis(200);
-/// How often a follower that had to leave its own domain's control VM looks whether it is back.
-const HOME_LOOK: Duration = Duration::from_secs(3);
-
-/// What a follower tells of itself, and who hears what it learns.
+/// The time limit of a delayed answer beyond [`ANSWER_WAIT`]. An unresponsive VM is thereby
+/// abandoned after 1.4 s, within the 2 s in which an accepted change must be in force.
+const ANSWER_MARGIN: Duration = Duration::from_millis(400);
+/// Time limit of the suitability requests, which are answered immediately.
+const SUITABILITY_TIMEOUT: Duration = Duration::from_millis(300);
+/// The pause before the next selection when no VM answers, or none that is up to date.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// How long a follower stays with a control VM of another domain before it checks whether one of
+/// its own domain is available again.
+const LOCAL_CHECK_INTERVAL: Duration = Duration::from_secs(3);
+
+/// The role of a follower and the recipient of its updates.
 pub trait FollowerPort: Send + Sync {
-    /// Who follows.
+    /// The role of the follower.
     fn kind(&self) -> FollowerKind;
 
-    /// The VM that is followed answered, with or without news; `state` has taken it in. What others say
-    /// of themselves is not told: `state` lacks what they know.
+    /// Called after each answer of the VM that is followed, with or without changes; `state`
+    /// includes it. Answers to suitability requests are not reported, since they do not contain the
+    /// whole state.
     fn reply_received(&self, reply: &FollowReply, state: &SharedState);
 }
 
-/// A follower of the control VMs.
+/// The task that follows the control VMs.
 pub struct FollowTask {
     network: PeerNetwork,
     failure_domain: FailureDomainId,
     candidates: watch::Receiver<Vec<VmId>>,
     state: watch::Sender<SharedState>,
     port: Arc<dyn FollowerPort>,
-    /// `None` for a control VM, whose replica brings its configuration.
+    /// `None` on a control VM, which gets its configuration through its replica.
     confirmation: Option<ConfirmationMonitor>,
 }
 
-/// How well a control VM suits: whether it is up to date, then whether it is of the own failure
+/// How suitable a control VM is: whether it is up to date, then whether it is in the same failure
 /// domain. Greater is better.
 pub type Suitability = (bool, bool);
 
-/// What a follower does after an answer.
+/// How a follower continues after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowDecision {
-    /// Asks the same VM again.
+    /// Polls the same VM again.
     Stay,
-    /// Looks at all of them now.
+    /// Selects a VM anew immediately.
     Reselect,
-    /// Looks at all of them after a pause: this answer came without a wait.
+    /// Selects a VM anew after a pause, since this answer came without a delay.
     PauseAndReselect,
 }
 
-/// Judges an answer of a VM that suited so well `before` and `now`, after `elapsed` with it.
+/// Decides how to continue with a VM of suitability `before` at its selection and `now` in its
+/// answer, which has been followed for `elapsed`.
 ///
-/// While no VM is up to date, followers turn to that of their own domain. When others are again, that
-/// VM may still not be, because its disk was lost; a follower that stayed with it for some seconds
-/// would serve by a configuration that was replaced. So it looks again at once.
+/// While no VM is up to date, followers select that of their own domain. When others are up to date
+/// again, this VM may not be, for example because it has lost its disk. A follower that stayed with
+/// it for some seconds would serve with a replaced configuration, so it selects anew after a short
+/// pause.
 pub fn decide_follow(before: Suitability, now: Suitability, elapsed: Duration) -> FollowDecision {
     if !now.0 {
         return FollowDecision::PauseAndReselect;
     }
-    let away = !now.1 && elapsed > HOME_LOOK;
-    if now < before || away { FollowDecision::Reselect } else { FollowDecision::Stay }
+    let should_check = !now.1 && elapsed > LOCAL_CHECK_INTERVAL;
+    if now < before || should_check { FollowDecision::Reselect } else { FollowDecision::Stay }
 }
 
-/// The VM that suits the daemon on `vm` best. Among equals each daemon prefers another one, by a hash of
-/// both names: else all that have lost theirs would follow the same one.
+/// The most suitable VM for the daemon on `vm`. Among equals a hash of both names decides, so that
+/// followers that have lost their VM spread over the others.
 pub fn best_peer(
     vm: &VmId,
     peers: impl Iterator<Item = (VmId, Suitability)>,
 ) -> Option<(VmId, Suitability)> {
     let seed = xxh3_64(vm.as_bytes());
-    peers.max_by_key(|(peer, suits)| (*suits, xxh3_64_with_seed(peer.as_bytes(), seed)))
+    peers.max_by_key(|(peer, suitability)| (*suitability, xxh3_64_with_seed(peer.as_bytes(), seed)))
 }
 
 impl FollowTask {
-    /// A task that asks the `candidates` and shows what it learns in `state`.
+    /// A task that polls one of the `candidates` and publishes the result in `state`.
     pub fn new(
         network: PeerNetwork,
         failure_domain: FailureDomainId,
@@ -107,48 +110,48 @@
         FollowTask { network, failure_domain, candidates, state, port, confirmation }
     }
 
-    /// Follows for ever.
+    /// Runs forever.
     pub async fn run(mut self) {
         loop {
-            match self.choose().await {
-                Some((peer, suitability)) => self.stay(&peer, suitability).await,
+            match self.select_peer().await {
+                Some((peer, suitability)) => self.follow_peer(&peer, suitability).await,
                 None => self.pause().await,
             }
         }
     }
 
-    /// Waits before the next look; without candidates, for the first.
+    /// Waits before the next selection; without candidates, until there is one.
     async fn pause(&self) {
         let mut candidates = self.candidates.clone();
         if candidates.borrow_and_update().is_empty() && candidates.changed().await.is_ok() {
             return;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
 
-    /// Asks all candidates at once how well they suit; the best that answers.
-    async fn choose(&mut self) -> Option<(VmId, Suitability)> {
+    /// Requests the suitability of all candidates concurrently; returns the best that answers.
+    async fn select_peer(&mut self) -> Option<(VmId, Suitability)> {
         let candidates = self.candidates.borrow().clone();
         let task = &*self;
         let asked = candidates.iter().map(|peer| async move {
-            let reply = task.ask(peer, AnswerMode::Suitability, QUICK_ANSWER).await?;
+            let reply = task.ask(peer, AnswerMode::Suitability, SUITABILITY_TIMEOUT).await?;
             Some((task.suitability(&reply), peer.clone(), reply.held))
         });
         let answers: Vec<_> = join_all(asked).await.into_iter().flatten().collect();
         let peers = AskedPeers { asked: candidates.len(), answered: answers.len() };
-        let suiting = answers.iter().map(|(suits, peer, _)| (peer.clone(), *suits));
-        let best = best_peer(self.network.vm(), suiting);
-        let confirmed = best.as_ref().is_some_and(|(_, suits)| suits.0);
+        let suitable = answers.iter().map(|(suitability, peer, _)| (peer.clone(), *suitability));
+        let best = best_peer(self.network.vm(), suitable);
+        let confirmed = best.as_ref().is_some_and(|(_, suitability)| suitability.0);
         if !confirmed {
-            self.take_newest(&answers).await;
+            self.fetch_newest(&answers).await;
         }
-        self.note_confirmation(confirmed, peers);
+        self.record_confirmation(confirmed, peers);
         best
     }
 
-    /// Where nobody is up to date, takes the newest document that anybody holds: the VM that is
-    /// followed may hold an older one.
-    async fn take_newest(&self, answers: &[(Suitability, VmId, DocumentNumber)]) {
+    /// Fetches the newest document among all answers. Needed when no VM is up to date, since the VM
+    /// that is followed may have an older one.
+    async fn fetch_newest(&self, answers: &[(Suitability, VmId, DocumentNumber)]) {
         let newest = answers.iter().max_by_key(|(_, _, held)| *held);
         if let Some((_, peer, held)) = newest
             && *held > self.state.borrow().document.number
@@ -157,24 +160,25 @@
         }
     }
 
-    /// Follows one VM until it fails or another may suit better.
-    async fn stay(&mut self, peer: &VmId, suitability: Suitability) {
+    /// Follows one VM until it fails or another may be more suitable.
+    async fn follow_peer(&mut self, peer: &VmId, suitability: Suitability) {
         let since = Instant::now();
         log::info!(peer = peer.as_str(), fresh = suitability.0, own_domain = suitability.1;
             "{}", events::FOLLOWING);
-        while let Some(reply) = self.ask(peer, AnswerMode::Wait, ANSWER_WAIT + ANSWER_SLACK).await {
-            self.note_confirmation(reply.fresh, AskedPeers { asked: 1, answered: 1 });
+        while let Some(reply) = self.ask(peer, AnswerMode::Wait, ANSWER_WAIT + ANSWER_MARGIN).await
+        {
+            self.record_confirmation(reply.fresh, AskedPeers { asked: 1, answered: 1 });
             match decide_follow(suitability, self.suitability(&reply), since.elapsed()) {
                 FollowDecision::Stay => {}
                 FollowDecision::Reselect => return,
-                FollowDecision::PauseAndReselect => return sleep(PAUSE).await,
+                FollowDecision::PauseAndReselect => return sleep(RETRY_PAUSE).await,
             }
         }
         log::warn!(peer = peer.as_str(), followed_ms = since.elapsed().as_millis() as u64;
             "{}", events::FOLLOWING_LOST);
     }
 
-    fn note_confirmation(&mut self, confirmed: bool, peers: AskedPeers) {
+    fn record_confirmation(&mut self, confirmed: bool, peers: AskedPeers) {
         if let Some(confirmation) = &mut self.confirmation {
             confirmation.record(StdInstant::now(), confirmed, peers);
         }
@@ -208,7 +212,7 @@
             }
             Ok(_) => None,
             Err(error) => {
-                log::debug!(peer = peer.as_str(); "not followed: {error}");
+                log::debug!(peer = peer.as_str(); "follow request failed: {error}");
                 None
             }
         }
