--- a/examples/control_load.rs
+++ b/examples/control_load.rs
@@ -1,8 +1,9 @@
-//! Measures the control state: three replicas in one process on real folders, joined by channels.
+//! Benchmark of the control state: three replicas in one process on real folders, connected by
+//! channels.
 //!
-//! `cargo run --release --example control_load [FOLDER]` prints commits a second and their latency
-//! beside a loop that only syncs, recovery time by length of the log, and what a replica at rest
-//! costs. The folder must be on the disk to be measured; the default is `target`.
+//! `cargo run --release --example control_load [FOLDER]` prints commits a second and their latency,
+//! the same for a loop that only syncs a file, recovery time by length of the log, and the resource
+//! use of an idle replica. The folder must be on the disk to be measured; the default is `target`.
 
 use {
     hdrhistogram::Histogram,
@@ -31,11 +32,11 @@
     tokio::{sync::mpsc, task::JoinSet, time},
 };
 
-/// How long each load runs: long enough for some thousand syncs on a usual disk.
+/// The duration of each load: long enough for some thousand syncs on a typical disk.
 const LOAD_TIME: Duration = Duration::from_secs(3);
-/// How long the replicas are watched at rest: forty heartbeats.
-const REST_TIME: Duration = Duration::from_secs(10);
-/// The size of a frame with one claim of the ledger, for the loop that only syncs.
+/// The duration of the measurement of idle replicas: forty heartbeats.
+const IDLE_TIME: Duration = Duration::from_secs(10);
+/// The length of a log frame with one claim of the ledger, for the loop that only syncs.
 const FRAME_BYTES: usize = 200;
 const PROPOSERS: [usize; 4] = [1, 8, 64, 512];
 const LOG_LENGTHS: [u64; 4] = [1_000, 4_000, 16_000, 64_000];
@@ -43,10 +44,10 @@
 
 type MeasureResult<T> = Result<T, Box<dyn Error + Send + Sync>>;
 
-/// Three replicas and what goes between them.
+/// Three replicas and the traffic between them.
 struct MeasuredGroup {
     handles: BTreeMap<VmId, ControlHandle>,
-    /// Bytes sent by all of them, as the transport would encode them.
+    /// Bytes that all replicas have sent, in the transport's encoding.
     sent_bytes: Arc<AtomicU64>,
 }
 
@@ -57,13 +58,13 @@
     println!("{:<34} {:>10} {:>10} {:>10}", "load", "a second", "p50 us", "p99 us");
     let (count, histogram) = sync_only(&folder.path().join("sync"))?;
     print_load("syncs of one file, nothing else", count, &histogram);
-    let group = start_group(folder.path())?;
+    let group = start_replicas(folder.path())?;
     let leader = wait_leader(&group).await?;
     for proposers in PROPOSERS {
         let (count, histogram) = commit_load(&leader, proposers).await?;
         print_load(&format!("commits, {proposers} proposers"), count, &histogram);
     }
-    measure_rest(&group).await?;
+    measure_idle(&group).await?;
     drop((leader, group));
     println!("\n{:<34} {:>10} {:>10}", "recovery of a log of", "bytes", "ms");
     for length in LOG_LENGTHS {
@@ -96,7 +97,7 @@
     Ok((histogram.len(), histogram))
 }
 
-fn start_group(folder: &Path) -> MeasureResult<MeasuredGroup> {
+fn start_replicas(folder: &Path) -> MeasureResult<MeasuredGroup> {
     let founders: Vec<VmId> = NAMES.iter().map(ToString::to_string).collect();
     let sent_bytes = Arc::new(AtomicU64::new(0));
     let mut handles = BTreeMap::new();
@@ -136,10 +137,10 @@
         }
         time::sleep(Duration::from_millis(50)).await;
     }
-    Err("no leader within 20 s; is the disk very slow?".into())
+    Err("no leader within 20 s; use a faster disk".into())
 }
 
-/// A claim of a call; the keys repeat, so that the ledger does not fill up.
+/// A claim of a call. The keys repeat, so that the ledger does not become full.
 fn claim(number: u64) -> Command {
     Command::Reserve {
         organisation: "organisation-1".to_owned(),
@@ -180,7 +181,7 @@
     Ok((histogram.len(), histogram))
 }
 
-/// Processor time of all threads so far.
+/// The processor time of all threads of this process.
 fn processor_time() -> MeasureResult<Duration> {
     let mut nanos = 0;
     for task in fs::read_dir("/proc/self/task")? {
@@ -190,15 +191,15 @@
     Ok(Duration::from_nanos(nanos))
 }
 
-async fn measure_rest(group: &MeasuredGroup) -> MeasureResult<()> {
+async fn measure_idle(group: &MeasuredGroup) -> MeasureResult<()> {
     let (bytes, busy) = (group.sent_bytes.load(Ordering::Relaxed), processor_time()?);
-    time::sleep(REST_TIME).await;
+    time::sleep(IDLE_TIME).await;
     let bytes = group.sent_bytes.load(Ordering::Relaxed) - bytes;
-    let share = (processor_time()? - busy).as_secs_f64() / REST_TIME.as_secs_f64();
+    let share = (processor_time()? - busy).as_secs_f64() / IDLE_TIME.as_secs_f64();
     let replicas = NAMES.len() as f64;
     println!("\none replica of three at rest, leader and followers alike on average");
     println!("{:<34} {:>9.3}%", "  processor time of a core", 100.0 * share / replicas);
-    let rate = bytes as f64 / REST_TIME.as_secs_f64() / replicas;
+    let rate = bytes as f64 / IDLE_TIME.as_secs_f64() / replicas;
     println!("{:<34} {rate:>10.0}", "  bytes sent a second");
     let status = fs::read_to_string("/proc/self/status")?;
     let resident = status.lines().find(|line| line.starts_with("VmRSS")).unwrap_or_default();
--- a/tests/config_confirmation.rs
+++ b/tests/config_confirmation.rs
@@ -1,5 +1,5 @@
-//! What operators are told of an entry whose configuration nobody confirms, and of a group that
-//! cannot be repaired.
+//! Reports to operators about an entry whose configuration is not confirmed, and about a control
+//! group that cannot be repaired.
 
 use {
     oleandermount::{
@@ -19,21 +19,22 @@
 const PEERS: AskedPeers = AskedPeers { asked: 3, answered: 2 };
 const STEP: Duration = Duration::from_millis(200);
 
-/// An entry that serves by an old document for long, with nothing in its log.
+/// Guards against an entry that serves with an old document for long without a message in its log,
+/// and against repeated messages.
 #[test]
-fn told_once_each_way() {
-    let began = Instant::now();
-    let mut watch = ConfirmationMonitor::new(began);
-    assert!(!watch.record(began + STEP, false, PEERS), "an election takes as long");
-    assert!(watch.record(began + CONFIRMATION_LIMIT, false, PEERS));
-    assert!(!watch.record(began + CONFIRMATION_LIMIT + STEP, false, PEERS));
-    assert!(watch.record(began + CONFIRMATION_LIMIT + STEP * 2, true, PEERS));
-    assert!(!watch.record(began + CONFIRMATION_LIMIT + STEP * 3, true, PEERS));
+fn logs_each_change_once() {
+    let start = Instant::now();
+    let mut monitor = ConfirmationMonitor::new(start);
+    assert!(!monitor.record(start + STEP, false, PEERS), "an election may take this long");
+    assert!(monitor.record(start + CONFIRMATION_LIMIT, false, PEERS));
+    assert!(!monitor.record(start + CONFIRMATION_LIMIT + STEP, false, PEERS));
+    assert!(monitor.record(start + CONFIRMATION_LIMIT + STEP * 2, true, PEERS));
+    assert!(!monitor.record(start + CONFIRMATION_LIMIT + STEP * 3, true, PEERS));
 }
 
-/// A group that stays without a voter, with nothing in the leader's log.
+/// Guards against a group that lacks a voter without a message in the leader's log.
 #[test]
-fn unmet_repair_is_told() {
+fn reports_needed_repair() {
     let now = Instant::now();
     let voters: BTreeMap<String, u64> =
         [("vm-a", 1), ("vm-b", 2), ("vm-c", 3)].map(|(vm, disk)| (vm.to_owned(), disk)).into();
@@ -50,5 +51,5 @@
     let need = RepairNeed { silent: vec!["vm-c".to_owned()], ..RepairNeed::default() };
     assert_eq!(repair_need(later, &status, 3), Some(need));
     status.leader_since = None;
-    assert_eq!(repair_need(later, &status, 3), None, "another VM leads");
+    assert_eq!(repair_need(later, &status, 3), None, "only the leader reports");
 }
--- a/tests/config_dissemination.rs
+++ b/tests/config_dissemination.rs
@@ -1,4 +1,4 @@
-//! A committed configuration reaches every daemon and never gives way to a lower one.
+//! A committed configuration reaches every daemon, and no daemon returns to a lower revision.
 
 use {
     oleandermount::{
@@ -28,9 +28,9 @@
     Arc::new(ActiveConfig { revision, ..ActiveConfig::default() })
 }
 
-/// Daemons `D.N` of domains that may be cut off from each other; `D.0` has the disk. Messages
-/// take a millisecond, and one in ten is lost.
-struct SpreadBench {
+/// Simulated daemons `D.N` of failure domains that can be cut off from each other; `D.0` has a
+/// disk. Messages take a millisecond, and one notice in ten is lost.
+struct DisseminationSimulation {
     now: Instant,
     size: usize,
     domains: usize,
@@ -42,9 +42,9 @@
     notices: u64,
 }
 
-impl SpreadBench {
+impl DisseminationSimulation {
     fn new(domains: usize, size: usize, seed: u64) -> Self {
-        let mut bench = Self {
+        let mut simulation = Self {
             now: Instant::now(),
             size,
             domains,
@@ -56,21 +56,21 @@
             notices: 0,
         };
         for vm in (0..domains).flat_map(|d| (0..size).map(move |n| format!("{d}.{n}"))) {
-            bench.restart(&vm);
+            simulation.restart(&vm);
         }
-        bench
+        simulation
     }
 
     fn restart(&mut self, vm: &str) {
         let (domain, number) = vm.split_once('.').expect("names have two parts");
-        let mut near: Vec<VmId> = (0..self.size).map(|n| format!("{domain}.{n}")).collect();
-        near.retain(|other| other != vm);
+        let mut domain_peers: Vec<VmId> = (0..self.size).map(|n| format!("{domain}.{n}")).collect();
+        domain_peers.retain(|other| other != vm);
         let mut others: Vec<VmId> = (0..self.domains).map(|d| format!("{d}.0")).collect();
         others.retain(|other| !other.starts_with(&format!("{domain}.")));
         let mut durable_peers = vec![format!("{domain}.0")];
         durable_peers.retain(|other| other != vm);
         let kind = if number == "0" { StorageKind::Durable } else { StorageKind::Diskless };
-        let view = PeerView { domain: near, durable_peers, others };
+        let view = PeerView { domain: domain_peers, durable_peers, others };
         let core = DisseminationCore::new(self.now, kind, view, self.random.next_u64());
         self.cores.insert(vm.to_owned(), core);
     }
@@ -80,11 +80,11 @@
         inside(a) != inside(b)
     }
 
-    fn give(&mut self, vm: &VmId, input: DisseminationInput) {
+    fn input_to(&mut self, vm: &VmId, input: DisseminationInput) {
         let core = self.cores.get_mut(vm).expect("the daemon exists");
         let before = core.history().current().revision;
         let actions = core.handle(self.now, input);
-        assert!(core.history().current().revision >= before, "{vm} went back");
+        assert!(core.history().current().revision >= before, "the revision of {vm} decreased");
         for action in actions {
             self.perform(vm, action);
         }
@@ -126,12 +126,15 @@
                 Some(key) => {
                     let (to, input) = self.events.remove(&key).expect("it was there");
                     self.now = key.0;
-                    self.give(&to, input);
+                    self.input_to(&to, input);
                 }
                 None if due <= end => {
-                    assert!(due >= self.now || event.is_none(), "{vm} wants to wake in the past");
+                    assert!(
+                        due >= self.now || event.is_none(),
+                        "{vm} requests a wakeup in the past"
+                    );
                     self.now = self.now.max(due);
-                    self.give(&vm, DisseminationInput::Wake);
+                    self.input_to(&vm, DisseminationInput::Wake);
                 }
                 None => break self.now = end,
             }
@@ -144,80 +147,81 @@
     }
 }
 
-/// An operator's change is in force everywhere within 13 s at the size the users plan for: 378
-/// daemons in seven domains, with a tenth of all messages lost. The replicas alone learn of the
-/// commit; no daemon is sent more than a few messages a second.
+/// A change is in force everywhere within 13 s at the design size of 378 daemons in seven domains,
+/// with a tenth of all notices lost. Only the replicas learn of the commit directly. Each daemon
+/// sends less than two notices a second on average.
 #[test]
 fn change_reaches_all_daemons() {
-    let mut bench = SpreadBench::new(7, 54, 11);
+    let mut simulation = DisseminationSimulation::new(7, 54, 11);
     for domain in 0..7 {
-        bench.give(&format!("{domain}.0"), DisseminationInput::Committed(config(1)));
+        simulation.input_to(&format!("{domain}.0"), DisseminationInput::Committed(config(1)));
     }
-    bench.run(Duration::from_secs(13));
-    assert_eq!(bench.behind(1), Vec::<&VmId>::new());
-    bench.notices = 0;
+    simulation.run(Duration::from_secs(13));
+    assert_eq!(simulation.behind(1), Vec::<&VmId>::new());
+    simulation.notices = 0;
     for domain in 0..7 {
-        bench.give(&format!("{domain}.0"), DisseminationInput::Committed(config(2)));
+        simulation.input_to(&format!("{domain}.0"), DisseminationInput::Committed(config(2)));
     }
-    bench.run(Duration::from_secs(13));
-    assert_eq!(bench.behind(2), Vec::<&VmId>::new());
-    let each_second = bench.notices as f64 / 378.0 / 13.0;
-    assert!(each_second < 2.0, "{each_second} notices a second at each daemon");
+    simulation.run(Duration::from_secs(13));
+    assert_eq!(simulation.behind(2), Vec::<&VmId>::new());
+    let each_second = simulation.notices as f64 / 378.0 / 13.0;
+    assert!(each_second < 2.0, "{each_second} notices a second per daemon");
 }
 
-/// Callers in a cut-off domain are served by the rules that were accepted last, also after all of
-/// its diskless daemons restart together: the domain's disk replica gives them what they had.
-/// The news that the cut keeps out comes in when it heals.
+/// Daemons of a domain that is cut off serve with the last revision they had, even after all of its
+/// diskless daemons restart together: they fetch it from the domain's durable daemon. A change that
+/// was accepted outside arrives once the partition has healed.
 #[test]
-fn cut_domain_restarts_without_a_revert() {
-    let mut bench = SpreadBench::new(3, 9, 5);
+fn isolated_domain_restarts_without_revert() {
+    let mut simulation = DisseminationSimulation::new(3, 9, 5);
     for domain in 0..3 {
-        bench.give(&format!("{domain}.0"), DisseminationInput::Committed(config(7)));
+        simulation.input_to(&format!("{domain}.0"), DisseminationInput::Committed(config(7)));
     }
-    bench.run(Duration::from_secs(13));
-    bench.cut = Some("1.".to_owned());
-    bench.give(&"0.0".to_owned(), DisseminationInput::Committed(config(8)));
+    simulation.run(Duration::from_secs(13));
+    simulation.cut = Some("1.".to_owned());
+    simulation.input_to(&"0.0".to_owned(), DisseminationInput::Committed(config(8)));
     for number in 1..9 {
-        bench.restart(&format!("1.{number}"));
+        simulation.restart(&format!("1.{number}"));
     }
-    bench.run(Duration::from_secs(2));
-    assert_eq!(bench.behind(7), Vec::<&VmId>::new(), "all serve again within two seconds");
-    assert!(bench.behind(8).iter().all(|vm| vm.starts_with("1.")));
-    bench.cut = None;
-    bench.run(Duration::from_secs(13));
-    assert_eq!(bench.behind(8), Vec::<&VmId>::new());
+    simulation.run(Duration::from_secs(2));
+    assert_eq!(
+        simulation.behind(7),
+        Vec::<&VmId>::new(),
+        "all daemons serve again within two seconds"
+    );
+    assert!(simulation.behind(8).iter().all(|vm| vm.starts_with("1.")));
+    simulation.cut = None;
+    simulation.run(Duration::from_secs(13));
+    assert_eq!(simulation.behind(8), Vec::<&VmId>::new());
 }
 
-/// An accepted change stays in force for callers of a domain although its daemons forget. A daemon
-/// hears of revision 2 from outside before its domain's disk replica has it; a cut and a restart
-/// at that moment would bring it up with revision 1. So it leaves the news alone until the domain
-/// has it, or until the disk replica has shown for three seconds that it does not follow.
+/// Guards against a reverted change at a daemon without a disk. The daemon is offered revision 2
+/// from outside before its domain's durable daemon has it. If it adopted it, a partition and a
+/// restart would bring it back to revision 1. So it waits until the durable daemon offers the
+/// revision, or for three seconds.
 #[test]
-fn news_from_outside_waits_for_the_domain() {
+fn remote_revision_waits_for_durable_peer() {
     let start = Instant::now();
-    let [anchor, foreign] = ["a.0", "b.0"].map(str::to_owned);
+    let [durable, remote] = ["a.0", "b.0"].map(str::to_owned);
     let view = PeerView {
-        domain: vec![anchor.clone()],
-        durable_peers: vec![anchor.clone()],
-        others: vec![foreign.clone()],
+        domain: vec![durable.clone()],
+        durable_peers: vec![durable.clone()],
+        others: vec![remote.clone()],
     };
     let mut core = DisseminationCore::new(start, StorageKind::Diskless, view, 3);
     let _ = core.handle(start, DisseminationInput::Committed(config(1)));
     let notice = |from: &VmId| DisseminationInput::Notice { from: from.clone(), revision: 2 };
-    assert_eq!(core.handle(start, notice(&foreign)), []);
+    assert_eq!(core.handle(start, notice(&remote)), []);
     let later = start + Duration::from_secs(1);
-    let fetch = DisseminationAction::Fetch { from: anchor.clone(), have: 1 };
-    assert_eq!(core.handle(later, notice(&anchor)), [fetch]);
-    let _ = core.handle(later, DisseminationInput::Fetched { from: anchor, config: None });
+    let fetch = DisseminationAction::Fetch { from: durable.clone(), have: 1 };
+    assert_eq!(core.handle(later, notice(&durable)), [fetch]);
+    let _ = core.handle(later, DisseminationInput::Fetched { from: durable, config: None });
     let fetches = core.handle(start + Duration::from_secs(4), DisseminationInput::Wake);
-    assert!(
-        fetches.contains(&DisseminationAction::Fetch { from: foreign, have: 1 }),
-        "{fetches:?}"
-    );
+    assert!(fetches.contains(&DisseminationAction::Fetch { from: remote, have: 1 }), "{fetches:?}");
 }
 
 #[test]
-fn lower_or_equal_revision_is_never_put_in_force() {
+fn lower_or_equal_revision_is_ignored() {
     let mut history = ConfigHistory::default();
     assert!(history.advance(config(5)));
     for revision in [0, 4, 5] {
@@ -227,16 +231,16 @@
 }
 
 #[test]
-fn changes_bring_the_same_configuration_as_the_whole() {
+fn changes_yield_the_whole_configuration() {
     let record = |id: &str, key: &str| OrganisationRecord {
         id: id.to_owned(),
         key_digests: vec![key.to_owned()],
     };
     let mut history = ConfigHistory::default();
-    let mut asker = ConfigHistory::default();
+    let mut peer = ConfigHistory::default();
     let mut latest = ActiveConfig { revision: 1, ..ActiveConfig::default() };
     latest.register.organisations = vec![record("one", "a"), record("two", "b")];
-    assert!(history.advance(Arc::new(latest.clone())) && asker.advance(Arc::new(latest.clone())));
+    assert!(history.advance(Arc::new(latest.clone())) && peer.advance(Arc::new(latest.clone())));
     latest.revision = 2;
     latest.register.organisations[1] = record("two", "c");
     latest.register.organisations.push(record("three", "d"));
@@ -248,9 +252,9 @@
 
     let reply = history.answer(1);
     assert!(matches!(&reply, PeerReply::ConfigChanges(changes) if changes.len() == 2));
-    assert_eq!(asker.read(reply.clone()), Some(latest.clone()));
-    assert_eq!(history.read(reply), None, "they apply to the revision they were made from alone");
-    assert!(asker.advance(Arc::new(latest.clone())));
+    assert_eq!(peer.read(reply.clone()), Some(latest.clone()));
+    assert_eq!(history.read(reply), None, "changes apply only to their base revision");
+    assert!(peer.advance(Arc::new(latest.clone())));
     assert_eq!(history.answer(3), PeerReply::Config(None));
 
     let mut swapped = ActiveConfig { revision: 4, ..latest.clone() };
@@ -260,11 +264,12 @@
     assert!(history.advance(Arc::new(swapped.clone())));
     let whole = history.answer(3);
     assert!(matches!(whole, PeerReply::Config(Some(_))));
-    assert_eq!(asker.read(whole), Some(swapped));
+    assert_eq!(peer.read(whole), Some(swapped));
 }
 
-/// A daemon must not serve by rules that nobody made. A byte of the kept file flips inside a name,
-/// where it is still JSON; the digest does not fit, and the daemon asks its peers instead.
+/// Guards against serving with rules that no operator wrote. A byte of the cache file changes
+/// inside a name, so that the JSON remains valid; the digest does not match, and the file is
+/// ignored.
 #[test]
 fn damaged_cache_is_not_used() {
     let folder = tempfile::TempDir::new().expect("a folder can be made");
--- a/tests/fakes/daemon_log.rs
+++ b/tests/fakes/daemon_log.rs
@@ -1,4 +1,5 @@
-//! The log of a daemon's process: where it says that it listens, its last lines, and a copy.
+//! Reads the log of a daemon process: the addresses it listens on, its last lines, and an optional
+//! copy.
 
 use {
     serde_json::Value,
@@ -15,15 +16,15 @@
     tokio::sync::oneshot,
 };
 
-/// Log lines kept of each daemon for a failed test.
+/// Log lines of each daemon that are kept for the output of a failed test.
 const TAIL_LINES: usize = 30;
-/// Names a folder in which the daemons' whole logs outlive the test.
-const LOG_FOLDER: &str = "OLEANDERMOUNT_TEST_LOGS";
+/// The environment variable with the folder for copies of the daemons' logs.
+const LOG_FOLDER_VARIABLE: &str = "OLEANDERMOUNT_TEST_LOGS";
 
 /// The last lines of a daemon's log.
 pub type LogTail = Arc<Mutex<VecDeque<String>>>;
 
-/// Where a daemon listens.
+/// The addresses that a daemon listens on.
 #[derive(Clone, Copy)]
 pub struct DaemonPorts {
     pub callers: SocketAddr,
@@ -31,14 +32,17 @@
     pub peers: SocketAddr,
 }
 
-/// The file that a daemon's log is copied to, if a folder is named for it.
+/// The file for the copy of a daemon's log; `None` if no folder is set.
 pub fn log_copy(vm: &str, process: u32) -> Option<File> {
-    let folder = PathBuf::from(env::var_os(LOG_FOLDER)?);
-    fs::create_dir_all(&folder).expect("the folder of the logs can be made");
-    Some(File::create(folder.join(format!("{vm}-{process}.log"))).expect("it is writable"))
+    let folder = PathBuf::from(env::var_os(LOG_FOLDER_VARIABLE)?);
+    fs::create_dir_all(&folder).expect("the log folder can be created");
+    Some(
+        File::create(folder.join(format!("{vm}-{process}.log")))
+            .expect("the log folder is writable"),
+    )
 }
 
-/// Reads a daemon's log to its end, or the daemon would stand still at a full pipe.
+/// Reads a daemon's log to its end; otherwise the daemon would block when the pipe is full.
 pub fn read_log(
     lines: ChildStderr,
     mut copy: Option<File>,
@@ -50,13 +54,13 @@
         if let Some(found) = serving_ports(&line)
             && let Some(ports) = ports.take()
         {
-            // The test may have given up.
+            // Fails only when the test no longer waits.
             let _ = ports.send(found);
         }
         if let Some(copy) = &mut copy {
             writeln!(copy, "{line}").expect("the copy of the log is writable");
         }
-        let mut tail = tail.lock().expect("no holder panics");
+        let mut tail = tail.lock().expect("the mutex is not poisoned");
         tail.push_back(line);
         if tail.len() > TAIL_LINES {
             tail.pop_front();
--- a/tests/fakes/daemon_process.rs
+++ b/tests/fakes/daemon_process.rs
@@ -1,8 +1,8 @@
-//! Daemons as processes of their own on loopback, with relays between them and stand-ins for the
-//! backend servers. A VM's name is its failure domain, a dash and a number; the first VM of each
-//! failure domain is a voter with a data folder.
+//! Daemons as separate processes on the loopback interface, with relays between them and fake
+//! backend servers. The name of a VM consists of its failure domain, a dash and a number; the first
+//! VM of each failure domain is a voter with a data folder.
 
-// Each test that includes this file uses a part of it.
+// Each test that includes this file uses only some of its items.
 #![allow(dead_code)]
 
 #[path = "daemon_log.rs"]
@@ -47,27 +47,27 @@
 
 /// The bearer key of the only organisation.
 const KEY: (&str, &str) = ("authorization", "Bearer firm-key");
-/// A condition that does not come about in this time never will, also on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(90);
-/// Pause between two looks at a condition.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// The time limit for conditions to become true; generous, for busy machines.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
+/// The interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An engine and a service.
-const SERVERS_OF_DOMAIN: usize = 2;
+/// Backend servers in each failure domain: an engine and a service.
+const SERVERS_PER_DOMAIN: usize = 2;
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// Between two tokens of an engine.
+/// The interval between two tokens of an engine.
 const TOKEN_TIME: Duration = Duration::from_millis(5);
-/// Tokens of a short reply.
+/// The number of tokens of a short reply.
 const REPLY_TOKENS: u64 = 8;
-/// Tokens of a stream that is still under way when a test breaks it off.
+/// The number of tokens of a stream: enough for it to be in progress until the test aborts it.
 const STREAM_TOKENS: u64 = 50_000;
 
-/// What happens to the data folder at a restart.
+/// The state of the data folder at a restart.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum DataFolder {
-    /// It is as it was.
+    /// The folder is unchanged.
     Kept,
-    /// The disk was lost.
+    /// The folder is empty, as after the loss of the disk.
     Emptied,
 }
 
@@ -81,24 +81,25 @@
     fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let sent = Command::new("kill").args(["-s", name, &id]).status();
-        assert!(sent.expect("kill can be run").success(), "no {name} for {id}");
+        assert!(sent.expect("kill is executable").success(), "signal {name} was not sent to {id}");
     }
 }
 
 impl Drop for DaemonProcess {
     fn drop(&mut self) {
-        // It may have ended already; either way it is waited for, so that none outlives its test.
+        // The process may have ended already. It is awaited in any case, so that none outlives its
+        // test.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Daemons, and everything around them.
+/// Daemon processes with their relays, keys and backend servers.
 pub struct DaemonGroup {
     vms: Vec<String>,
     folder: TempDir,
     _folder_of_keys: KeyFolder,
-    /// Made once: a restarted daemon has the keys of its former life.
+    /// Created once, so that a restarted daemon has the same keys.
     keys: BTreeMap<String, KeyFiles>,
     relay: UdpRelay,
     daemons: BTreeMap<String, DaemonProcess>,
@@ -107,21 +108,22 @@
 }
 
 impl DaemonGroup {
-    /// Starts daemons on these VMs, an engine and a service in each failure domain, and waits
-    /// until each daemon has the register and the rules, which are revision 2, and its servers.
+    /// Starts daemons on these VMs, and an engine and a service in each failure domain. Waits until
+    /// each daemon has the register and the rules, which are revision 2, and reports its servers as
+    /// alive.
     pub async fn start(vms: &[&str]) -> Self {
         let (mut engines, mut services) = (BTreeMap::new(), BTreeMap::new());
         for domain in vms.iter().map(|vm| domain_of(vm)) {
             let behaviour = EngineBehaviour { token: TOKEN_TIME, ..EngineBehaviour::default() };
             let engine = FakeEngine::start(behaviour).await;
-            engines.insert(domain.to_owned(), engine.expect("it starts"));
+            engines.insert(domain.to_owned(), engine.expect("the engine starts"));
             let service = FakeService::start(([127, 0, 0, 1], 0).into()).await;
-            services.insert(domain.to_owned(), service.expect("it starts"));
+            services.insert(domain.to_owned(), service.expect("the service starts"));
         }
         let keys = KeyFolder::new();
         let mut group = DaemonGroup {
             vms: vms.iter().map(|vm| (*vm).to_owned()).collect(),
-            folder: TempDir::new().expect("a folder can be made"),
+            folder: TempDir::new().expect("a temporary folder can be created"),
             keys: vms.iter().map(|vm| ((*vm).to_owned(), keys.files(vm))).collect(),
             _folder_of_keys: keys,
             relay: UdpRelay::start(vms).await,
@@ -143,20 +145,20 @@
     async fn launch(&mut self, vm: &str) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_oleandermountd"));
         command.args(self.arguments(vm)).stdin(Stdio::null()).stdout(Stdio::null());
-        let mut child = command.stderr(Stdio::piped()).spawn().expect("the daemon can be run");
+        let mut child = command.stderr(Stdio::piped()).spawn().expect("the daemon is executable");
         let tail = LogTail::default();
         let (ports, serving) = oneshot::channel();
-        let lines = child.stderr.take().expect("it is piped");
+        let lines = child.stderr.take().expect("stderr is piped");
         let kept = Arc::clone(&tail);
         let copy = log_copy(vm, child.id());
         thread::spawn(move || read_log(lines, copy, &kept, ports));
-        let ports = timeout(PATIENCE, serving).await;
+        let ports = timeout(WAIT_TIMEOUT, serving).await;
         let Ok(Ok(ports)) = ports else {
-            let lines = tail.lock().expect("no holder panics");
-            // The child is not yet under a guard that ends it.
+            let lines = tail.lock().expect("the mutex is not poisoned");
+            // The child is not yet owned by a `DaemonProcess`, which would end it.
             let _ = child.kill();
             let _ = child.wait();
-            panic!("{vm} does not serve: {lines:#?}");
+            panic!("{vm} did not start to serve: {lines:#?}");
         };
         self.relay.set_address(vm, ports.peers);
         self.daemons.insert(vm.to_owned(), DaemonProcess { child, ports, tail });
@@ -188,65 +190,65 @@
         pairs.into_iter().flat_map(|(option, value)| [option.to_owned(), value]).collect()
     }
 
-    /// Ends a daemon at once, also a frozen one.
+    /// Kills a daemon, even a paused one, and removes it from the group.
     pub fn kill(&mut self, vm: &str) {
-        self.daemons.remove(vm).expect("it runs");
+        self.daemons.remove(vm).expect("the daemon runs");
     }
 
-    /// Ends a daemon at once while others still look at the group.
+    /// Kills a daemon through a shared reference; it stays in the group.
     pub fn kill_process(&self, vm: &str) {
         self.daemons[vm].signal("KILL");
     }
 
-    /// Starts a daemon again that was ended.
+    /// Restarts a daemon that was stopped or killed.
     pub async fn restart(&mut self, vm: &str, data: DataFolder) {
         if data == DataFolder::Emptied {
-            fs::remove_dir_all(self.folder.path().join(vm)).expect("the folder is there");
+            fs::remove_dir_all(self.folder.path().join(vm)).expect("the data folder exists");
         }
         self.launch(vm).await;
     }
 
-    /// Tells a daemon to stop and waits for its exit code.
+    /// Requests a daemon to stop and waits for its exit code.
     pub async fn stop(&mut self, vm: &str) -> Option<i32> {
-        let mut daemon = self.daemons.remove(vm).expect("it runs");
+        let mut daemon = self.daemons.remove(vm).expect("the daemon runs");
         daemon.signal("TERM");
-        let mut ticks = interval(LOOK_AGAIN);
-        let exit = timeout(PATIENCE, async {
+        let mut ticks = interval(POLL_INTERVAL);
+        let exit = timeout(WAIT_TIMEOUT, async {
             loop {
-                if let Some(status) = daemon.child.try_wait().expect("it can be waited for") {
+                if let Some(status) = daemon.child.try_wait().expect("the process is a child") {
                     return status.code();
                 }
                 ticks.tick().await;
             }
         });
-        exit.await.expect("it stops when it is told to")
+        exit.await.expect("the daemon stops on SIGTERM")
     }
 
-    /// Stops a daemon's time.
+    /// Pauses a daemon's process with SIGSTOP.
     pub fn pause(&self, vm: &str) {
         self.daemons[vm].signal("STOP");
     }
 
-    /// Lets it go on.
+    /// Resumes a paused process.
     pub fn resume(&self, vm: &str) {
         self.daemons[vm].signal("CONT");
     }
 
-    /// Cuts off all daemons of a failure domain from those of others.
+    /// Cuts off the daemons of a failure domain from those of all other domains.
     pub fn isolate_domain(&self, domain: &str) {
         let inside: Vec<_> =
             self.vms.iter().map(String::as_str).filter(|vm| domain_of(vm) == domain).collect();
         inside.iter().for_each(|vm| self.relay.isolate(vm, &inside));
     }
 
-    /// Ends all cuts.
+    /// Heals all partitions.
     pub fn heal(&self) {
         self.relay.heal();
     }
 
-    /// Waits until a condition holds; fails with the daemons' last log lines if it never does.
+    /// Waits until a condition holds; fails with the daemons' last log lines after a timeout.
     pub async fn wait(&self, what: &str, holds: impl AsyncFn() -> bool) {
-        let mut ticks = interval(LOOK_AGAIN);
+        let mut ticks = interval(POLL_INTERVAL);
         let held = async {
             while !holds().await {
                 ticks.tick().await;
@@ -255,20 +257,24 @@
         self.bounded(what, held).await;
     }
 
-    /// The result of something that ends in any case.
+    /// Awaits `work`; fails with the daemons' last log lines after a timeout.
     pub async fn bounded<T>(&self, what: &str, work: impl Future<Output = T>) -> T {
-        match timeout(PATIENCE, work).await {
+        match timeout(WAIT_TIMEOUT, work).await {
             Ok(result) => result,
             Err(_) => {
                 for (vm, daemon) in &self.daemons {
-                    eprintln!("{vm}: {:#?}", daemon.tail.lock().expect("no holder panics"));
+                    eprintln!(
+                        "{vm}: {:#?}",
+                        daemon.tail.lock().expect("the mutex is not poisoned")
+                    );
                 }
-                panic!("this never came about: {what}");
+                panic!("timed out: {what}");
             }
         }
     }
 
-    /// Sends a caller's request and reads the whole answer; an error means a broken connection.
+    /// Sends a caller's request and reads the whole answer; an error means that the connection
+    /// broke.
     pub async fn call(
         &self,
         vm: &str,
@@ -283,7 +289,7 @@
         self.bounded(&format!("{vm} answers {method} {path}"), sent).await
     }
 
-    /// Books under a key: a call that must run once at most.
+    /// Sends a non-repeatable call under an idempotency key.
     pub async fn call_once(
         &self,
         vm: &str,
@@ -295,25 +301,25 @@
         self.call(vm, "POST", path, &headers, &json!({ "slot": key })).await
     }
 
-    /// Looks a status up: a call that may run again.
+    /// Sends a repeatable call.
     pub async fn look_up(&self, vm: &str) -> io::Result<WholeAnswer> {
         self.call(vm, "GET", "/services/dispatch-app/status", &[], &Value::Null).await
     }
 
-    /// Asks for a chat reply, whole.
+    /// Sends a chat request and reads the whole reply.
     pub async fn chat(&self, vm: &str, question: &str) -> io::Result<WholeAnswer> {
         self.call(vm, "POST", CHAT_PATH, &[], &chat_body(question, REPLY_TOKENS)).await
     }
 
-    /// Asks for a long chat reply as a stream and waits for its head.
+    /// Sends a chat request with a long streamed reply and waits for the response head.
     pub async fn stream(&self, vm: &str, question: &str) -> io::Result<OpenAnswer> {
         let address = self.daemons[vm].ports.callers;
         let body = chat_body(question, STREAM_TOKENS).to_string();
         let sent = http_client::open(address, "POST", CHAT_PATH, &[KEY], body);
-        self.bounded("a stream begins", sent).await
+        self.bounded("the stream starts", sent).await
     }
 
-    /// Sends an operator's request.
+    /// Sends an operator's request and reads the whole answer.
     pub async fn operate(
         &self,
         vm: &str,
@@ -327,13 +333,13 @@
         self.bounded(&format!("{vm} answers {method} {path}"), sent).await
     }
 
-    /// What an operator reads; `Null` if nobody answers.
+    /// The JSON document at an operator's path; `Null` if the daemon does not answer.
     pub async fn read(&self, vm: &str, path: &str) -> Value {
         let answer = self.operate(vm, "GET", path, &Value::Null).await;
         answer.map(|answer| answer.json()).unwrap_or_default()
     }
 
-    /// Proposes a change of `part`, once.
+    /// Proposes a change of `part` once.
     pub async fn propose(
         &self,
         vm: &str,
@@ -346,7 +352,7 @@
         self.operate(vm, "PUT", &format!("/v1/{part}"), &change).await
     }
 
-    /// Proposes a change of `part` until it is accepted: an election takes a moment.
+    /// Proposes a change of `part` repeatedly until it is accepted, which may take an election.
     pub async fn change(&self, vm: &str, part: &str, operation: &str, expected: u64, body: Value) {
         self.wait(&format!("{vm} accepts {operation}"), async || {
             let answer = self.propose(vm, part, operation, expected, body.clone()).await;
@@ -357,25 +363,26 @@
         .await;
     }
 
-    /// The revision in force at a daemon.
+    /// The revision in force at a daemon; 0 if it does not answer.
     pub async fn revision(&self, vm: &str) -> u64 {
         self.read(vm, "/v1/status").await["revision"].as_u64().unwrap_or_default()
     }
 
-    /// Waits until a daemon has at least this revision and knows that the servers of its failure
-    /// domain live; of others it hears from other daemons, which a cut prevents.
+    /// Waits until a daemon has at least this revision and reports the servers of its failure
+    /// domain as alive. Other servers are not awaited, since a partition prevents the digests about
+    /// them.
     pub async fn wait_ready(&self, vm: &str, revision: u64) {
         self.wait(&format!("{vm} has revision {revision} and its servers"), async || {
             let servers = self.read(vm, "/v1/servers").await;
             let servers = servers.as_array().cloned().unwrap_or_default();
             let own = servers.iter().filter(|server| server["failure_domain"] == domain_of(vm));
             let alive = own.filter(|server| server["health"] == "alive").count();
-            self.revision(vm).await >= revision && alive == SERVERS_OF_DOMAIN
+            self.revision(vm).await >= revision && alive == SERVERS_PER_DOMAIN
         })
         .await;
     }
 
-    /// Waits until one of these VMs leads and the others of them follow it.
+    /// Waits until one of these VMs leads and all of them report it as the leader.
     pub async fn wait_leader(&self, vms: &[&str]) -> String {
         let found: Mutex<String> = Mutex::default();
         self.wait(&format!("a leader of {vms:?}"), async || {
@@ -385,29 +392,29 @@
             }
             let leader = leaders.pop_first().unwrap_or_default().trim_matches('"').to_owned();
             let is_one = leaders.is_empty() && vms.contains(&leader.as_str());
-            *found.lock().expect("no holder panics") = leader;
+            *found.lock().expect("the mutex is not poisoned") = leader;
             is_one
         })
         .await;
-        found.into_inner().expect("no holder panics")
+        found.into_inner().expect("the mutex is not poisoned")
     }
 
-    /// How often the services ran the call under a key.
+    /// How many times the services executed the call under a key.
     pub fn runs_of(&self, key: &str) -> u64 {
         self.services.values().map(|service| service.knobs.runs_of(key)).sum()
     }
 
-    /// Lets services run calls and hold their answers.
+    /// Makes the services execute calls without answering them.
     pub fn hold_services(&self) {
-        self.services.values().for_each(|one| one.knobs.hold.store(1, Ordering::SeqCst));
+        self.services.values().for_each(|service| service.knobs.hold.store(1, Ordering::SeqCst));
     }
 
-    /// Lets the held answers go.
+    /// Releases the held answers.
     pub fn release_services(&self) {
-        self.services.values().for_each(|one| one.knobs.release());
+        self.services.values().for_each(|service| service.knobs.release());
     }
 
-    /// The register, with a region to tell changes apart.
+    /// The register; `region` distinguishes changes.
     pub fn register(&self, region: &str) -> Value {
         let vms = self.vms.iter().map(|vm| {
             json!({ "id": vm, "failure_domain": domain_of(vm), "peer_address": self.relay.port(vm) })
@@ -434,7 +441,7 @@
         })
     }
 
-    /// The rules, with a weight to tell changes apart.
+    /// The rules; `weight` distinguishes changes.
     pub fn rules(&self, weight: f64) -> Value {
         json!({
             "organisations": [{ "organisation": "firm", "models": ["*"], "services": ["*"],
@@ -445,7 +452,7 @@
     }
 }
 
-/// The `did_run` of a refusal, `"yes"` for an answer of the service.
+/// The `did_run` field of a refusal; `"yes"` for an answer of the service.
 pub fn did_run(answer: &WholeAnswer) -> String {
     answer.json()["error"]["did_run"].as_str().unwrap_or("yes").to_owned()
 }
--- a/tests/fakes/key_folder.rs
+++ b/tests/fakes/key_folder.rs
@@ -1,4 +1,4 @@
-//! Keys of test daemons in a folder that vanishes with the test.
+//! Keys of test daemons in a temporary folder.
 
 use {
     oleandermount::transport::{
@@ -9,7 +9,7 @@
     tempfile::TempDir,
 };
 
-/// An authority and the key files it signed.
+/// A certificate authority and the key files that it signed.
 pub struct KeyFolder {
     folder: TempDir,
     pub authority: KeyPairPem,
@@ -17,11 +17,11 @@
 
 impl KeyFolder {
     pub fn new() -> Self {
-        let authority = create_authority().expect("an authority can be made");
-        Self { folder: TempDir::new().expect("a folder can be made"), authority }
+        let authority = create_authority().expect("an authority can be created");
+        Self { folder: TempDir::new().expect("a temporary folder can be created"), authority }
     }
 
-    /// Writes the files of one VM, signed by this folder's authority.
+    /// Writes the key files of one VM, signed by this folder's authority.
     pub fn files(&self, vm: &str) -> KeyFiles {
         let files = KeyFiles {
             authority: self.path(vm, "authority"),
@@ -32,9 +32,10 @@
         files
     }
 
-    /// Writes new files in the place of `files`.
+    /// Replaces `files` by new ones.
     pub fn renew(&self, files: &KeyFiles, vm: &str, signer: &KeyPairPem, trusted: &[&KeyPairPem]) {
-        let pair = create_certificate(signer, &vm.to_owned()).expect("a key can be made");
+        let pair =
+            create_certificate(signer, &vm.to_owned()).expect("a certificate can be created");
         let roots: String = trusted.iter().map(|pair| pair.certificate.as_str()).collect();
         fs::write(&files.authority, roots).expect("the folder is writable");
         fs::write(&files.certificate, pair.certificate).expect("the folder is writable");
--- a/tests/fakes/udp_relay.rs
+++ b/tests/fakes/udp_relay.rs
@@ -1,8 +1,9 @@
-//! Stands between daemons: one port for each daemon, cuts between pairs of them, and slow links.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! A UDP relay between daemons, which simulates network partitions and slow links.
+#![allow(dead_code)] // Each test file uses only some of its items.
 //!
-//! A packet's source address tells which daemon sent it. Each pair of daemons has a socket of its
-//! own towards the receiver, so that answers find their way back.
+//! Each daemon has one port on the relay. The source address of a packet identifies the sending
+//! daemon. Each pair of daemons has a separate socket to the receiver, so that answers can be
+//! relayed back.
 
 use {
     std::{
@@ -14,19 +15,20 @@
     tokio::{net::UdpSocket, task::JoinSet, time::interval},
 };
 
-/// The pace of a slow link.
+/// Ticks a second of a rate-limited link.
 const TICKS_A_SECOND: u32 = 1_000;
-const TICK: Duration = Duration::from_secs(1).checked_div(TICKS_A_SECOND).expect("it is not zero");
-/// More than any UDP packet holds.
+const TICK: Duration =
+    Duration::from_secs(1).checked_div(TICKS_A_SECOND).expect("the divisor is not zero");
+/// More than the maximum length of a UDP packet.
 const PACKET_BYTES: usize = 65_536;
 
 #[derive(Default)]
 struct RelayTable {
-    /// Where each daemon really is; packets from elsewhere are dropped.
+    /// The address of each daemon; packets from other addresses are dropped.
     daemons: BTreeMap<String, SocketAddr>,
-    /// Pairs that cannot reach each other, each in both orders.
+    /// Pairs of daemons that cannot reach each other, each in both orders.
     cuts: BTreeSet<(String, String)>,
-    /// Bytes a second on the way to a daemon; none means no bound.
+    /// Rate limits of the links to daemons in bytes a second; without an entry there is none.
     rates: BTreeMap<String, u32>,
 }
 
@@ -45,47 +47,47 @@
         let mut tasks = JoinSet::new();
         for vm in vms {
             let port = Arc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a port is free"));
-            ports.insert((*vm).to_owned(), port.local_addr().expect("it is bound"));
+            ports.insert((*vm).to_owned(), port.local_addr().expect("the port is bound"));
             tasks.spawn(relay_to((*vm).to_owned(), port, Arc::clone(&table)));
         }
         UdpRelay { table, ports, _tasks: tasks }
     }
 
-    /// Where other daemons reach `vm`.
+    /// The relay's address of `vm` for other daemons.
     pub fn port(&self, vm: &str) -> SocketAddr {
         self.ports[vm]
     }
 
-    /// Says where a daemon really is, now that it has started.
+    /// Sets the address of a daemon that has started.
     pub fn set_address(&self, vm: &str, address: SocketAddr) {
         lock(&self.table).daemons.insert(vm.to_owned(), address);
     }
 
-    /// Cuts `vm` off from all the others but `friends`.
-    pub fn isolate(&self, vm: &str, friends: &[&str]) {
+    /// Cuts `vm` off from all other daemons except `reachable`.
+    pub fn isolate(&self, vm: &str, reachable: &[&str]) {
         let others = self.ports.keys().filter(|other| *other != vm);
-        for other in others.filter(|other| !friends.contains(&other.as_str())) {
+        for other in others.filter(|other| !reachable.contains(&other.as_str())) {
             let pair = (vm.to_owned(), other.clone());
             lock(&self.table).cuts.extend([(pair.1.clone(), pair.0.clone()), pair]);
         }
     }
 
-    /// Bounds the way to `vm` to this many bytes a second.
+    /// Limits the link to `vm` to this many bytes a second.
     pub fn limit_rate(&self, vm: &str, rate: u32) {
         lock(&self.table).rates.insert(vm.to_owned(), rate);
     }
 
-    /// Ends all cuts.
+    /// Heals all partitions.
     pub fn heal(&self) {
         lock(&self.table).cuts.clear();
     }
 }
 
 fn lock(table: &Mutex<RelayTable>) -> MutexGuard<'_, RelayTable> {
-    table.lock().expect("no holder panics")
+    table.lock().expect("the mutex is not poisoned")
 }
 
-/// Where a packet from `source` to `to` goes, unless a cut forbids it.
+/// The destination of a packet from `source` to `to`; `None` if they are cut off from each other.
 fn destination(table: &Mutex<RelayTable>, source: SocketAddr, to: &str) -> Option<SocketAddr> {
     let table = lock(table);
     let (from, _) = table.daemons.iter().find(|(_, address)| **address == source)?;
@@ -106,9 +108,10 @@
             let (port, table) = (Arc::clone(&port), Arc::clone(&table));
             answers.spawn(relay_back(source, to.clone(), sender, port, table));
         }
-        // What cannot be sent is lost, as on any network.
+        // A packet that cannot be sent is lost, as on a real network.
         let _ = senders[&source].send_to(&packet[..length], address).await;
-        // A slow link is busy with this packet for a while; others wait in the port's buffer.
+        // A rate-limited link is busy with this packet for a while; others wait in the port's
+        // buffer.
         let rate = lock(&table).rates.get(&to).copied();
         let (mut left, mut ticks) = (length, interval(TICK));
         while let Some(each) = rate.map(|rate| (rate / TICKS_A_SECOND) as usize)
--- a/tests/leaving_server.rs
+++ b/tests/leaving_server.rs
@@ -1,4 +1,4 @@
-//! A leaving or dead backend server gets no new work after three seconds.
+//! A leaving or unresponsive backend server gets no new work after three seconds.
 
 use {
     futures::future::BoxFuture,
@@ -41,19 +41,19 @@
     config
 }
 
-/// Answers as the test last set it; servers without an entry stay silent.
+/// Returns the results that the test has set; probes of servers without an entry never complete.
 #[derive(Default)]
 struct FakeProbe(Mutex<BTreeMap<ServerId, ProbeResult>>);
 
 impl FakeProbe {
     fn set(&self, server: &str, result: ProbeResult) {
-        self.0.lock().expect("no test panics inside").insert(server.to_owned(), result);
+        self.0.lock().expect("the mutex is not poisoned").insert(server.to_owned(), result);
     }
 }
 
 impl ServerProbe for FakeProbe {
     fn probe(&self, server: ServerId, _: SocketAddr, _: ServerKind) -> BoxFuture<'_, ProbeResult> {
-        let result = self.0.lock().expect("no test panics inside").get(&server).cloned();
+        let result = self.0.lock().expect("the mutex is not poisoned").get(&server).cloned();
         Box::pin(async move {
             match result {
                 Some(result) => result,
@@ -69,23 +69,22 @@
 
 async fn next_health(findings: &mut mpsc::Receiver<PolicyInput>) -> ServerHealth {
     loop {
-        match findings.recv().await.expect("the watch runs") {
+        match findings.recv().await.expect("the monitor runs") {
             PolicyInput::Health { health, .. } => return health,
             _ => continue,
         }
     }
 }
 
-/// Callers' requests stop going to a server within three seconds of virtual time, whether it says
-/// that it leaves or falls silent, and go there again once it is back. The platform's list, which
-/// lags, is not needed.
+/// A leaving, unresponsive or recovered server is reported in time for requests to be redirected
+/// within three seconds of virtual time. The platform's list, which lags, is not needed.
 #[tokio::test(start_paused = true)]
-async fn leaving_and_silent_servers_are_found_in_time() {
+async fn leaving_and_unresponsive_servers_are_detected_in_time() {
     let probe = Arc::new(FakeProbe::default());
     probe.set("s", answer(false));
     let (sender, mut findings) = mpsc::channel(16);
-    let watch = ServerMonitor::start(probe.clone(), sender);
-    watch.configure(&"a1".to_owned(), &config(&["a1"], &[("s", "a")])).await;
+    let monitor = ServerMonitor::start(probe.clone(), sender);
+    monitor.configure(&"a1".to_owned(), &config(&["a1"], &[("s", "a")])).await;
     assert_eq!(next_health(&mut findings).await, ALIVE);
     for (result, expected) in [
         (Some(answer(true)), ServerHealth::Leaving),
@@ -96,13 +95,16 @@
     ] {
         match result {
             Some(result) => probe.set("s", result),
-            None => drop(probe.0.lock().expect("no test panics inside").remove("s")),
+            None => drop(probe.0.lock().expect("the mutex is not poisoned").remove("s")),
         }
         let since = tokio::time::Instant::now();
         assert_eq!(next_health(&mut findings).await, expected);
-        assert!(since.elapsed() <= Duration::from_secs(2), "a second is left for the digest");
+        assert!(
+            since.elapsed() <= Duration::from_secs(2),
+            "one second must be left for the digest"
+        );
     }
-    assert_eq!(watch.findings(), [("s".to_owned(), ServerHealth::Dead)]);
+    assert_eq!(monitor.findings(), [("s".to_owned(), ServerHealth::Dead)]);
 }
 
 fn health_of(actions: &[MonitorAction]) -> Vec<ServerHealth> {
@@ -113,67 +115,69 @@
     actions.iter().filter_map(health).collect()
 }
 
-/// A daemon that does not watch a server itself stops sending work to it as soon as its watchers
-/// tell. One of three calling it dead may have a bad line and is not enough; one calling it
-/// leaving repeats the server's own words.
+/// A daemon that does not probe a server itself learns its health from the digests of the server's
+/// monitors. One of three that reports it as dead is not enough, since that daemon may have a bad
+/// link; one that reports it as leaving is, since the server announced that itself.
 #[test]
-fn others_learn_from_the_watchers() {
+fn other_daemons_learn_from_monitors() {
     let start = Instant::now();
     let config = config(&["a1", "a2", "a3", "a4", "a5"], &[("s", "a")]);
     let daemons: BTreeSet<VmId> = config.register.vms.iter().map(|vm| vm.id.clone()).collect();
-    let watching = assigned_monitors("s", &daemons, LOCAL_MONITORS);
-    let outsider = daemons.iter().find(|vm| !watching.contains(vm)).expect("two do not watch");
+    let monitors = assigned_monitors("s", &daemons, LOCAL_MONITORS);
+    let outsider =
+        daemons.iter().find(|vm| !monitors.contains(vm)).expect("two daemons are not assigned");
     let mut core = MonitorCore::new(start);
     let actions = core.handle(start, MonitorInput::Configure(monitor_plan(outsider, &config)));
-    assert!(actions.is_empty(), "it probes nothing");
-    let mut tell = |watcher: usize, health: Option<ServerHealth>| {
+    assert!(actions.is_empty(), "the daemon probes no server");
+    let mut report = |monitor: usize, health: Option<ServerHealth>| {
         let findings = health.map(|health| ("s".to_owned(), health)).into_iter().collect();
-        let from = watching[watcher].clone();
+        let from = monitors[monitor].clone();
         health_of(&core.handle(start, MonitorInput::Digest { from, findings }))
     };
-    assert!(tell(0, None).is_empty() && tell(1, None).is_empty() && tell(2, None).is_empty());
-    assert_eq!(tell(0, Some(ServerHealth::Dead)), []);
-    assert_eq!(tell(1, Some(ServerHealth::Dead)), [ServerHealth::Dead]);
-    assert_eq!(tell(0, Some(ALIVE)), [ALIVE]);
-    assert_eq!(tell(2, Some(ServerHealth::Leaving)), [ServerHealth::Leaving]);
-    // Watchers that fall silent no longer count: the server is taken for back, its life unknown.
+    assert!(report(0, None).is_empty() && report(1, None).is_empty() && report(2, None).is_empty());
+    assert_eq!(report(0, Some(ServerHealth::Dead)), []);
+    assert_eq!(report(1, Some(ServerHealth::Dead)), [ServerHealth::Dead]);
+    assert_eq!(report(0, Some(ALIVE)), [ALIVE]);
+    assert_eq!(report(2, Some(ServerHealth::Leaving)), [ServerHealth::Leaving]);
+    // Digests expire: without valid ones the server counts as alive under an unknown incarnation.
     let late = core.handle(start + Duration::from_secs(1), MonitorInput::Wake);
     assert!(health_of(&late).is_empty());
     for second in 2..4 {
         let late = core.handle(start + Duration::from_secs(second), MonitorInput::Wake);
-        let back = ServerHealth::Alive { incarnation: UNKNOWN_INCARNATION };
-        assert_eq!(health_of(&late), if second == 3 { vec![back] } else { vec![] });
+        let recovered = ServerHealth::Alive { incarnation: UNKNOWN_INCARNATION };
+        assert_eq!(health_of(&late), if second == 3 { vec![recovered] } else { vec![] });
     }
 }
 
-/// Callers lose no server because their daemon was frozen. The daemon stops with probes under way,
-/// wakes half a minute later, and finds all of them out of time at once; they count for nothing.
+/// Guards against a daemon that considers its servers dead because it was paused itself. The
+/// process is paused with probes in progress and resumes half a minute later, when all of them have
+/// timed out.
 #[test]
-fn own_pause_makes_no_server_dead() {
+fn paused_daemon_keeps_its_servers() {
     let start = Instant::now();
     let mut core = MonitorCore::new(start);
     let list = monitor_plan(&"a1".to_owned(), &config(&["a1"], &[("s", "a")]));
     let mut actions = core.handle(start, MonitorInput::Configure(list));
     for pause in 1..=10u32 {
-        let woken = start + Duration::from_secs(30) * pause;
-        let MonitorAction::Probe { number, .. } = actions[0] else { panic!("it probes") };
+        let resumed = start + Duration::from_secs(30) * pause;
+        let MonitorAction::Probe { number, .. } = actions[0] else { panic!("a probe is due") };
         let result = ProbeResult::NoAnswer;
         let late = MonitorInput::Probed { server: "s".to_owned(), number, result };
-        actions = core.handle(woken, late);
+        actions = core.handle(resumed, late);
         assert!(health_of(&actions).is_empty());
     }
 }
 
 #[test]
-fn each_server_has_its_watchers_and_the_load_is_shared() {
+fn monitors_share_the_probes() {
     let names: Vec<String> = (0..54).map(|n| format!("a{n}")).collect();
     let servers: Vec<String> = (0..124).map(|n| format!("s{n}")).collect();
     let mut load: BTreeMap<&VmId, usize> = BTreeMap::new();
     for server in &servers {
-        let watching = assigned_monitors(server, &names, LOCAL_MONITORS);
-        assert_eq!(watching.len(), LOCAL_MONITORS);
-        watching.into_iter().for_each(|vm| *load.entry(vm).or_default() += 1);
+        let monitors = assigned_monitors(server, &names, LOCAL_MONITORS);
+        assert_eq!(monitors.len(), LOCAL_MONITORS);
+        monitors.into_iter().for_each(|vm| *load.entry(vm).or_default() += 1);
     }
     let most = load.values().max().copied().unwrap_or_default();
-    assert!(most <= 3 * 124 * LOCAL_MONITORS / 54, "{most} of 124 servers at one daemon");
+    assert!(most <= 3 * 124 * LOCAL_MONITORS / 54, "one daemon monitors {most} of 124 servers");
 }
--- a/tests/lost_voter.rs
+++ b/tests/lost_voter.rs
@@ -1,7 +1,8 @@
-//! A control VM loses its disk and returns with an empty folder; the operators have its new disk
-//! taken in, and right after that repair a second control VM dies. Callers and operators must
-//! find every change and every booking that was acknowledged: the empty disk may not vote as if it
-//! had seen them, and after the repair it must count as one of the two that hold them.
+//! A control VM loses its disk and restarts with an empty folder. Operators replace its replica,
+//! and immediately after that repair a second control VM fails.
+//!
+//! Every acknowledged change and non-repeatable call must survive: the empty replica must not vote
+//! as if it had stored them, and after the repair it must be one of the two that store them.
 
 #[path = "fakes/daemon_process.rs"]
 mod daemon_process;
@@ -16,15 +17,15 @@
 };
 
 const VMS: [&str; 3] = ["a-1", "b-1", "c-1"];
-const PATIENT: &str = "80000";
+const LONG_DEADLINE_MS: &str = "80000";
 
-/// Sends a booking until it is answered, and gives the answer's body.
-async fn book(group: &DaemonGroup, vm: &str, key: &str) -> Value {
+/// Sends a non-repeatable call until it succeeds; returns the body of the answer.
+async fn call_until_answered(group: &DaemonGroup, vm: &str, key: &str) -> Value {
     let body = Mutex::default();
     group
         .wait(&format!("{vm} answers {key}"), async || {
-            let answer = group.call_once(vm, key, PATIENT).await.expect("it is answered");
-            assert_ne!(did_run(&answer), "unknown", "an acknowledged booking is lost: {answer:?}");
+            let answer = group.call_once(vm, key, LONG_DEADLINE_MS).await.expect("it is answered");
+            assert_ne!(did_run(&answer), "unknown", "an acknowledged call is lost: {answer:?}");
             *body.lock().expect("no holder panics") = answer.json();
             answer.status == 200
         })
@@ -33,7 +34,7 @@
     body.into_inner().expect("no holder panics")
 }
 
-/// What `vm` knows of the replica on `other`.
+/// The entry of the replica on `other` in the list of `vm`; `Null` if there is none.
 async fn replica_entry(group: &DaemonGroup, vm: &str, other: &str) -> Value {
     let replicas = group.read(vm, "/v1/replicas").await;
     let mut entries = replicas.as_array().cloned().unwrap_or_default().into_iter();
@@ -41,24 +42,24 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn second_loss_after_the_repair_loses_nothing() {
+async fn second_failure_after_repair_loses_nothing() {
     let mut group = DaemonGroup::start(&VMS).await;
     let leader = group.wait_leader(&VMS).await;
     let others: Vec<&str> = VMS.into_iter().filter(|vm| *vm != leader).collect();
     let (lost, second) = (others[0], leader.as_str());
     for number in 0..5 {
-        book(&group, VMS[number % 3], &format!("before-{number}")).await;
+        call_until_answered(&group, VMS[number % 3], &format!("before-{number}")).await;
     }
     group.change(others[1], "rules", "third", 2, group.rules(3.0)).await;
     let former = replica_entry(&group, second, lost).await;
     group.kill(lost);
-    book(&group, others[1], "meanwhile").await;
+    call_until_answered(&group, others[1], "meanwhile").await;
     group.restart(lost, DataFolder::Emptied).await;
-    // An operator who was told that it is done doesn't ask again. The repair is complete when the
-    // other survivor too counts the new disk as a voter.
+    // The order is not repeated after it has succeeded. The repair is complete when the other
+    // remaining VM also lists the new replica as a voter.
     let is_done = AtomicBool::new(false);
     group
-        .wait("the new disk votes", async || {
+        .wait("the new replica votes", async || {
             if !is_done.load(Ordering::SeqCst) {
                 let order = json!({ "vm": lost });
                 let sent = group.operate(second, "POST", "/v1/replicas/replace", &order).await;
@@ -70,17 +71,17 @@
         })
         .await;
     group.kill(second);
-    let left = [lost, others[1]];
-    group.wait_leader(&left).await;
-    for vm in left {
+    let remaining = [lost, others[1]];
+    group.wait_leader(&remaining).await;
+    for vm in remaining {
         for key in (0..5).map(|number| format!("before-{number}")) {
-            assert_eq!(book(&group, vm, &key).await["run"], 1);
+            assert_eq!(call_until_answered(&group, vm, &key).await["run"], 1);
         }
-        assert_eq!(book(&group, vm, "meanwhile").await["run"], 1);
+        assert_eq!(call_until_answered(&group, vm, "meanwhile").await["run"], 1);
         group.wait_ready(vm, 3).await;
         let weight = &group.read(vm, "/v1/config").await["rules"]["organisations"][0]["weight"];
         assert_eq!(weight, 3.0, "{vm}");
     }
     group.change(lost, "rules", "fourth", 3, group.rules(4.0)).await;
-    book(&group, lost, "after").await;
+    call_until_answered(&group, lost, "after").await;
 }
--- a/tests/many_changes.rs
+++ b/tests/many_changes.rs
@@ -1,4 +1,4 @@
-//! A control replica that restarts after several hundred changes.
+//! A control replica restarts after several hundred changes.
 
 use {
     oleandermount::{
@@ -24,7 +24,7 @@
     ControlDriver::start(settings, outbound).ok()
 }
 
-/// The folder is locked until the replica before has ended.
+/// Retries until the previous replica has ended and unlocked the folder.
 async fn restart(folder: &Path, election: Duration) -> ControlHandle {
     loop {
         match start(folder, election) {
@@ -35,13 +35,13 @@
 }
 
 fn folder_bytes(folder: &Path) -> u64 {
-    let entries = fs::read_dir(folder).expect("the folder is there");
+    let entries = fs::read_dir(folder).expect("the folder exists");
     entries.map(|entry| entry.and_then(|entry| entry.metadata()).map_or(0, |data| data.len())).sum()
 }
 
-/// What operators see: after 600 changes a restart serves the last one at once, before any leader
-/// is known, and the folder holds one configuration and the changes since the last snapshot, not
-/// the 600. Each change is 2 KB, so a log that was never compacted would take 1.2 MB.
+/// After 600 changes and a restart the last one is in force immediately, before any leader is
+/// known. The folder contains one configuration and the changes since the last snapshot: each
+/// change is 2 KB, so a log without compaction would take 1.2 MB.
 #[tokio::test(flavor = "multi_thread")]
 async fn restart_serves_last_change() {
     let folder = tempfile::tempdir().expect("a temporary folder");
@@ -58,10 +58,10 @@
         assert_eq!(outcome, Ok(CommandOutcome::Applied { revision: expected + 1 }));
     }
     let mut config = handle.config();
-    drop(config.wait_for(|config| config.revision == CHANGES).await.expect("it is shown"));
+    drop(config.wait_for(|config| config.revision == CHANGES).await.expect("the replica runs"));
     drop((handle, status, config));
 
-    // With elections an hour away it has nothing but its folder.
+    // With an election timeout of an hour the state can only come from the folder.
     let handle = restart(folder.path(), Duration::from_secs(3600)).await;
     assert_eq!(handle.config().borrow().revision, CHANGES);
     assert!(handle.status().commit >= CHANGES);
--- a/tests/operator_race.rs
+++ b/tests/operator_race.rs
@@ -1,8 +1,10 @@
-//! Several operators change the rules at several daemons under the same revision number, and each
-//! sends the change again because an answer was lost. One change may win; every other operator is
-//! told of a conflict and by whose digest, and a resend gets the first result again, also through
-//! another daemon and after the winner's revision has been passed. Otherwise two operators would
-//! both believe that theirs is in force, or one would undo the other's on a resend.
+//! Several operators concurrently change the rules at several daemons with the same expected
+//! revision, and each of them repeats the request as after a lost answer.
+//!
+//! Exactly one change succeeds; all others get a conflict with the digest of the winner. A repeated
+//! request gets the first result again, also through another daemon and after later revisions.
+//! Otherwise two operators could both consider their change in force, or a repeated request could
+//! revert another change.
 
 #[path = "fakes/daemon_process.rs"]
 mod daemon_process;
@@ -20,7 +22,7 @@
     VMS[number as usize % VMS.len()]
 }
 
-/// Sends a change until its outcome is told: 200 or 409.
+/// Sends a change until it has an outcome: status 200 or 409.
 async fn settle(group: &DaemonGroup, vm: &str, operator: u64, expected: u64) -> (u16, Value) {
     let rules = group.rules(1.0 + operator as f64);
     let operation = format!("from-{expected}-by-{operator}");
@@ -38,10 +40,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_operator_wins_each_revision() {
+async fn one_change_wins_each_revision() {
     let group = DaemonGroup::start(&VMS).await;
     for expected in 2..6 {
-        // Each change goes to two daemons at once: the answer of one is taken for lost.
+        // Each change is sent to two daemons concurrently, as after a lost answer.
         let sends = (0..OPERATORS).map(|operator| {
             let first = settle(&group, vm_of(operator), operator, expected);
             join(first, settle(&group, vm_of(operator + 1), operator, expected))
@@ -51,14 +53,14 @@
         assert_eq!(winners.len(), 1, "{outcomes:#?}");
         let digest = &winners[0].1.1["digest"];
         for (operator, (lost, known)) in (0..OPERATORS).zip(&outcomes) {
-            assert_eq!(lost, known, "a resend has another result");
+            assert_eq!(lost, known, "a repeated request has another result");
             if known.0 == 409 {
                 assert_eq!(&known.1["error"]["winner"], digest, "{known:?}");
             } else {
                 assert_eq!(known.1["revision"], expected + 1);
             }
             let resent = settle(&group, vm_of(operator + 2), operator, expected).await;
-            assert_eq!(resent, *known, "a late resend has another result");
+            assert_eq!(resent, *known, "a late repeated request has another result");
         }
     }
     for vm in VMS {
--- a/tests/rejoined_domain.rs
+++ b/tests/rejoined_domain.rs
@@ -1,7 +1,9 @@
-//! A failure domain is cut off from the others. Its callers go on chatting and looking up the
-//! status of bookings; a booking is refused as not run, since only a quorum can keep a second van
-//! away. Meanwhile the others accept a change. After the cut the domain takes it over: its
-//! configuration never goes back, and a booking that was refused can be made.
+//! A failure domain is cut off from the others and rejoins them.
+//!
+//! While it is isolated it answers chat requests and repeatable calls. Non-repeatable calls are
+//! refused as not executed, since only a quorum can exclude a second execution. Meanwhile the other
+//! domains accept a change. After the partition has healed, the domain adopts the change, its
+//! revision never decreases, and the refused calls can be made.
 
 #[path = "fakes/daemon_process.rs"]
 mod daemon_process;
@@ -11,10 +13,10 @@
     std::sync::atomic::{AtomicU64, Ordering},
 };
 
-const PATIENT: &str = "80000";
+const LONG_DEADLINE_MS: &str = "80000";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_domain_serves_and_rejoins() {
+async fn isolated_domain_serves_and_rejoins() {
     let mut group = DaemonGroup::start(&["a-1", "a-2", "b-1", "c-1"]).await;
     group.isolate_domain("a");
     group.wait_leader(&["b-1", "c-1"]).await;
@@ -24,13 +26,14 @@
         let reply = group.chat(vm, "does the swap contain nuts?").await.expect("it is answered");
         assert_eq!(reply.status, 200, "{reply:?}");
         assert_eq!(group.look_up(vm).await.expect("it is answered").status, 200);
-        let refused = group.call_once(vm, vm, PATIENT).await.expect("it is answered");
+        let refused = group.call_once(vm, vm, LONG_DEADLINE_MS).await.expect("it is answered");
         assert_eq!((refused.status.as_u16(), refused.code().as_str()), (503, "no_quorum"));
         assert_eq!((did_run(&refused).as_str(), group.runs_of(vm)), ("no", 0));
         assert!(refused.retry_after.is_some());
         assert_eq!(group.revision(vm).await, 2);
     }
-    // Its diskless daemon restarts within the cut: the domain's disk has the configuration.
+    // The diskless daemon restarts while isolated: the domain's durable daemon has the
+    // configuration.
     group.kill("a-2");
     group.restart("a-2", DataFolder::Kept).await;
     group.wait_ready("a-2", 2).await;
@@ -38,11 +41,15 @@
     for vm in ["a-1", "a-2"] {
         let highest = AtomicU64::new(2);
         group
-            .wait(&format!("{vm} has the change and books again"), async || {
+            .wait(&format!("{vm} has the change and executes the call"), async || {
                 let revision = group.revision(vm).await;
                 let before = highest.fetch_max(revision, Ordering::SeqCst);
-                assert!(revision >= before, "{vm} went back from {before} to {revision}");
-                let answer = group.call_once(vm, vm, PATIENT).await.expect("it is answered");
+                assert!(
+                    revision >= before,
+                    "the revision of {vm} decreased from {before} to {revision}"
+                );
+                let answer =
+                    group.call_once(vm, vm, LONG_DEADLINE_MS).await.expect("it is answered");
                 let expected = if answer.status == 200 { 1 } else { 0 };
                 assert_eq!(group.runs_of(vm), expected, "{answer:?}");
                 revision == 3 && expected == 1
--- a/tests/reopened_folder.rs
+++ b/tests/reopened_folder.rs
@@ -1,9 +1,9 @@
-//! A replica whose disk failed for a while takes part again once the disk is sound.
+//! A replica whose disk failed temporarily participates again once the disk works.
 //!
-//! What operators saw without it: after a disk had been full for four seconds its control VM still ran,
-//! answered that it knew no leader, and never voted again; when a second control VM was lost, no
-//! configuration could be read or changed. Order of events: the disk refuses a write; the replica ends,
-//! since it cannot keep what it promises; the disk has room again; nobody opens the folder.
+//! Guards against a replica that stops at a failed write, since nothing that it acknowledged would
+//! be durable, and stays stopped although the disk works again. After a disk was full for four
+//! seconds, its control VM continued to run without ever voting again; when a second control VM
+//! failed, no configuration could be read or changed.
 
 #[path = "fakes/memory_files.rs"]
 mod memory_files;
@@ -26,10 +26,10 @@
     },
 };
 
-/// A condition that does not come about in this time never will, also on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The time limit for conditions to become true; generous, for busy machines.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A replica that is a group of its own, on `files`.
+/// The only replica of a group, on `files`.
 fn start(files: &MemoryFiles) -> ControlHandle {
     start_reopening(files, Duration::from_millis(10))
 }
@@ -41,10 +41,10 @@
     settings.reopen_after = reopen_after;
     let opened = files.clone();
     let opener = Box::new(move || Ok(Box::new(opened.clone()) as Box<dyn FileSystem>));
-    ControlDriver::start_on(settings, opener, outbound).expect("the folder can be used")
+    ControlDriver::start_on(settings, opener, outbound).expect("the folder is usable")
 }
 
-async fn leads(handle: &ControlHandle) {
+async fn wait_leading(handle: &ControlHandle) {
     let mut status = handle.status_watch();
     let led = status.wait_for(|status| status.role == ReplicaRole::Leader).await;
     drop(led.expect("one replica elects itself"));
@@ -54,13 +54,13 @@
     handle.propose_local(Command::PutDocument { number, body: format!("body {number}") }).await
 }
 
-/// Nothing acknowledged is lost or shown older meanwhile, and what was not acknowledged may or may
-/// not have come in.
+/// No acknowledged document is lost, and the published state never becomes older. A document that
+/// was not acknowledged may or may not be in force.
 #[tokio::test]
-async fn full_disk_comes_back() {
+async fn replica_resumes_after_full_disk() {
     let files = MemoryFiles::default();
     let handle = start(&files);
-    leads(&handle).await;
+    wait_leading(&handle).await;
     let documents = handle.documents();
     for number in 1..=3_u64 {
         let round = number * 10;
@@ -71,50 +71,58 @@
         assert_eq!(refused, Err(LocalProposeError::OutcomeUnknown));
         let mut status = handle.status_watch();
         let failed = status.wait_for(|status| status.failure.is_some()).await;
-        drop(failed.expect("the replica tells of it"));
+        drop(failed.expect("the replica reports the failure"));
         assert!(!handle.lease_valid());
         let refused = put(&handle, round + 2).await;
         assert_eq!(refused, Err(LocalProposeError::NotLeader { leader: None }));
         assert!(documents.borrow().document().number >= round);
         files.image().space = None;
-        leads(&handle).await;
+        wait_leading(&handle).await;
         assert_eq!(handle.status().failure, None);
-        assert!(documents.borrow().document().number >= round, "nothing shown goes back");
+        assert!(
+            documents.borrow().document().number >= round,
+            "the published document became older"
+        );
     }
     let held = Ok(CommandOutcome::DocumentHeld { number: 99 });
     assert_eq!(put(&handle, 99).await, held);
 }
 
-/// A sync that fails tells nothing of what the file holds: the next life writes all of it anew before
-/// it votes or acknowledges. Here the disk fails to sync once more while the folder is opened.
+/// After a failed sync the content of the file on the disk is unknown: the next generation rewrites
+/// all of it before it votes or acknowledges. Here another sync may fail while the folder is
+/// reopened.
 #[tokio::test]
 async fn failed_sync_is_not_trusted() {
     let files = MemoryFiles::default();
     let handle = start(&files);
-    leads(&handle).await;
-    put(&handle, 1).await.expect("the disk is sound");
+    wait_leading(&handle).await;
+    put(&handle, 1).await.expect("the disk works");
     let names = files.content().into_keys().collect::<Vec<_>>();
     files.image().sync_fails = true;
     assert_eq!(put(&handle, 2).await, Err(LocalProposeError::OutcomeUnknown));
     let mut status = handle.status_watch();
-    drop(status.wait_for(|status| status.failure.is_some()).await.expect("it tells of it"));
+    drop(
+        status
+            .wait_for(|status| status.failure.is_some())
+            .await
+            .expect("the replica reports the failure"),
+    );
     files.image().sync_fails = false;
-    leads(&handle).await;
+    wait_leading(&handle).await;
     let renewed = files.content().into_keys().collect::<Vec<_>>();
     assert!(names.iter().all(|name| !renewed.contains(name)), "{names:?} {renewed:?}");
     let outcome = put(&handle, 3).await;
     assert_eq!(outcome, Ok(CommandOutcome::DocumentHeld { number: 3 }));
 }
 
-/// What operators saw without it: a control VM whose disk had failed showed for as long as the disk was
-/// unsound what it had believed before, and answered nobody. Order of events: the disk answers nothing;
-/// changes go on until no more of them fit before the disk, and the replica waits for room; the disk
-/// fails, and stays so.
+/// Guards against a control VM that reports an outdated status and answers no requests while its
+/// disk has failed. The disk does not respond, further changes fill the queue, and the replica
+/// waits for space in it. Then the disk fails permanently.
 #[tokio::test]
-async fn failure_shows_behind_a_full_queue() {
+async fn failure_is_reported_with_full_queue() {
     let files = MemoryFiles::default();
     let handle = start_reopening(&files, Duration::from_secs(3_600));
-    leads(&handle).await;
+    wait_leading(&handle).await;
     let gate = files.image().gate.clone();
     gate.set(true);
     let mut changes = JoinSet::new();
@@ -122,15 +130,16 @@
         let handle = handle.clone();
         changes.spawn(async move { put(&handle, number).await });
     }
-    // All run on this thread: after so many turns the replica has taken in what it can.
+    // All tasks run on this thread: after this many turns the replica has accepted as much as it
+    // can.
     for _ in 0..10_000 {
         yield_now().await;
     }
     files.image().sync_fails = true;
     gate.set(false);
     let mut status = handle.status_watch();
-    let failed = timeout(PATIENCE, status.wait_for(|status| status.failure.is_some())).await;
-    drop(failed.expect("the failure shows").expect("the status outlives the task"));
+    let failed = timeout(WAIT_TIMEOUT, status.wait_for(|status| status.failure.is_some())).await;
+    drop(failed.expect("the failure is reported").expect("the task runs"));
     let refused = put(&handle, 9_999).await;
     assert_eq!(refused, Err(LocalProposeError::NotLeader { leader: None }));
 }
--- a/tests/rolling_weights.rs
+++ b/tests/rolling_weights.rs
@@ -1,4 +1,5 @@
-//! New weights reach all servers, a few at a time, and stay: in virtual time, without a network.
+//! New weights are loaded by all servers, a few at a time, and stay loaded. The test runs in
+//! virtual time without a network.
 
 use {
     futures::future::BoxFuture,
@@ -20,11 +21,11 @@
 };
 
 const MODEL: &str = "basket-llm";
-/// What a load takes here.
+/// The duration of a load at the simulated engines.
 const LOAD_TIME: Duration = Duration::from_millis(400);
 
-/// Engines that take any order, whatever its number, and load for a while.
-struct OrderBench {
+/// Simulated engines that accept any order without checking its fencing number.
+struct OrderSimulation {
     now: Instant,
     core: OrderCore,
     desired: DesiredWeights,
@@ -33,12 +34,12 @@
     orders: u32,
 }
 
-impl OrderBench {
+impl OrderSimulation {
     fn new(servers: usize, limit: u32) -> Self {
         let ids: Vec<ServerId> = (0..servers).map(|n| format!("s{n}")).collect();
         let now = Instant::now();
         let engines = ids.iter().map(|id| (id.clone(), ("v1".to_owned(), None))).collect();
-        let mut bench = Self {
+        let mut simulation = Self {
             now,
             core: OrderCore::default(),
             desired: DesiredWeights::new(),
@@ -48,11 +49,16 @@
         };
         let weights = [(MODEL.to_owned(), "v2".to_owned())].into();
         let servers = ids.into_iter().map(|id| (id, [MODEL.to_owned()].into())).collect();
-        bench.give(OrderInput::Configure(OrderPlan { limit, weights, servers, fenced: false }));
-        bench
+        simulation.handle(OrderInput::Configure(OrderPlan {
+            limit,
+            weights,
+            servers,
+            fenced: false,
+        }));
+        simulation
     }
 
-    fn give(&mut self, input: OrderInput) {
+    fn handle(&mut self, input: OrderInput) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for action in self.core.handle(self.now, input) {
@@ -64,7 +70,9 @@
     fn perform(&mut self, action: OrderAction) -> Vec<OrderInput> {
         match action {
             OrderAction::Propose { model, command } => {
-                let Command::DesireModel { weights, .. } = command else { panic!("weights only") };
+                let Command::DesireModel { weights, .. } = command else {
+                    panic!("only weights are proposed")
+                };
                 let index = self.desired.len() as u64 + 1;
                 self.desired.insert(model.clone(), (weights, FencingNumber { term: 1, index }));
                 let desired = Arc::new(self.desired.clone());
@@ -88,7 +96,7 @@
             OrderAction::Order(order) => {
                 self.orders += 1;
                 let until = self.now + LOAD_TIME;
-                self.engines.get_mut(&order.server).expect("it is known").1 =
+                self.engines.get_mut(&order.server).expect("the server exists").1 =
                     Some((order.weights, until));
                 let place = (order.server, order.model);
                 let result = OrderResult::Taken;
@@ -103,62 +111,62 @@
             self.now += Duration::from_millis(50);
             for (weights, load) in self.engines.values_mut() {
                 if load.as_ref().is_some_and(|(_, until)| self.now >= *until) {
-                    *weights = load.take().expect("it was there").0;
+                    *weights = load.take().expect("a load is in progress").0;
                 }
             }
             let loads = self.engines.values().filter(|(_, load)| load.is_some()).count();
             self.most_loads = self.most_loads.max(loads);
-            self.give(OrderInput::Wake);
+            self.handle(OrderInput::Wake);
         }
     }
 
-    fn all_at(&self, version: &str) -> bool {
+    fn all_have(&self, version: &str) -> bool {
         self.engines.values().all(|(weights, _)| weights == version)
     }
 }
 
 #[test]
 fn all_servers_load_within_the_limit() {
-    let mut bench = OrderBench::new(9, 2);
-    bench.give(OrderInput::Lease(Some((1, bench.now))));
-    bench.run(Duration::from_secs(20));
-    assert!(bench.all_at("v2"));
-    assert_eq!((bench.most_loads, bench.orders), (2, 9));
+    let mut simulation = OrderSimulation::new(9, 2);
+    simulation.handle(OrderInput::Lease(Some((1, simulation.now))));
+    simulation.run(Duration::from_secs(20));
+    assert!(simulation.all_have("v2"));
+    assert_eq!((simulation.most_loads, simulation.orders), (2, 9));
 }
 
-/// Callers get the version that operators want, also from engines that obey anybody. An order of a
-/// former leader is late and undoes a load after all was well; the server reports the older
-/// version, and the leader orders the desired one again.
+/// A delayed order of a former leader reverts a load at an engine that does not check fencing
+/// numbers. The server reports the older version, and the leader repeats the order for the desired
+/// one.
 #[test]
-fn server_that_went_back_is_ordered_again() {
-    let mut bench = OrderBench::new(3, 2);
-    bench.give(OrderInput::Lease(Some((1, bench.now))));
-    bench.run(Duration::from_secs(20));
-    bench.engines.get_mut("s1").expect("it is known").0 = "v1".to_owned();
-    bench.run(Duration::from_secs(20));
-    assert!(bench.all_at("v2"));
-    assert_eq!(bench.orders, 4);
+fn reverted_server_is_ordered_again() {
+    let mut simulation = OrderSimulation::new(3, 2);
+    simulation.handle(OrderInput::Lease(Some((1, simulation.now))));
+    simulation.run(Duration::from_secs(20));
+    simulation.engines.get_mut("s1").expect("the server exists").0 = "v1".to_owned();
+    simulation.run(Duration::from_secs(20));
+    assert!(simulation.all_have("v2"));
+    assert_eq!(simulation.orders, 4);
 }
 
-/// Engines that do not check numbers never hear two leaders at once. A new leader is elected while
-/// the former one may still hold its lease and have orders under way; until both are over it gives
-/// none, and a replica without a lease gives none at all.
+/// Engines that do not check fencing numbers never receive orders of two leaders at the same time.
+/// A new leader sends none until the lease and the orders of the former one have expired, and a
+/// replica without a lease never does.
 #[test]
-fn new_leader_waits_out_the_former_one() {
-    let mut bench = OrderBench::new(3, 2);
-    bench.run(Duration::from_secs(20));
-    assert_eq!(bench.orders, 0, "it does not lead");
-    bench.give(OrderInput::Lease(Some((2, bench.now))));
-    bench.run(MAX_FORMER_LEASE + ORDER_TIMEOUT - Duration::from_millis(50));
-    assert_eq!(bench.orders, 0, "the former leader may still order");
-    bench.run(Duration::from_millis(50));
-    assert_eq!(bench.orders, 2);
-    bench.give(OrderInput::Lease(None));
-    bench.run(Duration::from_secs(20));
-    assert_eq!(bench.orders, 2);
+fn new_leader_waits_for_former_lease() {
+    let mut simulation = OrderSimulation::new(3, 2);
+    simulation.run(Duration::from_secs(20));
+    assert_eq!(simulation.orders, 0, "a replica without a lease sends no orders");
+    simulation.handle(OrderInput::Lease(Some((2, simulation.now))));
+    simulation.run(MAX_FORMER_LEASE + ORDER_TIMEOUT - Duration::from_millis(50));
+    assert_eq!(simulation.orders, 0, "the former leader may still send orders");
+    simulation.run(Duration::from_millis(50));
+    assert_eq!(simulation.orders, 2);
+    simulation.handle(OrderInput::Lease(None));
+    simulation.run(Duration::from_secs(20));
+    assert_eq!(simulation.orders, 2);
 }
 
-/// Holds a lease in term 1 until told otherwise, and counts the orders that leave.
+/// Holds a lease in term 1 while `leads` is set, and counts the orders that are sent.
 struct FakePorts {
     leads: AtomicBool,
     sent: AtomicU32,
@@ -187,11 +195,11 @@
     fn drain(&self, _: ServerId) {}
 }
 
-/// No engine is sent back by a leader that was frozen between decision and sending. It wakes when
-/// the order's time is over, or its lease, or in a later term of its own: each time it lets the
-/// order go.
+/// Guards against a leader that was paused between decision and sending and reverts an engine to
+/// older weights. When it resumes, the order has expired, or its lease has, or it leads in a later
+/// term: in each case the order is discarded.
 #[tokio::test(start_paused = true)]
-async fn frozen_leader_sends_nothing() {
+async fn paused_leader_sends_no_order() {
     let ports = FakePorts { leads: true.into(), sent: 0.into() };
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let now = tokio::time::Instant::now().into_std();
