--- a/examples/policy_report/baselines.rs
+++ b/examples/policy_report/baselines.rs
@@ -111,7 +111,7 @@
             expected_hit: 0,
             import: None,
             source: None,
-            keep: None,
+            store_use: None,
             priority: 0,
             resume_after: 0,
             send_before: now + Duration::from_secs(1),
@@ -237,7 +237,7 @@
             PolicyInput::Failed { attempt, failure, .. } => {
                 return self.fail(now, attempt, failure);
             }
-            PolicyInput::CallerGone { request } => return self.give_up(&request),
+            PolicyInput::CallerDisconnected { request } => return self.give_up(&request),
             PolicyInput::Load(report) => {
                 self.reported.insert(report.server, report.running + report.waiting);
             }
@@ -253,7 +253,7 @@
             | PolicyInput::Cache(_)
             | PolicyInput::Digest(_)
             | PolicyInput::PeerFetch { .. }
-            | PolicyInput::KeepLink { .. }
+            | PolicyInput::CacheStoreLink { .. }
             | PolicyInput::RetryReserve { .. }
             | PolicyInput::Probed { .. } => {}
         }
--- a/examples/policy_report/fleet.rs
+++ b/examples/policy_report/fleet.rs
@@ -269,7 +269,7 @@
         }
         let name = super::callers::request_name(request, ask);
         self.refused(request, "caller_gone", None);
-        self.deliver(daemon, PolicyInput::CallerGone { request: name });
+        self.deliver(daemon, PolicyInput::CallerDisconnected { request: name });
     }
 
     fn refused(&mut self, request: usize, reason: &'static str, retry_after: Option<Duration>) {
--- a/src/edge/core.rs
+++ b/src/edge/core.rs
@@ -113,7 +113,7 @@
 
     fn tell_keep(&self) {
         let keep = self.view().keep().filter(|_| self.keep_up.load(Ordering::Relaxed));
-        self.port.tell(PolicyInput::KeepLink { rate: keep.map(|(_, rate)| rate) });
+        self.port.tell(PolicyInput::CacheStoreLink { rate: keep.map(|(_, rate)| rate) });
     }
 
     /// Where a server listens.
--- a/src/edge/exchange.rs
+++ b/src/edge/exchange.rs
@@ -23,8 +23,8 @@
             drain::OpenRequest,
         },
         policy::{
-            AttemptFailure, DidRun, KeepUse, PolicyInput, RefusalReason, SendOrder, ServerHealth,
-            prefix::cache_salt,
+            AttemptFailure, CacheStoreUse, DidRun, PolicyInput, RefusalReason, SendOrder,
+            ServerHealth, prefix::cache_salt,
         },
     },
     bytes::Bytes,
@@ -274,7 +274,7 @@
         // the salt of the former ones it would be given cache entries of the former ones.
         let weights = from.weights.or(believed);
         let source = order.source.as_ref().filter(|_| weights.is_some() && weights == decided);
-        let keep = order.keep.filter(|_| weights.is_some() && weights == decided);
+        let keep = order.store_use.filter(|_| weights.is_some() && weights == decided);
         let keep = keep.zip(self.core.keep_address());
         let salt = model.map(|model| {
             let weights = weights.map(|version| version.to_string()).unwrap_or_default();
@@ -289,7 +289,7 @@
                 Some((_, address)) => Some(address),
                 None => source.and_then(|source| self.core.address(source)),
             },
-            bring_to: keep.filter(|keep| keep.0 == KeepUse::TakeAndBring).map(|keep| keep.1),
+            bring_to: keep.filter(|keep| keep.0 == CacheStoreUse::TakeAndBring).map(|keep| keep.1),
             priority: order.priority,
             resume_after: from.event.clone(),
             weights,
--- a/src/edge/exchange/told.rs
+++ b/src/edge/exchange/told.rs
@@ -40,7 +40,7 @@
             request_id = self.request.caller.id.as_str(),
             server = order.server.as_str(),
             source = order.source.as_deref(),
-            keep:? = order.keep,
+            keep:? = order.store_use,
             weights = order.weights.as_deref(),
             expected_hit = order.expected_hit,
             parts = parts.map(|parts| parts.collect::<Vec<_>>().join(",")).unwrap_or_default(),
--- a/src/pipeline/dispatch.rs
+++ b/src/pipeline/dispatch.rs
@@ -225,6 +225,6 @@
         self.port.lock().forget(&self.request);
         // A task that was dropped half way, because its caller left, must free its place in the
         // queue and at the server. For a request that is over this says nothing new.
-        self.port.tell(PolicyInput::CallerGone { request: self.request.clone() });
+        self.port.tell(PolicyInput::CallerDisconnected { request: self.request.clone() });
     }
 }
--- a/src/pipeline/relay.rs
+++ b/src/pipeline/relay.rs
@@ -123,7 +123,7 @@
         let directive = tokio::select! {
             directive = route.next() => directive,
             () = task.answer.closed() => {
-                route.tell(PolicyInput::CallerGone { request: task.request.request.clone() });
+                route.tell(PolicyInput::CallerDisconnected { request: task.request.request.clone() });
                 return;
             }
         };
@@ -199,7 +199,7 @@
             }
             AttemptEnd::CallerGone => {
                 self.core.trace.note(request, "the caller went away");
-                route.tell(PolicyInput::CallerGone { request: request.clone() });
+                route.tell(PolicyInput::CallerDisconnected { request: request.clone() });
                 Some(RequestOver)
             }
             AttemptEnd::Cancelled => None,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -18,7 +18,7 @@
 pub mod window;
 
 pub use self::{
-    action::{DidRun, KeepUse, PolicyAction, RefusalReason, RetryReason, SendOrder},
+    action::{CacheStoreUse, DidRun, PolicyAction, RefusalReason, RetryReason, SendOrder},
     dispatcher::{Dispatcher, DispatcherSettings},
     input::{
         AttemptFailure, CacheEvent, DomainDigest, LoadReport, PolicyInput, PolicyView, PrefixLevel,
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -68,7 +68,7 @@
     /// engines can fetch from each other.
     pub source: Option<ServerId>,
     /// How the engines' common store is used.
-    pub keep: Option<KeepUse>,
+    pub store_use: Option<CacheStoreUse>,
     /// Lower is served first inside the engine.
     pub priority: u32,
     /// Tokens the caller already has; the engine resumes after them.
@@ -79,7 +79,7 @@
 
 /// How a prompt uses the engines' common store of KV cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum KeepUse {
+pub enum CacheStoreUse {
     /// The engine takes from it what it lacks.
     Take,
     /// It also brings what it had to compute.
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -224,7 +224,7 @@
                 let failed = attempts::FailedAttempt { failure, relayed_tokens, retry_after };
                 self.fail(now, attempt, failed);
             }
-            PolicyInput::CallerGone { request } => self.drop_caller(now, &request),
+            PolicyInput::CallerDisconnected { request } => self.drop_caller(now, &request),
             PolicyInput::Load(report) => self.note_load(now, &report),
             PolicyInput::Cache(event) => self.note_cache(&event),
             PolicyInput::Health { server, health } => self.note_health(now, &server, health),
@@ -235,8 +235,8 @@
                 self.fetch_rate = rate.filter(|_| self.is_on(PolicySafeguard::PeerFetch));
                 self.newest_weights = newest;
             }
-            PolicyInput::KeepLink { rate } => {
-                let rate = rate.filter(|_| self.is_on(PolicySafeguard::CommonStore));
+            PolicyInput::CacheStoreLink { rate } => {
+                let rate = rate.filter(|_| self.is_on(PolicySafeguard::CacheStore));
                 self.keep_link = rate.map(|rate| match self.keep_link.take() {
                     Some(link) => link.paced(rate),
                     None => keeping::KeepLink::new(rate),
--- a/src/policy/dispatcher/homes.rs
+++ b/src/policy/dispatcher/homes.rs
@@ -146,7 +146,7 @@
         level: &PrefixLevel,
         prompt_tokens: u32,
     ) -> usize {
-        if !self.is_on(PolicySafeguard::HotHomes) {
+        if !self.is_on(PolicySafeguard::PrefixReplication) {
             return 1;
         }
         let state = &self.table.pools[pool];
--- a/src/policy/dispatcher/keeping.rs
+++ b/src/policy/dispatcher/keeping.rs
@@ -16,7 +16,7 @@
     },
     crate::{
         ids::WeightsVersion,
-        policy::{KeepUse, PrefixLevel, RequestWork},
+        policy::{CacheStoreUse, PrefixLevel, RequestWork},
     },
     std::time::Instant,
 };
@@ -83,7 +83,7 @@
         request: &LiveRequest<Admitted>,
         best: &Candidate,
         weights: Option<&WeightsVersion>,
-    ) -> Option<KeepUse> {
+    ) -> Option<CacheStoreUse> {
         let RequestWork::Model { model, levels, .. } = &request.ticket.work else { return None };
         let shared = shared_tokens(levels);
         let newest = self.newest_weights.get(model);
@@ -95,7 +95,7 @@
         let brings = missing > 0 && best.cost.first_token() <= BRING_WITHIN;
         let link = self.keep_link.as_mut()?;
         let granted = link.withdraw(now, f64::from(missing));
-        granted.then_some(if brings { KeepUse::TakeAndBring } else { KeepUse::Take })
+        granted.then_some(if brings { CacheStoreUse::TakeAndBring } else { CacheStoreUse::Take })
     }
 }
 
--- a/src/policy/dispatcher/placing.rs
+++ b/src/policy/dispatcher/placing.rs
@@ -390,7 +390,7 @@
         let likely = f64::from(candidate.home_tokens.saturating_sub(hit)) * pool.home_trust;
         candidate.cost.prefill = (f64::from(candidate.computed) - likely) / rate;
         candidate.cost.stray = !at_home && hit < asked.homes.tokens;
-        if !at_home && !self.is_on(PolicySafeguard::HotHomes) {
+        if !at_home && !self.is_on(PolicySafeguard::PrefixReplication) {
             candidate.cost.place += f64::from(u16::MAX);
         }
         self.weigh_fetch(asked, candidate, rate);
--- a/src/policy/dispatcher/sending.rs
+++ b/src/policy/dispatcher/sending.rs
@@ -31,8 +31,8 @@
         if let Some(fingerprint) = state.suspect {
             self.running_suspects.insert(fingerprint);
         }
-        let keep = self.use_keep(now, &request, &best, state.weights.as_ref());
-        let order = SendOrder { keep, ..self.order(now, attempt, &request, &best, &state) };
+        let store_use = self.use_keep(now, &request, &best, state.weights.as_ref());
+        let order = SendOrder { store_use, ..self.order(now, attempt, &request, &best, &state) };
         self.table.servers[best.server].begin(attempt, &state);
         if let RequestWork::Model { levels, .. } = &request.ticket.work {
             self.holdings.note(levels, best.server, &self.table.servers[best.server].cache);
@@ -106,7 +106,7 @@
             expected_hit: best.hit,
             import: best.import,
             source: best.source.map(|source| self.table.servers[source].id.clone()),
-            keep: None,
+            store_use: None,
             priority: state.urgency as u32,
             resume_after: request.history.relayed,
             send_before: if fresh { latest.min(ticket.deadline) } else { latest },
--- a/src/policy/input.rs
+++ b/src/policy/input.rs
@@ -54,7 +54,7 @@
         retry_after: Option<std::time::Duration>,
     },
     /// The caller went away.
-    CallerGone {
+    CallerDisconnected {
         /// The request.
         request: RequestId,
     },
@@ -77,7 +77,7 @@
     /// A digest from another daemon.
     Digest(DomainDigest),
     /// Engines share a store of KV cache, or do not now.
-    KeepLink {
+    CacheStoreLink {
         /// Tokens a second of the link of the engines' common store that are this daemon's part;
         /// `None` if there is no store or it cannot be reached.
         rate: Option<f64>,
--- a/src/policy/safeguard.rs
+++ b/src/policy/safeguard.rs
@@ -23,7 +23,7 @@
     /// Urgent classes and short prompts first inside the engines.
     LongJobs,
     /// More servers than one for a prefix: more homes as it heats, and straying from full ones.
-    HotHomes,
+    PrefixReplication,
     /// Counting answers that are overdue against a server.
     Overdue,
     /// Trust in a held prefix only under the same life and weights of its server.
@@ -35,7 +35,7 @@
     /// Prefixes that an engine fetches from another one.
     PeerFetch,
     /// Long shared prefixes in the engines' common store.
-    CommonStore,
+    CacheStore,
 }
 
 impl PolicySafeguard {
@@ -48,13 +48,13 @@
         PolicySafeguard::Suspect,
         PolicySafeguard::Window,
         PolicySafeguard::LongJobs,
-        PolicySafeguard::HotHomes,
+        PolicySafeguard::PrefixReplication,
         PolicySafeguard::Overdue,
         PolicySafeguard::CacheIdentity,
         PolicySafeguard::Reachability,
         PolicySafeguard::Digests,
         PolicySafeguard::PeerFetch,
-        PolicySafeguard::CommonStore,
+        PolicySafeguard::CacheStore,
     ];
 
     /// The name used in settings and logs.
@@ -67,13 +67,13 @@
             PolicySafeguard::Suspect => "suspect",
             PolicySafeguard::Window => "window",
             PolicySafeguard::LongJobs => "long-jobs",
-            PolicySafeguard::HotHomes => "hot-homes",
+            PolicySafeguard::PrefixReplication => "hot-homes",
             PolicySafeguard::Overdue => "overdue",
             PolicySafeguard::CacheIdentity => "cache-identity",
             PolicySafeguard::Reachability => "reachability",
             PolicySafeguard::Digests => "digests",
             PolicySafeguard::PeerFetch => "peer-fetch",
-            PolicySafeguard::CommonStore => "common-store",
+            PolicySafeguard::CacheStore => "common-store",
         }
     }
 }
--- a/tests/dispatch_outcomes.rs
+++ b/tests/dispatch_outcomes.rs
@@ -352,7 +352,7 @@
         let actions = dispatcher.handle(now, PolicyInput::Arrive(booking(&name, deadline)));
         assert!(only_send(&actions).is_some(), "booking {number} is sent: {actions:?}");
         now += Duration::from_millis(500);
-        let actions = dispatcher.handle(now, PolicyInput::CallerGone { request: name });
+        let actions = dispatcher.handle(now, PolicyInput::CallerDisconnected { request: name });
         let cancelled = actions.iter().any(|action| matches!(action, PolicyAction::Cancel { .. }));
         assert!(!cancelled, "what may be half done is not cancelled");
     }
--- a/tests/hot_prefix.rs
+++ b/tests/hot_prefix.rs
@@ -27,7 +27,7 @@
     for seed in [1, 2] {
         let mut scene = LoadName::Steady.scene(SiteName::Abay, seed, LENGTH);
         scene.add_traffic(seed, HOT_RATE, LENGTH / 3, TrafficMix::HotClient(100));
-        let (tally, bare) = with_and_without(scene, seed, PolicySafeguard::HotHomes);
+        let (tally, bare) = with_and_without(scene, seed, PolicySafeguard::PrefixReplication);
         let own = tally.figures(INTERACTIVE).p50.expect("many are answered");
         let bare = bare.figures(INTERACTIVE).p50.expect("many are answered");
         println!("seed {seed}: median {own:?}, with one home {bare:?}");
--- a/tests/kept_prefix.rs
+++ b/tests/kept_prefix.rs
@@ -6,7 +6,7 @@
     oleandermount::{
         inventory::{DecisionObjective, RequestClass, ServerKind},
         policy::{
-            Dispatcher, DispatcherSettings, KeepUse, LoadReport, PolicyAction, PolicyInput,
+            CacheStoreUse, Dispatcher, DispatcherSettings, LoadReport, PolicyAction, PolicyInput,
             PolicyView, PrefixLevel, RequestTicket, RequestWork, SafeguardSet, ServerView,
         },
     },
@@ -49,7 +49,7 @@
         let mut bench =
             KeepBench { now: Instant::now(), dispatcher: Dispatcher::new(settings), count: 0 };
         bench.tell(PolicyInput::Configure(Arc::new(view)));
-        bench.tell(PolicyInput::KeepLink { rate: link });
+        bench.tell(PolicyInput::CacheStoreLink { rate: link });
         bench.weights("1");
         bench
     }
@@ -79,7 +79,7 @@
     }
 
     /// Asks with a shared prefix of `shared` tokens named by `prefix`; how the store is used.
-    fn ask(&mut self, prefix: u64, shared: u32) -> Option<KeepUse> {
+    fn ask(&mut self, prefix: u64, shared: u32) -> Option<CacheStoreUse> {
         self.count += 1;
         let own = PrefixLevel { hash: 1_000 + self.count, tokens: shared + 900 };
         let actions = self.tell(PolicyInput::Arrive(RequestTicket {
@@ -104,7 +104,7 @@
         let order = order.expect("the engine takes work");
         let (attempt, output_tokens) = (order.attempt, 10);
         self.tell(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens });
-        order.keep
+        order.store_use
     }
 }
 
@@ -112,9 +112,9 @@
 fn brings_once_and_takes() {
     let mut bench = KeepBench::new(Some(LINK_PART));
     bench.measure();
-    assert_eq!(bench.ask(1, LONG), Some(KeepUse::TakeAndBring));
+    assert_eq!(bench.ask(1, LONG), Some(CacheStoreUse::TakeAndBring));
     // What is believed to be held may have been evicted: the store is asked all the same.
-    assert_eq!(bench.ask(1, LONG), Some(KeepUse::Take));
+    assert_eq!(bench.ask(1, LONG), Some(CacheStoreUse::Take));
     assert_eq!(bench.ask(2, 200), None, "short ones would push the long ones out");
     let mut bench = KeepBench::new(None);
     assert_eq!(bench.ask(1, LONG), None, "there is no store, or it is away");
@@ -131,7 +131,7 @@
     bench.tell(PolicyInput::PeerFetch { rate: None, newest });
     assert_eq!(bench.ask(1, LONG), None);
     bench.weights("2");
-    assert_eq!(bench.ask(1, LONG), Some(KeepUse::TakeAndBring));
+    assert_eq!(bench.ask(1, LONG), Some(CacheStoreUse::TakeAndBring));
 }
 
 /// The same where the weights are named while a prompt waits: an engine that takes long to read it may
@@ -139,8 +139,12 @@
 #[test]
 fn only_what_is_read_soon() {
     let mut bench = KeepBench::new(Some(LINK_PART));
-    assert_eq!(bench.ask(1, LONG), Some(KeepUse::Take), "how fast the engine is was not measured");
-    assert_eq!(bench.ask(2, LONG), Some(KeepUse::TakeAndBring));
+    assert_eq!(
+        bench.ask(1, LONG),
+        Some(CacheStoreUse::Take),
+        "how fast the engine is was not measured"
+    );
+    assert_eq!(bench.ask(2, LONG), Some(CacheStoreUse::TakeAndBring));
 }
 
 /// A burst of prompts that nobody holds asks for no more of the link than it carries within seconds:
--- a/tests/policy_switches.rs
+++ b/tests/policy_switches.rs
@@ -20,7 +20,9 @@
     let all: SafeguardSet = PolicySafeguard::ALL.into_iter().collect();
     assert_eq!(all.to_string().parse(), Ok(all));
     let some: SafeguardSet = " window, hot-homes,".parse().expect("both names are known");
-    assert!(some.contains(PolicySafeguard::Window) && some.contains(PolicySafeguard::HotHomes));
+    assert!(
+        some.contains(PolicySafeguard::Window) && some.contains(PolicySafeguard::PrefixReplication)
+    );
     assert!(!some.contains(PolicySafeguard::Admission));
     assert!("".parse::<SafeguardSet>().expect("no name is no fault").is_empty());
 }
