--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,7 +1,9 @@
-//! Decisions under load: whom to serve, where, and when to refuse.
+//! Request scheduling and routing: admission, queueing, server selection, retries and overload
+//! protection.
 //!
-//! Everything here is pure: time, chance and findings come in as arguments, decisions go out as
-//! values. The daemon's driver and the virtual-time tests run the same [`Dispatcher`].
+//! This module is deterministic and performs no I/O: the current time, the random seed and all
+//! observations are passed in, and decisions are returned as values. The daemon and the
+//! virtual-time tests run the same [`Dispatcher`].
 
 pub mod action;
 pub mod admission;
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher decides.
+//! Decisions of the dispatcher.
 
 use {
     super::{DomainDigest, PrefixLevel},
@@ -7,123 +7,125 @@
     std::time::{Duration, Instant},
 };
 
-/// What the driver has to do.
+/// An action that the caller of the dispatcher has to perform.
 #[derive(Clone, Debug)]
 pub enum PolicyAction {
-    /// Send a request to a backend server now.
+    /// Send a request to a backend server immediately.
     Send(SendOrder),
-    /// Tell a backend server to stop an attempt.
+    /// Cancel an attempt at its backend server.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
-        /// Where it runs.
+        /// The server that runs it.
         server: ServerId,
     },
-    /// Give the caller its final answer now: it is not served.
+    /// Refuse a request. This is its final outcome.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The reason, for metrics and answers.
         reason: RefusalReason,
-        /// When to come back, where that helps.
+        /// Suggested delay before the caller retries; `None` if retrying does not help.
         retry_after: Option<Duration>,
-        /// Whether it ran.
+        /// Whether a backend server may have executed the request.
         did_run: DidRun,
     },
-    /// Ask a server for a sign of life and answer with `Probed`.
+    /// Send a health check to a server and report the result as [`super::PolicyInput::Probed`].
     Probe {
         /// The server.
         server: ServerId,
     },
-    /// Spread a digest to the daemons of the own failure domain.
+    /// Send a digest to the other daemons of this failure domain.
     Publish(DomainDigest),
-    /// Count a retry; it is followed by the `Send` that it explains.
+    /// Count a retry. The matching `Send` follows.
     CountRetry {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The reason, for metrics and answers.
         reason: RetryReason,
     },
 }
 
-/// One decided sending.
+/// An order to send a request to one backend server.
 #[derive(Clone, Debug)]
 pub struct SendOrder {
     /// The request.
     pub request: RequestId,
-    /// The new attempt.
+    /// Identifier of the new attempt.
     pub attempt: AttemptId,
-    /// Where to.
+    /// The destination.
     pub server: ServerId,
-    /// The life of the server it was decided for, if known. If the server has another, the
-    /// expected hit does not hold; the request itself may still run there.
+    /// Incarnation of the server that the decision assumed, if known. If the server has another
+    /// one, the expected cache hit is void, but the request may still run there.
     pub incarnation: Option<Incarnation>,
-    /// The weights it was decided for; a continuation on other weights is not allowed.
+    /// Weights that the decision assumed, if known. A stream must not be continued on other
+    /// weights.
     pub weights: Option<WeightsVersion>,
     /// Prompt tokens expected in the server's cache.
     pub expected_hit: u32,
-    /// The prefix to import from prompt-keep before prefill, where that is cheaper.
+    /// The prefix to import from a prompt-keep server before prefill, where that is cheaper.
     pub import: Option<PrefixLevel>,
-    /// Another server of the same model and weights that likely holds more of the prompt, where
-    /// engines can fetch from each other.
+    /// Another server with the same model and weights that is likely to hold more of the prompt,
+    /// where engines can fetch from each other.
     pub source: Option<ServerId>,
-    /// How the engines' common store is used.
+    /// Use of the engines' shared KV cache store; `None` if it is not used.
     pub store_use: Option<CacheStoreUse>,
-    /// Lower is served first inside the engine.
+    /// Priority inside the engine; lower values are served first.
     pub priority: u32,
-    /// Tokens the caller already has; the engine resumes after them.
+    /// Tokens already relayed to the caller; the engine resumes after them.
     pub resume_after: u32,
-    /// Nothing may be sent after this moment; report `Failed` with `Stale` instead.
+    /// Time after which the request must not be sent; report `Failed` with `Stale` instead.
     pub send_before: Instant,
 }
 
-/// How a prompt uses the engines' common store of KV cache.
+/// How a prompt uses the engines' shared KV cache store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CacheStoreUse {
-    /// The engine takes from it what it lacks.
+    /// The engine imports the blocks that it does not hold.
     Take,
-    /// It also brings what it had to compute.
+    /// The engine also exports the blocks that it had to compute.
     TakeAndBring,
 }
 
-/// Whether a refused request ran.
+/// Whether a refused request may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DidRun {
-    /// Not a byte of it can have reached a backend server.
+    /// It was not executed: no byte reached a backend server, or the server proved that it did not
+    /// run.
     No,
-    /// It may have run, in part or whole.
+    /// It may have been executed partly or completely.
     Unknown,
-    /// It ran.
+    /// It was executed.
     Yes,
 }
 
-/// Why a request is refused; one counter each.
+/// Why a request is refused. Each reason has its own counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// It cannot make its deadline.
+    /// Its deadline cannot be met.
     DeadlineUnreachable,
-    /// Its deadline passed while it waited.
+    /// Its deadline passed before its first token.
     DeadlinePassed,
     /// The queue is full.
     QueueFull,
-    /// The organisation is over its share.
+    /// The queue is full and the organisation's own requests are more than half of it.
     OverShare,
-    /// No live server offers the model or service.
+    /// No available server offers the model or service.
     NoServer,
-    /// The request crashes backend servers.
+    /// Backend servers crashed repeatedly while running it.
     CrashesServers,
-    /// Its retry budget is used up.
+    /// Its attempts or the retry budget are used up.
     RetriesExhausted,
-    /// The backend server failed after the request was sent, and it must not be repeated.
+    /// The server failed after a non-repeatable request was sent.
     ServerFailed,
-    /// A broken stream has no server to go on with on the same weights.
+    /// A broken stream cannot be resumed, since no server with the same weights is available.
     NotResumable,
 }
 
 impl RefusalReason {
-    /// All reasons, for counters that exist from the start.
+    /// All reasons, so that counters can be registered at startup.
     pub const ALL: [RefusalReason; 9] = [
         RefusalReason::DeadlineUnreachable,
         RefusalReason::DeadlinePassed,
@@ -136,7 +138,7 @@
         RefusalReason::NotResumable,
     ];
 
-    /// The name used in metrics and answers.
+    /// Returns the name used in metrics and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalReason::DeadlineUnreachable => "deadline_unreachable",
@@ -152,30 +154,30 @@
     }
 }
 
-/// Why a request is sent again; one counter each.
+/// Why a request is sent again. Each reason has its own counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryReason {
-    /// The server could not be connected to.
+    /// The connection could not be established.
     NotConnected,
-    /// The server refused it before running it.
+    /// The server refused the request.
     Refused,
-    /// The connection broke before the first token.
+    /// The connection broke before the first token arrived.
     BrokenBeforeToken,
-    /// The stream broke and is resumed.
+    /// The stream broke and is resumed after the relayed tokens.
     StreamResumed,
-    /// The server answered with an error.
+    /// The server answered with a 5xx status.
     ServerError,
-    /// The server showed no sign of life.
+    /// The server sent nothing within the timeout.
     TimedOut,
-    /// The server runs other weights.
+    /// The server runs other weights than expected.
     WrongWeights,
-    /// The decision was out of date after a pause.
+    /// The send order expired while the daemon process was paused.
     Stale,
 }
 
 impl RetryReason {
-    /// All reasons, for counters that exist from the start.
+    /// All reasons, so that counters can be registered at startup.
     pub const ALL: [RetryReason; 8] = [
         RetryReason::NotConnected,
         RetryReason::Refused,
@@ -187,7 +189,7 @@
         RetryReason::Stale,
     ];
 
-    /// The name used in metrics.
+    /// Returns the name used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RetryReason::NotConnected => "not_connected",
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,51 +1,54 @@
-//! Refuses at once what cannot make its deadline.
+//! Admission control: refuses requests whose deadline cannot be met.
 //!
-//! Load pattern: more is asked than the servers can do, for seconds or for good. Without it the
-//! queue grows until every request waits just longer than its caller does: the servers stay busy
-//! with answers that nobody waits for, and goodput falls to nothing while load is highest.
+//! Without admission control, the queue grows under overload until every request waits slightly
+//! longer than its caller does. The servers then stay busy with answers that no caller waits for,
+//! and goodput drops to zero while load is highest.
 //!
-//! What waits ahead, divided by the measured rate at which the queue drains, gives the wait. Who
-//! would wait longer than part of its time to the deadline is told so at once, with the moment at
-//! which the queue will have drained far enough. Less urgent classes may use a smaller part, so
-//! batch is shed before interactive work.
+//! The expected wait is the cost queued ahead divided by the measured drain rate. A request that
+//! would wait longer than a fraction of the time to its deadline is refused immediately, with the
+//! time after which the queue will have drained far enough. Batch requests get a smaller fraction,
+//! so they are shed before interactive ones.
 
 use {
     crate::inventory::RequestClass,
     std::time::{Duration, Instant},
 };
 
-/// The part of its time to the deadline that a request may be expected to wait, by class. Less
-/// than the whole, since the estimate errs; batch least, so that it is shed first. Smaller parts refuse
-/// what would have been served, larger ones only let callers wait longer (docs/decisions/0032).
-const WAIT_PART: [f64; 3] = [0.8, 0.8, 0.7];
+/// Fraction of the time to the deadline that a request may be expected to wait, by class. It is
+/// less than 1 because the estimate has an error, and lowest for batch so that batch is shed first.
+/// Smaller fractions refuse requests that could have been served; larger ones only let callers wait
+/// longer (see docs/decisions/0032).
+const MAX_WAIT_FRACTION: [f64; 3] = [0.8, 0.8, 0.7];
 
-/// The time over which the drain rate is measured: some tens of requests at today's sizes.
-const RATE_SPAN: Duration = Duration::from_secs(2);
+/// Window over which the drain rate is averaged, some tens of requests.
+const DRAIN_WINDOW: Duration = Duration::from_secs(2);
 
-/// Requests that may wait before one group of servers. At the design size a daemon sees 32
-/// requests a second and deadlines are some tens of seconds; beyond it, the heaviest is shed.
+/// Maximum requests waiting for one pool. At 32 requests per second and deadlines of some tens of
+/// seconds, more could not be served in time. Beyond this limit, requests of the heaviest
+/// organisation are shed.
 pub const MAX_WAITING: usize = 2_048;
 
-/// The shortest time after which a refused caller should come back.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Minimum retry delay suggested to a refused caller.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// The longest time: a caller that waits longer learns too late that the load has gone.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Maximum suggested retry delay. A longer one would keep callers away after the overload has
+/// ended.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// How fast the queue before one group of servers drains, in cost per second.
+/// Measures the drain rate of one pool's queue, in cost per second.
 #[derive(Clone, Debug, Default)]
-pub struct DrainGauge {
-    /// Smoothed cost per second while work waits; zero until measured.
+pub struct DrainRate {
+    /// Smoothed cost per second while requests wait; zero until measured.
     rate: f64,
-    /// Cost dispatched in the present span.
+    /// Cost dispatched in the current measurement span.
     served: u64,
-    /// Start of the present span; `None` while nobody waits.
+    /// Start of the current span; `None` while no request waits.
     since: Option<Instant>,
 }
 
-impl DrainGauge {
-    /// Notes whether anyone waits; the rate counts only while someone does.
-    pub fn note_waiting(&mut self, now: Instant, waiting: usize) {
+impl DrainRate {
+    /// Records the number of waiting requests. The rate is measured only while it is positive.
+    pub fn record_waiting(&mut self, now: Instant, waiting: usize) {
         match (waiting > 0, self.since) {
             (true, None) => {
                 self.since = Some(now);
@@ -56,14 +59,14 @@
         }
     }
 
-    /// Notes cost dispatched from the queue.
-    pub fn note_served(&mut self, now: Instant, cost: u64) {
+    /// Records cost dispatched from the queue.
+    pub fn record_served(&mut self, now: Instant, cost: u64) {
         let Some(since) = self.since else { return };
         self.served += cost;
         let span = now.saturating_duration_since(since);
-        if span >= RATE_SPAN / 4 {
+        if span >= DRAIN_WINDOW / 4 {
             let found = self.served as f64 / span.as_secs_f64();
-            let part = (span.as_secs_f64() / RATE_SPAN.as_secs_f64()).min(1.0);
+            let part = (span.as_secs_f64() / DRAIN_WINDOW.as_secs_f64()).min(1.0);
             self.rate =
                 if self.rate > 0.0 { self.rate + (found - self.rate) * part } else { found };
             self.since = Some(now);
@@ -71,7 +74,7 @@
         }
     }
 
-    /// How long `cost` takes to drain; zero while the rate is not known.
+    /// Returns how long `cost` takes to drain; zero while the rate is unknown.
     pub fn time_for(&self, cost: u64) -> Duration {
         if self.rate <= 0.0 {
             return Duration::ZERO;
@@ -80,35 +83,36 @@
     }
 }
 
-/// What admission decides.
+/// The result of admission control.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AdmissionVerdict {
-    /// It may wait.
+pub enum AdmissionDecision {
+    /// The request may wait.
     Admit,
-    /// It cannot make its deadline; it should come back after the pause.
+    /// Its deadline cannot be met.
     Refuse {
-        /// When the queue will have drained far enough.
+        /// Time until the queue will have drained far enough.
         retry_after: Duration,
     },
 }
 
-/// Whether a request that would wait for `wait` and then `run` until its first token may try.
-pub fn judge(
+/// Decides whether to admit a request that is expected to wait for `wait` and then to need `run`
+/// until its first token.
+pub fn evaluate(
     class: RequestClass,
     now: Instant,
     deadline: Instant,
     wait: Duration,
     run: Duration,
-) -> AdmissionVerdict {
-    let left = deadline.saturating_duration_since(now);
-    let allowed = left.saturating_sub(run).mul_f64(WAIT_PART[class as usize]);
-    if wait <= allowed && !left.is_zero() {
-        return AdmissionVerdict::Admit;
+) -> AdmissionDecision {
+    let remaining = deadline.saturating_duration_since(now);
+    let allowed = remaining.saturating_sub(run).mul_f64(MAX_WAIT_FRACTION[class as usize]);
+    if wait <= allowed && !remaining.is_zero() {
+        return AdmissionDecision::Admit;
     }
-    AdmissionVerdict::Refuse { retry_after: come_back_after(wait.saturating_sub(allowed)) }
+    AdmissionDecision::Refuse { retry_after: clamp_retry_after(wait.saturating_sub(allowed)) }
 }
 
-/// A pause for the caller that is neither hectic nor endless.
-pub fn come_back_after(excess: Duration) -> Duration {
-    excess.clamp(LEAST_RETRY_AFTER, LONGEST_RETRY_AFTER)
+/// Limits a suggested retry delay to the permitted range.
+pub fn clamp_retry_after(excess: Duration) -> Duration {
+    excess.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -1,21 +1,22 @@
-//! The one place where waiting requests meet backend servers.
+//! The dispatcher: assigns waiting requests to backend servers.
 //!
-//! [`Dispatcher::handle`] takes one input at a time and says what is to be done. Each request gets
-//! exactly one final outcome: a refusal, the end of an attempt, or its caller leaves. An attempt's
-//! reports count only while the attempt is in the table, so late and crossed ones change nothing.
+//! [`Dispatcher::handle`] takes one input at a time and returns the actions to perform. Each
+//! request gets exactly one final outcome: a refusal, the end of an attempt, or the disconnection
+//! of its caller. Events of an attempt count only while the attempt is in the table, so late and
+//! reordered ones have no effect.
 
+mod affinity;
 pub mod arrivals;
 pub mod attempts;
+mod cache_store;
 pub mod digests;
-mod fetching;
-mod homes;
-mod keeping;
 pub mod lifecycle;
-pub mod placing;
+mod peer_fetch;
 pub mod reports;
-mod sending;
+pub mod selection;
 pub mod servers;
-pub mod wakeups;
+mod submission;
+pub mod timers;
 
 use {
     self::{
@@ -26,9 +27,9 @@
         DidRun, PolicyAction, PolicyInput, PolicySafeguard, PolicyView, RefusalReason,
         SafeguardSet,
         fairness::FairQueue,
-        placement::HeatTable,
-        prefix::{HoldingTable, MAX_PREFIXES, ServerIndex},
-        retry::BudgetBook,
+        placement::PrefixRateTable,
+        prefix::{MAX_PREFIXES, PrefixTable, ServerIndex},
+        retry::RetryBudgets,
         suspect::SuspectList,
     },
     crate::{
@@ -44,60 +45,65 @@
     },
 };
 
-/// What a dispatcher is made with.
+/// Settings of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct DispatcherSettings {
     /// The VM that this daemon runs on.
     pub daemon: VmId,
-    /// Its failure domain.
+    /// The failure domain of that VM.
     pub failure_domain: FailureDomainId,
-    /// Seeds every random choice; take it from the system's generator outside tests, since attempt
-    /// ids are drawn from it.
+    /// Seed of all random choices. Attempt ids are drawn from it, so outside tests it must come
+    /// from the system's random number generator.
     pub seed: u64,
-    /// Safeguards that are off; empty but in tests and while an operator looks for a cause.
+    /// Disabled safeguards; empty except in tests and while an operator searches for the cause of a
+    /// fault.
     pub disabled: SafeguardSet,
 }
 
-/// Decides for one daemon which request goes where and when.
+/// Decides for one daemon when each request is sent, and to which server.
 #[derive(Debug)]
 pub struct Dispatcher {
     settings: DispatcherSettings,
     view: Arc<PolicyView>,
     random: Xoshiro256PlusPlus,
-    /// The latest moment seen; never goes back.
+    /// Latest time seen; never goes back.
     now: Option<Instant>,
     table: ServerTable,
-    holdings: HoldingTable,
-    heats: HeatTable,
-    budgets: BudgetBook,
+    prefix_table: PrefixTable,
+    prefix_rates: PrefixRateTable,
+    budgets: RetryBudgets,
     suspects: SuspectList,
-    /// Fingerprints under suspicion that are in flight from here; each at most once.
+    /// Fingerprints recorded at crashes that are in flight from this daemon; at most one request
+    /// for each.
     running_suspects: BTreeSet<u64>,
-    /// Requests without a final outcome: what waits is bounded by each pool's queue, what runs by
-    /// the windows.
+    /// Requests without a final outcome. Waiting ones are bounded by the queues of the pools,
+    /// running ones by the windows.
     requests: BTreeMap<u64, RequestEntry>,
-    /// The same requests by name.
+    /// Numbers of these requests by request id.
     numbers: BTreeMap<RequestId, u64>,
     next_number: u64,
-    /// Attempts in flight; one for each running request.
+    /// Attempts in flight, one for each running request.
     attempts: BTreeMap<AttemptId, AttemptState>,
-    /// Deadlines and pauses of waiting requests; at most two for each.
+    /// Deadlines and retry delays of requests; at most two for each.
     timers: BTreeSet<(Instant, u64)>,
-    /// Domains that can be reached; `None` until told, and then all can.
+    /// Reachable failure domains; `None` until the first report, and then all are assumed
+    /// reachable.
     reachable: Option<BTreeSet<FailureDomainId>>,
-    peers: digests::PeerBook,
-    /// Prompt-keeps that the configuration lists.
-    keeps: usize,
-    /// Tokens a second that engines fetch from each other; `None` if they cannot.
+    peers: digests::PeerTable,
+    /// Number of prompt-keep servers in the configuration.
+    prompt_keeps: usize,
+    /// Transfer rate between engines in tokens per second; `None` if they cannot fetch from each
+    /// other.
     fetch_rate: Option<f64>,
-    /// The store of KV cache that engines share; `None` while there is none or it is away.
-    keep_link: Option<keeping::KeepLink>,
-    /// The newest weights named, by model; what has others is no source.
+    /// The engines' shared KV cache store; `None` if there is none or it is unreachable.
+    store_link: Option<cache_store::StoreLink>,
+    /// The newest named weights by model. Servers with other weights are not used as sources of a
+    /// fetch.
     newest_weights: BTreeMap<ModelId, WeightsVersion>,
-    /// Servers that are ejected and wait for a probe.
+    /// Ejected servers.
     ejected: BTreeSet<ServerIndex>,
-    /// When waiting requests are looked at again though nothing happened.
-    look_at: Option<Instant>,
+    /// When waiting requests are considered again without an input.
+    recheck_at: Option<Instant>,
     actions: Vec<PolicyAction>,
 }
 
@@ -105,12 +111,12 @@
 #[derive(Debug)]
 struct RequestEntry {
     pool: PoolIndex,
-    /// Estimated cost in tokens, as queued.
+    /// Estimated cost in tokens when it was queued.
     cost: u64,
     phase: RequestPhase,
 }
 
-/// One attempt in flight.
+/// An attempt in flight.
 #[derive(Clone, Debug)]
 pub struct AttemptState {
     number: u64,
@@ -118,15 +124,16 @@
     sent: Instant,
     /// Predicted time to the first token.
     predicted: Duration,
-    /// Prompt tokens it has to compute, as predicted.
+    /// Predicted number of prompt tokens to compute.
     computed: u32,
-    /// Prompt tokens expected in the cache.
+    /// Prompt tokens expected in the server's cache.
     expected_hit: u32,
-    /// Tokens that are held there if the other daemons send the prefix home, too; 0 elsewhere.
-    home_tokens: u32,
-    /// Age of that holding.
+    /// Tokens that the server holds if other daemons send the prefix to the same affinity server; 0
+    /// if it is none.
+    affinity_tokens: u32,
+    /// Age of the expected hit on the server's clock.
     hit_age: u64,
-    /// The generation of the server's cache it was sent under.
+    /// Generation of the server's cache state when it was sent.
     generation: u32,
     /// Weights it was sent for, if known.
     weights: Option<WeightsVersion>,
@@ -134,12 +141,12 @@
     charged_output: u64,
     urgency: servers::Urgency,
     answered: bool,
-    /// Its fingerprint, if it ran as a suspect.
+    /// Its fingerprint, if it had been recorded at a crash.
     suspect: Option<u64>,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no servers yet.
+    /// Creates a dispatcher without servers; the first `Configure` input adds them.
     pub fn new(settings: DispatcherSettings) -> Self {
         let random = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
         Dispatcher {
@@ -148,9 +155,9 @@
             random,
             now: None,
             table: ServerTable::default(),
-            holdings: HoldingTable::new(MAX_PREFIXES),
-            heats: HeatTable::default(),
-            budgets: BudgetBook::default(),
+            prefix_table: PrefixTable::new(MAX_PREFIXES),
+            prefix_rates: PrefixRateTable::default(),
+            budgets: RetryBudgets::default(),
             suspects: SuspectList::default(),
             running_suspects: BTreeSet::new(),
             requests: BTreeMap::new(),
@@ -159,30 +166,31 @@
             attempts: BTreeMap::new(),
             timers: BTreeSet::new(),
             reachable: None,
-            peers: digests::PeerBook::default(),
-            keeps: 0,
+            peers: digests::PeerTable::default(),
+            prompt_keeps: 0,
             fetch_rate: None,
-            keep_link: None,
+            store_link: None,
             newest_weights: BTreeMap::new(),
             ejected: BTreeSet::new(),
-            look_at: None,
+            recheck_at: None,
             actions: Vec::new(),
         }
     }
 
-    /// Takes one input at the moment `now` and says what is to be done, in order.
+    /// Handles one input at time `now` and returns the resulting actions in order.
     ///
-    /// Nothing is sent before passed deadlines are found: after a pause of the process (a frozen VM)
-    /// nothing that was waiting goes out for a caller that has gone. The input comes before them,
-    /// since an attempt that it ends must not be given up as well.
+    /// Expired deadlines are processed before anything is sent, so that a process resumed after a
+    /// pause sends no request whose caller has given up. The input is handled before the deadlines,
+    /// since an attempt that it ends must not be aborted as well.
     pub fn handle(&mut self, now: Instant, input: PolicyInput) -> Vec<PolicyAction> {
         self.handle_all(now, [input])
     }
 
-    /// Takes several inputs that belong together: nothing is sent before the last of them is taken in.
+    /// Handles several inputs atomically: nothing is sent before the last one has been handled.
     ///
-    /// A configuration that lists a server and the word that it must get no work are two inputs. A
-    /// waiting request that was placed between them would go to that server, for it is idle.
+    /// For example, a configuration that lists a server and the report that it must get no requests
+    /// are two inputs. A waiting request placed between them would be sent to that server, because
+    /// it is idle.
     pub fn handle_all(
         &mut self,
         now: Instant,
@@ -191,31 +199,31 @@
         let now = self.now.map_or(now, |latest| latest.max(now));
         self.now = Some(now);
         for input in inputs {
-            self.take(now, input);
+            self.apply_input(now, input);
         }
-        self.pass_time(now);
+        self.advance_time(now);
         self.place_waiting(now);
         self.publish(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// When `Wake` is wanted next.
+    /// Returns when `Wake` has to be handled next.
     pub fn next_wakeup(&self) -> Option<Instant> {
         let timer = self.timers.first().map(|(at, _)| *at);
         let probes = self.ejected.iter().map(|index| &self.table.servers[*index].failures);
         let probe = probes.filter_map(|record| record.probe_due()).min();
-        [timer, probe, self.look_at, self.peers.publish_at()].into_iter().flatten().min()
+        [timer, probe, self.recheck_at, self.peers.publish_at()].into_iter().flatten().min()
     }
 
-    fn take(&mut self, now: Instant, input: PolicyInput) {
+    fn apply_input(&mut self, now: Instant, input: PolicyInput) {
         match input {
             PolicyInput::Configure(view) => self.configure(view),
             PolicyInput::Arrive(ticket) => self.arrive(now, ticket),
             PolicyInput::FirstToken { attempt, cached_tokens } => {
-                self.note_first_token(now, attempt, cached_tokens);
+                self.record_first_token(now, attempt, cached_tokens);
             }
             PolicyInput::Progress { attempt, .. } => {
-                self.note_first_token(now, attempt, None);
+                self.record_first_token(now, attempt, None);
             }
             PolicyInput::Finished { attempt, cached_tokens, output_tokens } => {
                 self.finish(now, attempt, cached_tokens, output_tokens);
@@ -224,50 +232,51 @@
                 let failed = attempts::FailedAttempt { failure, relayed_tokens, retry_after };
                 self.fail(now, attempt, failed);
             }
-            PolicyInput::CallerDisconnected { request } => self.drop_caller(now, &request),
-            PolicyInput::Load(report) => self.note_load(now, &report),
-            PolicyInput::Cache(event) => self.note_cache(&event),
-            PolicyInput::Health { server, health } => self.note_health(now, &server, health),
-            PolicyInput::Reachable { domains } => self.note_reachable(domains),
-            PolicyInput::Digest(digest) => self.hear_digest(now, digest),
-            PolicyInput::Probed { server, answered } => self.note_probe(now, &server, answered),
+            PolicyInput::CallerDisconnected { request } => self.handle_disconnect(now, &request),
+            PolicyInput::Load(report) => self.record_load(now, &report),
+            PolicyInput::Cache(event) => self.record_cache(&event),
+            PolicyInput::Health { server, health } => self.record_health(now, &server, health),
+            PolicyInput::Reachable { domains } => self.record_reachable(domains),
+            PolicyInput::Digest(digest) => self.merge_digest(now, digest),
+            PolicyInput::Probed { server, answered } => self.record_probe(now, &server, answered),
             PolicyInput::PeerFetch { rate, newest } => {
-                self.fetch_rate = rate.filter(|_| self.is_on(PolicySafeguard::PeerFetch));
+                self.fetch_rate = rate.filter(|_| self.is_enabled(PolicySafeguard::PeerFetch));
                 self.newest_weights = newest;
             }
             PolicyInput::CacheStoreLink { rate } => {
-                let rate = rate.filter(|_| self.is_on(PolicySafeguard::CacheStore));
-                self.keep_link = rate.map(|rate| match self.keep_link.take() {
-                    Some(link) => link.paced(rate),
-                    None => keeping::KeepLink::new(rate),
+                let rate = rate.filter(|_| self.is_enabled(PolicySafeguard::CacheStore));
+                self.store_link = rate.map(|rate| match self.store_link.take() {
+                    Some(link) => link.with_rate(rate),
+                    None => cache_store::StoreLink::new(rate),
                 });
             }
-            PolicyInput::RetryReserve { retries } => self.budgets.bound_reserve(retries),
+            PolicyInput::RetryReserve { retries } => self.budgets.limit_reserve(retries),
             PolicyInput::Wake => {}
         }
     }
 
-    fn is_on(&self, safeguard: PolicySafeguard) -> bool {
+    fn is_enabled(&self, safeguard: PolicySafeguard) -> bool {
         !self.settings.disabled.contains(safeguard)
     }
 
-    /// A number in 0 to 1.
-    fn chance(&mut self) -> f64 {
+    /// Returns a random number from 0 (inclusive) to 1 (exclusive).
+    fn random_unit(&mut self) -> f64 {
         (self.random.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
     fn configure(&mut self, view: Arc<PolicyView>) {
         let daemons = view.daemons.values().map(BTreeMap::len).sum::<usize>().max(1);
-        let fair = self.is_on(PolicySafeguard::Fairness);
+        let fair = self.is_enabled(PolicySafeguard::Fairness);
         let make = move || if fair { FairQueue::default() } else { FairQueue::in_arrival_order() };
         self.table.configure(&view, daemons, make);
-        let kept = view.servers.values().filter(|server| server.kind == ServerKind::PromptKeep);
-        self.keeps = kept.count();
+        let prompt_keeps =
+            view.servers.values().filter(|server| server.kind == ServerKind::PromptKeep);
+        self.prompt_keeps = prompt_keeps.count();
         self.view = view;
         self.apply_reachable();
     }
 
-    /// Gives a request its final refusal and forgets it.
+    /// Refuses a request, which is its final outcome, and removes it.
     fn refuse(
         &mut self,
         request: RequestId,
--- a/src/policy/dispatcher/arrivals.rs
+++ b/src/policy/dispatcher/arrivals.rs
@@ -1,35 +1,35 @@
-//! Takes requests in: refuses at once what cannot be served, queues the rest.
+//! Admits arriving requests to a queue or refuses them.
 
 use {
     super::{
         Dispatcher, RequestEntry,
-        homes::HOME_LEVELS,
-        lifecycle::{Admitted, LiveRequest, RequestPhase},
+        affinity::AFFINITY_LEVELS,
+        lifecycle::{Admitted, RequestPhase, StagedRequest},
         servers::{PoolIndex, PoolKey},
     },
     crate::{
         ids::RequestId,
         policy::{
             DidRun, PolicyAction, PolicySafeguard, RefusalReason, RequestTicket, RequestWork,
-            admission::{self, AdmissionVerdict, MAX_WAITING},
-            fairness::{LEAST_COST, OUTPUT_COST, QueuePlace, QueuedWork},
+            admission::{self, AdmissionDecision, MAX_WAITING},
+            fairness::{MIN_COST, OUTPUT_TOKEN_COST, QueuePosition, QueuedWork},
             prefix::ServerIndex,
-            suspect::STRIKES_TO_REFUSE,
+            suspect::CRASHES_TO_REFUSE,
         },
     },
     std::time::{Duration, Instant},
 };
 
-/// When to come back if nobody serves the model: about the time an engine takes to restart.
+/// Suggested retry delay if no server offers the model: about the restart time of an engine.
 const NO_SERVER_PAUSE: Duration = Duration::from_secs(2);
 
-/// Output tokens expected of an answer before any was seen.
-const FIRST_OUTPUT: f64 = 128.0;
+/// Assumed output tokens of an answer before any measurement.
+const INITIAL_OUTPUT: f64 = 128.0;
 
 impl Dispatcher {
     pub(super) fn arrive(&mut self, now: Instant, ticket: RequestTicket) {
         if self.numbers.contains_key(&ticket.request) {
-            log::warn!("{} arrived twice and is queued once", ticket.request);
+            log::warn!("ignoring a second submission of request {}", ticket.request);
             return;
         }
         let refusal = self.refusal_on_arrival(now, &ticket);
@@ -39,7 +39,7 @@
         }
         let Some(pool) = self.table.by_key.get(&PoolKey::of(&ticket.work)).copied() else { return };
         let cost = self.estimate_cost(pool, &ticket.work);
-        if let Some(pause) = self.judge_wait(now, pool, &ticket, cost) {
+        if let Some(pause) = self.check_deadline(now, pool, &ticket, cost) {
             let reason = RefusalReason::DeadlineUnreachable;
             self.refuse(ticket.request, reason, Some(pause), DidRun::No);
             return;
@@ -52,15 +52,15 @@
             return;
         }
         if let RequestWork::Model { levels, .. } = &ticket.work {
-            for level in levels.iter().take(HOME_LEVELS) {
-                self.heats.note(now, level.hash);
+            for level in levels.iter().take(AFFINITY_LEVELS) {
+                self.prefix_rates.record(now, level.hash);
             }
         }
-        let request = LiveRequest::receive(now, ticket).admit(now);
-        self.enqueue(now, pool, cost, request, QueuePlace::Back);
+        let request = StagedRequest::receive(now, ticket).admit(now);
+        self.enqueue(now, pool, cost, request, QueuePosition::Back);
     }
 
-    /// What can be refused without a look at the queue.
+    /// Returns the refusal that does not depend on the queue, if any.
     fn refusal_on_arrival(
         &self,
         now: Instant,
@@ -69,97 +69,101 @@
         if ticket.deadline <= now {
             return Some((RefusalReason::DeadlinePassed, None));
         }
-        if self.is_convicted(now, ticket.fingerprint) {
+        if self.has_crashed_servers(now, ticket.fingerprint) {
             return Some((RefusalReason::CrashesServers, None));
         }
         let pool = self.table.by_key.get(&PoolKey::of(&ticket.work));
         let members = pool.map_or(&[][..], |pool| &self.table.pools[*pool].members[..]);
         let served = members.iter().any(|index| self.table.servers[*index].takes_work());
-        // A status check must come back: it waits for a server until its deadline.
+        // A status call must be answered, so it waits for a server until its deadline.
         let waits = !members.is_empty() && ticket.is_status_call();
         (!served && !waits).then_some((RefusalReason::NoServer, Some(NO_SERVER_PAUSE)))
     }
 
-    pub(super) fn is_convicted(&self, now: Instant, fingerprint: u64) -> bool {
-        self.is_on(PolicySafeguard::Suspect)
-            && self.suspects.strikes(now, fingerprint) >= STRIKES_TO_REFUSE
+    pub(super) fn has_crashed_servers(&self, now: Instant, fingerprint: u64) -> bool {
+        self.is_enabled(PolicySafeguard::Suspect)
+            && self.suspects.crash_count(now, fingerprint) >= CRASHES_TO_REFUSE
     }
 
-    /// Tokens that a request will cost: prompt that nobody holds, and its expected output.
+    /// Estimates the cost of a request in tokens: the part of the prompt that no server holds, and
+    /// its expected output.
     pub(super) fn estimate_cost(&self, pool: PoolIndex, work: &RequestWork) -> u64 {
         let RequestWork::Model { levels, prompt_tokens, max_output_tokens, .. } = work else {
-            return LEAST_COST;
+            return MIN_COST;
         };
-        let held = levels.iter().rev().find(|level| self.holdings.knows(level.hash));
+        let held = levels.iter().rev().find(|level| self.prefix_table.knows(level.hash));
         let held = held.map_or(0, |level| level.tokens);
         let prompt = u64::from(prompt_tokens.saturating_sub(held));
         let output = self.expected_output(pool, *max_output_tokens);
-        (prompt + OUTPUT_COST * output).max(LEAST_COST)
+        (prompt + OUTPUT_TOKEN_COST * output).max(MIN_COST)
     }
 
     pub(super) fn expected_output(&self, pool: PoolIndex, limit: u32) -> u64 {
         let mean = self.table.pools[pool].output;
-        let mean = if mean > 0.0 { mean } else { FIRST_OUTPUT };
+        let mean = if mean > 0.0 { mean } else { INITIAL_OUTPUT };
         (mean as u64).min(u64::from(limit))
     }
 
-    /// The pause for the caller if the request cannot make its deadline.
-    fn judge_wait(
+    /// Returns the suggested retry delay if the request cannot meet its deadline.
+    fn check_deadline(
         &self,
         now: Instant,
         pool: PoolIndex,
         ticket: &RequestTicket,
         cost: u64,
     ) -> Option<Duration> {
-        // Status checks are cheap and must come back: only a full queue sheds them.
-        if !self.is_on(PolicySafeguard::Admission) || ticket.is_status_call() {
+        // Status calls are cheap and must be answered, so only a full queue refuses them.
+        if !self.is_enabled(PolicySafeguard::Admission) || ticket.is_status_call() {
             return None;
         }
         let state = &self.table.pools[pool];
         let ahead = state.queue.cost_ahead(&ticket.organisation, ticket.class, cost);
         let wait = state.drain.time_for(ahead);
-        let run = Duration::from_secs_f64(self.least_first_token(pool, &ticket.work));
-        match admission::judge(ticket.class, now, ticket.deadline, wait, run) {
-            AdmissionVerdict::Admit => None,
-            AdmissionVerdict::Refuse { retry_after } => Some(retry_after),
+        let run = Duration::from_secs_f64(self.min_first_token(pool, &ticket.work));
+        match admission::evaluate(ticket.class, now, ticket.deadline, wait, run) {
+            AdmissionDecision::Admit => None,
+            AdmissionDecision::Refuse { retry_after } => Some(retry_after),
         }
     }
 
-    /// First-token time at an idle server of usual speed, were the best known prefix held there.
-    pub(super) fn least_first_token(&self, pool: PoolIndex, work: &RequestWork) -> f64 {
+    /// Returns the first-token time in seconds at an idle server with the pool's highest speed that
+    /// holds the best known prefix.
+    pub(super) fn min_first_token(&self, pool: PoolIndex, work: &RequestWork) -> f64 {
         let RequestWork::Model { levels, prompt_tokens, .. } = work else { return 0.0 };
-        let held = levels.iter().rev().find(|level| self.holdings.knows(level.hash));
+        let held = levels.iter().rev().find(|level| self.prefix_table.knows(level.hash));
         let computed = prompt_tokens.saturating_sub(held.map_or(0, |level| level.tokens));
         let rate = self.table.pools[pool].fastest_rate.unwrap_or(f64::INFINITY);
         f64::from(computed) / rate
     }
 
-    /// How long the queue takes to drain `cost`.
+    /// Returns how long the queue takes to drain `cost`, limited to the range of suggested retry
+    /// delays.
     pub(super) fn drain_pause(&self, pool: PoolIndex, cost: u64) -> Duration {
-        admission::come_back_after(self.table.pools[pool].drain.time_for(cost))
+        admission::clamp_retry_after(self.table.pools[pool].drain.time_for(cost))
     }
 
-    /// Makes room in a full queue by shedding less urgent work, or work of a heavier organisation.
+    /// Makes room in a full queue by shedding less urgent requests or those of a heavier
+    /// organisation. Returns false if there is nothing to shed.
     fn make_room(&mut self, now: Instant, pool: PoolIndex, ticket: &RequestTicket) -> bool {
         let queue = &self.table.pools[pool].queue;
         if queue.len() < MAX_WAITING {
             return true;
         }
         let own = queue.depth(&ticket.organisation);
-        let Some(victim) = queue.victim(ticket.class, own) else { return false };
-        let pause = self.drain_pause(pool, victim.cost);
-        self.refuse_waiting(now, victim.number, RefusalReason::QueueFull, Some(pause));
+        let Some(shed_candidate) = queue.shed_candidate(ticket.class, own) else { return false };
+        let pause = self.drain_pause(pool, shed_candidate.cost);
+        self.refuse_waiting(now, shed_candidate.number, RefusalReason::QueueFull, Some(pause));
         true
     }
 
-    /// Puts an admitted request into its pool's queue.
+    /// Adds an admitted request to the queue of its pool.
     pub(super) fn enqueue(
         &mut self,
         now: Instant,
         pool: PoolIndex,
         cost: u64,
-        request: LiveRequest<Admitted>,
-        place: QueuePlace,
+        request: StagedRequest<Admitted>,
+        position: QueuePosition,
     ) {
         self.next_number += 1;
         let number = self.next_number;
@@ -167,9 +171,9 @@
         let weight = self.view.shares.get(&ticket.organisation).copied().unwrap_or(1.0).max(0.001);
         let state = &mut self.table.pools[pool];
         let work = QueuedWork { number, cost };
-        state.queue.push(&ticket.organisation, weight, ticket.class, work, place);
-        state.drain.note_waiting(now, state.queue.len());
-        state.stirred = true;
+        state.queue.push(&ticket.organisation, weight, ticket.class, work, position);
+        state.drain.record_waiting(now, state.queue.len());
+        state.dirty = true;
         if request.history.relayed == 0 {
             self.timers.insert((ticket.deadline, number));
         }
@@ -181,12 +185,12 @@
         self.requests.insert(number, RequestEntry { pool, cost, phase });
     }
 
-    /// Takes a waiting request out of its queue.
-    pub(super) fn unqueue(
+    /// Removes a waiting request from its queue.
+    pub(super) fn dequeue(
         &mut self,
         now: Instant,
         number: u64,
-    ) -> Option<(PoolIndex, u64, LiveRequest<Admitted>)> {
+    ) -> Option<(PoolIndex, u64, StagedRequest<Admitted>)> {
         let entry = self.requests.remove(&number)?;
         let request = match entry.phase {
             RequestPhase::Waiting(request) => request,
@@ -200,11 +204,11 @@
         let ticket = &request.ticket;
         let state = &mut self.table.pools[entry.pool];
         state.queue.remove(&ticket.organisation, ticket.class, number);
-        state.drain.note_waiting(now, state.queue.len());
+        state.drain.record_waiting(now, state.queue.len());
         Some((entry.pool, entry.cost, request))
     }
 
-    /// Refuses a request that waits.
+    /// Refuses a waiting request.
     pub(super) fn refuse_waiting(
         &mut self,
         now: Instant,
@@ -212,21 +216,23 @@
         reason: RefusalReason,
         retry_after: Option<Duration>,
     ) {
-        if let Some((_, _, request)) = self.unqueue(now, number) {
-            let did_run = request.history.ran;
+        if let Some((_, _, request)) = self.dequeue(now, number) {
+            let did_run = request.history.did_run;
             self.refuse(request.ticket.request, reason, retry_after, did_run);
         }
     }
 
-    /// Nobody attends the request any more: what waits is dropped, what runs gives its place back.
+    /// Handles the disconnection of a caller: a waiting request is dropped, and a running one
+    /// releases its slot.
     ///
-    /// A call that must run at most once is not cancelled at its server, as it may be half done. Its
-    /// place is given back all the same: no end of it will be reported, so it would count as running,
-    /// and ever more overdue, until its server were refused all further work. A call whose answer is
-    /// kept for a resend is attended until it ends, whether or not its caller waits.
-    pub(super) fn drop_caller(&mut self, now: Instant, request: &RequestId) {
+    /// A non-repeatable call is not cancelled at its server, since it may be partly done. Its slot
+    /// is released nevertheless: no further event of it arrives, so it would count as running, and
+    /// as more and more overdue, until the server got no requests at all. A call whose answer is
+    /// kept for a resend stays attached until it ends, whether or not its caller is still
+    /// connected.
+    pub(super) fn handle_disconnect(&mut self, now: Instant, request: &RequestId) {
         let Some(number) = self.numbers.remove(request) else { return };
-        if self.unqueue(now, number).is_some() {
+        if self.dequeue(now, number).is_some() {
             return;
         }
         let Some(RequestEntry { phase: RequestPhase::Running(sent), .. }) =
@@ -235,7 +241,7 @@
             return;
         };
         let attempt = sent.attempt();
-        self.forget_deadline(number, sent.ticket().deadline);
+        self.cancel_deadline(number, sent.ticket().deadline);
         let Some(state) = self.end_attempt(attempt) else { return };
         if sent.ticket().repeatable {
             self.push_cancel(attempt, state.server);
@@ -249,7 +255,8 @@
 }
 
 impl RequestTicket {
-    /// Whether it is a repeatable call to a plain service: cheap, and it must always come back.
+    /// Returns whether it is a repeatable call to a plain service. Such a call is cheap and must
+    /// always be answered.
     pub fn is_status_call(&self) -> bool {
         self.repeatable && matches!(self.work, RequestWork::Service { .. })
     }
--- a/src/policy/dispatcher/attempts.rs
+++ b/src/policy/dispatcher/attempts.rs
@@ -1,9 +1,9 @@
-//! What becomes of attempts: first tokens, ends, failures, retries and resumed streams.
+//! Handles first tokens, ends and failures of attempts, retries and resumed streams.
 
 use {
     super::{
         AttemptState, Dispatcher, RequestEntry,
-        lifecycle::{Admitted, LiveRequest, NothingSent, RequestPhase, SentRequest},
+        lifecycle::{Admitted, NotExecutedProof, RequestPhase, SentRequest, StagedRequest},
         servers::PoolIndex,
     },
     crate::{
@@ -11,44 +11,43 @@
         policy::{
             AttemptFailure, DidRun, PolicyAction, PolicySafeguard, RefusalReason, RequestWork,
             RetryReason,
-            fairness::{LEAST_COST, OUTPUT_COST, QueuePlace},
+            fairness::{MIN_COST, OUTPUT_TOKEN_COST, QueuePosition},
             outlier,
-            prefix::{CacheReport, ServerIndex},
+            prefix::{HitReport, ServerIndex},
             retry::{self, MAX_TRIES},
         },
     },
     std::time::{Duration, Instant},
 };
 
-/// How far one answer moves a pool's mean output and service time.
-const MEAN_PART: f64 = 0.05;
+/// Smoothing factor of a pool's mean output, service time and affinity hit ratio.
+const MEAN_STEP: f64 = 0.05;
 
-/// When to come back after a failure that was none of the load's.
+/// Suggested retry delay, and window pause, after a failure for which the server gave none.
 const FAILURE_PAUSE: Duration = Duration::from_secs(1);
 
-/// The pause before an idempotent service call that no budget covers is tried again. It must come
-/// back, so it goes on until its deadline, but one a second is no storm.
-const UNPAID_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum retry delay of a status call that no budget covers. It must be answered, so it is
+/// retried until its deadline, but at most once per second.
+const UNPAID_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Load pattern: a third of the engines crash while another third loads weights, and the rest follow.
-/// The pause before a request that could not be connected is tried again while no server is sound. A
-/// server that restarts is back within a second or two; without the pause a request is tried four
-/// times within 0.1 s at one that refuses connections, and then refused. With it the four tries reach
-/// over 0.9 to 1.8 s.
-const NOBODY_PAUSE: Duration = Duration::from_millis(300);
+/// Minimum retry delay of a request whose connection failed while no server of its pool is usable,
+/// for example when some engines crash while others load weights. A server restarts within a second
+/// or two. Without the delay, a request uses up its four attempts within 0.1 s on a server that
+/// refuses connections; with it they extend over 0.9 to 1.8 s.
+const NO_USABLE_SERVER_PAUSE: Duration = Duration::from_millis(300);
 
-/// An attempt's end without a whole answer.
+/// The end of an attempt without a complete answer.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedAttempt {
-    /// What went wrong.
+    /// The kind of failure.
     pub failure: AttemptFailure,
-    /// Tokens that the caller has.
+    /// Tokens already relayed to the caller.
     pub relayed_tokens: u32,
-    /// The pause the server asked for.
+    /// The delay that the server requested, if any.
     pub retry_after: Option<Duration>,
 }
 
-/// A request whose attempt failed, with what a further try needs.
+/// A request whose attempt failed, with the data needed for a retry.
 struct FailedRequest {
     pool: PoolIndex,
     cost: u64,
@@ -56,7 +55,7 @@
 }
 
 impl Dispatcher {
-    pub(super) fn note_first_token(
+    pub(super) fn record_first_token(
         &mut self,
         now: Instant,
         attempt: AttemptId,
@@ -71,20 +70,20 @@
         let taken = now.saturating_duration_since(state.sent);
         let server = &mut self.table.servers[state.server];
         server.answer(attempt);
-        server.failures.note_answer();
-        server.window.note_first_token(now, state.predicted, taken);
+        server.failures.record_answer();
+        server.window.record_first_token(now, state.predicted, taken);
         let computed = match cached {
             Some(cached) => (state.computed + state.expected_hit).saturating_sub(cached),
             None => state.computed,
         };
-        server.speed.note_first_token(now, f64::from(computed), taken);
-        self.note_speeds(state.server);
-        self.learn_cache(&state, cached, computed);
-        self.stir(state.server);
+        server.speed.record_first_token(now, f64::from(computed), taken);
+        self.update_speeds(state.server);
+        self.learn_cache_contents(&state, cached, computed);
+        self.mark_dirty(state.server);
     }
 
-    /// Renews the mean and the best speed of the pools of a server that was measured.
-    fn note_speeds(&mut self, index: ServerIndex) {
+    /// Updates the mean and the highest speed of all pools of a server after a measurement.
+    fn update_speeds(&mut self, index: ServerIndex) {
         for pool in self.table.servers[index].pools.clone() {
             let members = &self.table.pools[pool].members;
             let rates = || {
@@ -100,26 +99,27 @@
         }
     }
 
-    /// Learns from a prompt that was computed what the server holds now.
-    fn learn_cache(&mut self, state: &AttemptState, cached: Option<u32>, computed: u32) {
+    /// Updates what the server's cache holds after a prompt was computed.
+    fn learn_cache_contents(&mut self, state: &AttemptState, cached: Option<u32>, computed: u32) {
         let server = &mut self.table.servers[state.server];
         server.cache.advance(computed);
-        // The server has lived on under other weights or in another life: the answer tells nothing.
-        if server.cache.generation() != state.generation || server.in_doubt {
+        // The server's incarnation or weights changed after the attempt was sent, so the answer
+        // says nothing about the current cache.
+        if server.cache.generation() != state.generation || server.unverified {
             return;
         }
         let Some(entry) = self.requests.get(&state.number) else { return };
         if let Some(cached) = cached
-            && state.home_tokens > state.expected_hit
+            && state.affinity_tokens > state.expected_hit
         {
-            let held = f64::from(u8::from(cached >= state.home_tokens));
-            let trust = &mut self.table.pools[entry.pool].home_trust;
-            *trust += (held - *trust) * MEAN_PART;
+            let held = f64::from(u8::from(cached >= state.affinity_tokens));
+            let ratio = &mut self.table.pools[entry.pool].affinity_hit_ratio;
+            *ratio += (held - *ratio) * MEAN_STEP;
         }
         if let RequestWork::Model { levels, .. } = &entry.phase.ticket().work {
             let expected = if cached.is_some() { state.expected_hit } else { 0 };
-            let report = CacheReport { expected, cached: cached.unwrap_or(0), age: state.hit_age };
-            self.holdings.learn(levels, state.server, &mut server.cache, report);
+            let report = HitReport { expected, cached: cached.unwrap_or(0), age: state.hit_age };
+            self.prefix_table.record_hit_report(levels, state.server, &mut server.cache, report);
         }
     }
 
@@ -130,58 +130,58 @@
         cached: Option<u32>,
         output_tokens: u32,
     ) {
-        self.note_first_token(now, attempt, cached);
+        self.record_first_token(now, attempt, cached);
         let Some(state) = self.end_attempt(attempt) else { return };
         let taken = now.saturating_duration_since(state.sent);
-        self.table.servers[state.server].speed.note_finished(taken);
+        self.table.servers[state.server].speed.record_finished(taken);
         let Some(entry) = self.requests.remove(&state.number) else { return };
-        self.forget_deadline(state.number, entry.phase.ticket().deadline);
+        self.cancel_deadline(state.number, entry.phase.ticket().deadline);
         let ticket = entry.phase.ticket();
         self.numbers.remove(&ticket.request);
         self.suspects.clear(ticket.fingerprint);
         let pool = &mut self.table.pools[entry.pool];
-        pool.output += (f64::from(output_tokens) - pool.output) * MEAN_PART;
-        pool.service += (taken.as_secs_f64() - pool.service) * MEAN_PART;
+        pool.output += (f64::from(output_tokens) - pool.output) * MEAN_STEP;
+        pool.service += (taken.as_secs_f64() - pool.service) * MEAN_STEP;
         let correction = i64::from(output_tokens) - state.charged_output as i64;
-        let cost = correction * OUTPUT_COST as i64;
+        let cost = correction * OUTPUT_TOKEN_COST as i64;
         pool.queue.charge(&ticket.organisation, ticket.class, cost);
     }
 
-    pub(super) fn forget_deadline(&mut self, number: u64, deadline: Instant) {
+    pub(super) fn cancel_deadline(&mut self, number: u64, deadline: Instant) {
         self.timers.remove(&(deadline, number));
     }
 
-    /// Takes an attempt out of the tables; later reports of it change nothing.
+    /// Removes an attempt from the tables; later events of it are ignored.
     pub(super) fn end_attempt(&mut self, attempt: AttemptId) -> Option<AttemptState> {
         let state = self.attempts.remove(&attempt)?;
         self.table.servers[state.server].end(attempt, &state);
         if let Some(fingerprint) = state.suspect {
             self.running_suspects.remove(&fingerprint);
         }
-        self.stir(state.server);
+        self.mark_dirty(state.server);
         Some(state)
     }
 
     pub(super) fn fail(&mut self, now: Instant, attempt: AttemptId, failed: FailedAttempt) {
         let Some(state) = self.end_attempt(attempt) else { return };
-        self.note_server_failure(now, state.server, &failed);
+        self.record_server_failure(now, state.server, &failed);
         let Some(RequestEntry { pool, cost, phase }) = self.requests.remove(&state.number) else {
             return;
         };
         let RequestPhase::Running(mut sent) = phase else { return };
-        self.forget_deadline(state.number, sent.ticket().deadline);
+        self.cancel_deadline(state.number, sent.ticket().deadline);
         self.numbers.remove(&sent.ticket().request);
         if failed.failure == AttemptFailure::CallerError {
-            // The server answered: the caller gets that answer, and the request crashed nothing.
+            // The server responded, so it did not crash, and the caller gets its response.
             self.suspects.clear(sent.ticket().fingerprint);
             return;
         }
-        self.note_history(now, &state, &failed, &mut sent);
-        self.go_on(now, FailedRequest { pool, cost, sent }, &failed);
+        self.update_history(now, &state, &failed, &mut sent);
+        self.retry_or_refuse(now, FailedRequest { pool, cost, sent }, &failed);
     }
 
-    /// Writes down what a failed attempt means for its request.
-    fn note_history(
+    /// Updates the history of a request after a failed attempt.
+    fn update_history(
         &mut self,
         now: Instant,
         state: &AttemptState,
@@ -191,16 +191,18 @@
         let fingerprint = sent.ticket().fingerprint;
         let server = &self.table.servers[state.server];
         if failed.failure == AttemptFailure::Broken && server.reachable {
-            let life = server.cache.incarnation();
-            self.suspects.strike(now, fingerprint, state.server, life);
-            self.peers.hurry(now);
+            let incarnation = server.cache.incarnation();
+            self.suspects.record_crash(now, fingerprint, state.server, incarnation);
+            self.peers.publish_now(now);
         }
         let history = sent.history_mut();
-        if NothingSent::shown_by(failed.failure).is_none() {
-            history.ran = DidRun::Unknown;
+        if NotExecutedProof::from_failure(failed.failure).is_none() {
+            history.did_run = DidRun::Unknown;
         }
-        if failed.failure != AttemptFailure::Stale && !history.avoid.contains(&state.server) {
-            history.avoid.push(state.server);
+        if failed.failure != AttemptFailure::Stale
+            && !history.avoided_servers.contains(&state.server)
+        {
+            history.avoided_servers.push(state.server);
         }
         if failed.relayed_tokens > history.relayed {
             history.relayed = failed.relayed_tokens;
@@ -208,12 +210,12 @@
         }
     }
 
-    /// Sends a failed request again, or gives it its final answer at once.
-    fn go_on(&mut self, now: Instant, request: FailedRequest, failed: &FailedAttempt) {
+    /// Schedules a retry of a failed request or refuses it.
+    fn retry_or_refuse(&mut self, now: Instant, request: FailedRequest, failed: &FailedAttempt) {
         let ticket = request.sent.ticket();
         let (name, fingerprint) = (ticket.request.clone(), ticket.fingerprint);
-        let did_run = request.sent.history().ran;
-        if self.is_convicted(now, fingerprint) {
+        let did_run = request.sent.history().did_run;
+        if self.has_crashed_servers(now, fingerprint) {
             self.refuse(name, RefusalReason::CrashesServers, None, did_run);
             return;
         }
@@ -230,10 +232,10 @@
         let FailedRequest { pool, cost, sent } = request;
         let pause = self.retry_pause(now, pool, &sent, failed);
         let admitted = match (sent, pause) {
-            (SentRequest::Repeatable(live), Some(at)) => live.retry(at, reason),
-            (SentRequest::Once(live), pause) => {
-                match (NothingSent::shown_by(failed.failure), pause) {
-                    (Some(proof), Some(at)) => live.unsent(proof, at, reason),
+            (SentRequest::Repeatable(staged), Some(at)) => staged.retry(at, reason),
+            (SentRequest::NonRepeatable(staged), pause) => {
+                match (NotExecutedProof::from_failure(failed.failure), pause) {
+                    (Some(proof), Some(at)) => staged.requeue_unsent(proof, at, reason),
                     _ => {
                         self.refuse(name, RefusalReason::ServerFailed, None, did_run);
                         return;
@@ -249,22 +251,22 @@
         self.requeue(now, pool, cost, admitted);
     }
 
-    /// Charges a sent request to its organisation and counts it as drained.
+    /// Charges a sent request to its organisation and records it as drained.
     pub(super) fn charge(
         &mut self,
         now: Instant,
         pool: PoolIndex,
         cost: u64,
-        request: &LiveRequest<Admitted>,
+        request: &StagedRequest<Admitted>,
         state: &AttemptState,
     ) {
         let ticket = &request.ticket;
-        let served = u64::from(state.computed) + OUTPUT_COST * state.charged_output;
+        let served = u64::from(state.computed) + OUTPUT_TOKEN_COST * state.charged_output;
         let pool = &mut self.table.pools[pool];
         pool.queue.spend_credit(ticket.class, cost);
-        pool.queue.charge(&ticket.organisation, ticket.class, served.max(LEAST_COST) as i64);
-        pool.queue.note_use(now, &ticket.organisation, served);
-        pool.drain.note_served(now, cost);
+        pool.queue.charge(&ticket.organisation, ticket.class, served.max(MIN_COST) as i64);
+        pool.queue.record_usage(now, &ticket.organisation, served);
+        pool.drain.record_served(now, cost);
     }
 
     fn requeue(
@@ -272,12 +274,13 @@
         now: Instant,
         pool: PoolIndex,
         cost: u64,
-        request: LiveRequest<Admitted>,
+        request: StagedRequest<Admitted>,
     ) {
-        self.enqueue(now, pool, cost, request, QueuePlace::Front);
+        self.enqueue(now, pool, cost, request, QueuePosition::Front);
     }
 
-    /// When the request may be tried again; `None` if its tries or the budgets are used up.
+    /// Returns when the request may be retried; `None` if its attempts or the budgets are
+    /// exhausted.
     fn retry_pause(
         &mut self,
         now: Instant,
@@ -288,46 +291,46 @@
         if failed.failure == AttemptFailure::Stale {
             return Some(now);
         }
-        let chance = self.chance();
+        let chance = self.random_unit();
         let ticket = sent.ticket();
         let tries = sent.history().tries;
         let mut at = retry::retry_at(now, tries, failed.retry_after, chance);
-        if failed.failure == AttemptFailure::NotConnected && !self.has_sound_server(pool) {
-            at = at.max(now + NOBODY_PAUSE.mul_f64(1.0 + chance));
+        if failed.failure == AttemptFailure::NotConnected && !self.has_usable_server(pool) {
+            at = at.max(now + NO_USABLE_SERVER_PAUSE.mul_f64(1.0 + chance));
         }
-        // Where operators bound the retries that reach servers, a connection that was not made is
-        // none: when a server dies, what was about to go there goes elsewhere, and the budget is left
-        // for what broke in the middle.
+        // If operators limit retries, only those of requests that reached a server count. When a
+        // server crashes, requests not yet delivered go elsewhere free of charge, and the budget is
+        // left for requests interrupted in progress.
         let reached = failed.failure != AttemptFailure::NotConnected;
         let free = self.budgets.is_strict() && !reached;
         let paid = free
-            || !self.is_on(PolicySafeguard::RetryBudget)
+            || !self.is_enabled(PolicySafeguard::RetryBudget)
             || self.budgets.withdraw(&ticket.organisation);
         if ticket.is_status_call() && (paid || !self.budgets.is_strict()) {
-            let unpaid = now + UNPAID_PAUSE.mul_f64(1.0 + chance);
+            let unpaid = now + UNPAID_RETRY_PAUSE.mul_f64(1.0 + chance);
             return Some(if paid { at } else { at.max(unpaid) });
         }
         let fits = at < ticket.deadline || sent.history().relayed > 0;
-        let tried = tries >= MAX_TRIES && self.is_on(PolicySafeguard::RetryBudget);
+        let tried = tries >= MAX_TRIES && self.is_enabled(PolicySafeguard::RetryBudget);
         (paid && fits && !tried).then_some(at)
     }
 
-    fn has_sound_server(&self, pool: PoolIndex) -> bool {
+    fn has_usable_server(&self, pool: PoolIndex) -> bool {
         let members = &self.table.pools[pool].members;
         members.iter().any(|index| self.table.servers[*index].is_usable())
     }
 
-    /// Learns about the server from a failed attempt.
-    fn note_server_failure(&mut self, now: Instant, index: ServerIndex, failed: &FailedAttempt) {
+    /// Updates the state of a server after a failed attempt.
+    fn record_server_failure(&mut self, now: Instant, index: ServerIndex, failed: &FailedAttempt) {
         let server = &mut self.table.servers[index];
         let fails = match failed.failure {
             AttemptFailure::Stale => return,
             AttemptFailure::CallerError => {
-                server.failures.note_answer();
+                server.failures.record_answer();
                 return;
             }
             AttemptFailure::Refused | AttemptFailure::Declined => {
-                server.window.note_refused(now, failed.retry_after.unwrap_or(FAILURE_PAUSE));
+                server.window.record_refused(now, failed.retry_after.unwrap_or(FAILURE_PAUSE));
                 return;
             }
             AttemptFailure::WrongWeights => {
@@ -335,14 +338,14 @@
                 return;
             }
             AttemptFailure::Broken | AttemptFailure::NotConnected => {
-                server.in_doubt = true;
-                server.failures.note_failure()
+                server.unverified = true;
+                server.failures.record_failure()
             }
             AttemptFailure::ServerError | AttemptFailure::TimedOut => {
-                server.failures.note_failure()
+                server.failures.record_failure()
             }
         };
-        if fails && self.is_on(PolicySafeguard::Outlier) && self.may_eject(index) {
+        if fails && self.is_enabled(PolicySafeguard::Outlier) && self.may_eject(index) {
             self.table.servers[index].failures.eject(now);
             self.ejected.insert(index);
         }
@@ -351,17 +354,17 @@
     fn may_eject(&self, index: ServerIndex) -> bool {
         self.table.servers[index].pools.iter().all(|pool| {
             let members = &self.table.pools[*pool].members;
-            let out = members.iter().filter(|member| {
+            let ejected = members.iter().filter(|member| {
                 let server = &self.table.servers[**member];
                 server.failures.is_ejected()
             });
-            outlier::may_eject(members.len(), out.count())
+            outlier::may_eject(members.len(), ejected.count())
         })
     }
 
-    pub(super) fn stir(&mut self, server: ServerIndex) {
+    pub(super) fn mark_dirty(&mut self, server: ServerIndex) {
         for pool in &self.table.servers[server].pools {
-            self.table.pools[*pool].stirred = true;
+            self.table.pools[*pool].dirty = true;
         }
     }
 
--- a/src/policy/dispatcher/digests.rs
+++ b/src/policy/dispatcher/digests.rs
@@ -1,8 +1,8 @@
-//! What daemons of one failure domain tell each other, and what is made of it.
+//! Exchange of digests between the daemons of one failure domain.
 //!
-//! Load reports lag, so each daemon also tells how many requests it has at each server, who crashed
-//! servers, and who holds its hottest prefixes. All of it is a hint: a daemon that hears nothing
-//! goes on with its own findings.
+//! A digest contains ejected servers, fingerprints recorded at crashes, and the holders of the most
+//! requested prefixes, which load reports do not include. All of it is a hint: a daemon that
+//! receives no digests relies on its own observations.
 
 use {
     super::Dispatcher,
@@ -16,21 +16,22 @@
     },
 };
 
-/// The pause between two digests. Requests take about a second, so a fifth of it keeps what is
-/// told mostly true; at 54 daemons a domain and 1 KB a digest it sends about 250 KB/s, hence
-/// [`REST_PAUSE`] and the bounds below.
-const PUBLISH_PAUSE: Duration = Duration::from_millis(200);
+/// Interval between two digests, a fifth of a typical request time of one second, so that digests
+/// are mostly current. With 54 daemons per domain and 1 KB per digest, each daemon sends about 250
+/// KB/s, hence [`IDLE_PUBLISH_INTERVAL`] and the limits below.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The pause while nothing has changed.
-const REST_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between two digests while nothing has changed.
+const IDLE_PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a peer told counts this long.
-const PEER_LIFE: Duration = Duration::from_secs(3);
+/// Time after which a peer's record expires, and for which its reports on a server whose cache was
+/// reset are ignored.
+const MAX_PEER_AGE: Duration = Duration::from_secs(3);
 
-/// Peers listened to: a domain of the design size has 54.
+/// Maximum peers tracked; a failure domain is designed for 54 daemons.
 const MAX_PEERS: usize = 64;
 
-/// Bounds of the digest's lists.
+/// Maximum lengths of the lists in a digest.
 const MAX_HOT: usize = 16;
 const MAX_HOT_HOLDERS: usize = 4;
 const MAX_UNHEALTHY: usize = 64;
@@ -41,47 +42,51 @@
     at: Instant,
 }
 
-/// What was heard of peers, and what was last told them.
+/// Known peers, and the last digest sent to them.
 #[derive(Debug, Default)]
-pub struct PeerBook {
-    /// At most [`MAX_PEERS`].
+pub struct PeerTable {
+    /// Holds at most [`MAX_PEERS`] entries.
     peers: BTreeMap<VmId, PeerRecord>,
     sequence: u64,
     publish_at: Option<Instant>,
-    /// The last digest sent, its sequence set to zero.
+    /// The last digest sent, with its sequence number set to zero.
     last: DomainDigest,
     last_at: Option<Instant>,
 }
 
-impl PeerBook {
-    /// Makes a digest due at once: a caller may send a crashing request again at another daemon.
-    pub fn hurry(&mut self, now: Instant) {
+impl PeerTable {
+    /// Schedules a digest immediately, since a caller may resend a crashing request to another
+    /// daemon.
+    pub fn publish_now(&mut self, now: Instant) {
         self.publish_at = Some(now);
     }
 
-    /// When a digest is due.
+    /// Returns when the next digest is due; `None` before the first one and while digests are not
+    /// sent.
     pub fn publish_at(&self) -> Option<Instant> {
         self.publish_at
     }
 }
 
 impl Dispatcher {
-    /// Sends a digest if one is due and says something new.
+    /// Publishes a digest if one is due and it has changed, or the idle interval has passed.
     pub(super) fn publish(&mut self, now: Instant) {
-        if !self.is_on(PolicySafeguard::Digests) || self.view.servers.is_empty() {
-            // A moment that has passed and stays noted would wake the driver without end.
+        if !self.is_enabled(PolicySafeguard::Digests) || self.view.servers.is_empty() {
+            // A time in the past would wake the driver in a busy loop.
             self.peers.publish_at = None;
             return;
         }
         if self.peers.publish_at.is_some_and(|at| at > now) {
             return;
         }
-        self.peers.publish_at = Some(now + PUBLISH_PAUSE);
-        self.forget_peers(now);
+        self.peers.publish_at = Some(now + PUBLISH_INTERVAL);
+        self.expire_peers(now);
         let digest = self.digest(now);
-        let rested =
-            self.peers.last_at.is_none_or(|at| now.saturating_duration_since(at) >= REST_PAUSE);
-        if digest == self.peers.last && !rested {
+        let is_idle_due = self
+            .peers
+            .last_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= IDLE_PUBLISH_INTERVAL);
+        if digest == self.peers.last && !is_idle_due {
             return;
         }
         self.peers.last = digest.clone();
@@ -98,7 +103,7 @@
         DomainDigest {
             daemon: self.settings.daemon.clone(),
             hot_prefixes: self.hot_prefixes(now),
-            suspects: self.suspects.shared(now),
+            suspects: self.suspects.published(now),
             unhealthy: unhealthy.take(MAX_UNHEALTHY).collect(),
             ..DomainDigest::default()
         }
@@ -107,58 +112,60 @@
     fn hot_prefixes(&self, now: Instant) -> Vec<(u64, Vec<ServerId>)> {
         let servers = &self.table.servers;
         let holders = |hash: u64| {
-            let held = self.holdings.holders(hash).filter(|holding| {
+            let held = self.prefix_table.holders(hash).filter(|holding| {
                 let server = &servers[holding.server];
-                server.listed && !server.in_doubt && server.cache.holds(holding)
+                server.listed && !server.unverified && server.cache.holds(holding)
             });
             held.take(MAX_HOT_HOLDERS).map(|holding| servers[holding.server].id.clone()).collect()
         };
-        let hottest = self.heats.hottest(now, MAX_HOT);
+        let hottest = self.prefix_rates.hottest(now, MAX_HOT);
         hottest.into_iter().map(|hash| (hash, holders(hash))).collect()
     }
 
-    pub(super) fn hear_digest(&mut self, now: Instant, digest: DomainDigest) {
-        if !self.is_on(PolicySafeguard::Digests) || digest.daemon == self.settings.daemon {
+    pub(super) fn merge_digest(&mut self, now: Instant, digest: DomainDigest) {
+        if !self.is_enabled(PolicySafeguard::Digests) || digest.daemon == self.settings.daemon {
             return;
         }
-        self.suspects.hear(now, &digest.suspects);
+        self.suspects.merge_peer_report(now, &digest.suspects);
         let known = self.peers.peers.get(&digest.daemon);
         let outdated = known.is_some_and(|peer| digest.sequence <= peer.sequence);
         if outdated || (known.is_none() && self.peers.peers.len() >= MAX_PEERS) {
             return;
         }
         let record = PeerRecord { sequence: digest.sequence, at: now };
-        self.hear_holders(now, &digest);
-        self.hear_unhealthy(&digest);
+        self.merge_holders(now, &digest);
+        self.merge_unhealthy(&digest);
         self.peers.peers.insert(digest.daemon, record);
     }
 
-    /// A peer's holdings count only where the server's life is known and older than the digest can
-    /// be, so that no holding of a dead engine comes back by rumour.
-    fn hear_holders(&mut self, now: Instant, digest: &DomainDigest) {
+    /// Records the holders that a peer reported. A report counts only if the server's incarnation
+    /// is known and older than the digest can be, so that the cache of a former incarnation is not
+    /// recorded again.
+    fn merge_holders(&mut self, now: Instant, digest: &DomainDigest) {
         for (hash, holders) in digest.hot_prefixes.iter().take(MAX_HOT) {
             for id in holders.iter().take(MAX_HOT_HOLDERS) {
                 let Some(index) = self.table.by_id.get(id).copied() else { continue };
                 let server = &self.table.servers[index];
-                let young =
-                    server.reborn.is_some_and(|at| now.saturating_duration_since(at) < PEER_LIFE);
-                if !young && !server.in_doubt && server.cache.incarnation().is_some() {
-                    self.holdings.note_hash(*hash, index, &server.cache);
+                let young = server
+                    .cache_reset_at
+                    .is_some_and(|at| now.saturating_duration_since(at) < MAX_PEER_AGE);
+                if !young && !server.unverified && server.cache.incarnation().is_some() {
+                    self.prefix_table.record_hash(*hash, index, &server.cache);
                 }
             }
         }
     }
 
-    fn hear_unhealthy(&mut self, digest: &DomainDigest) {
+    fn merge_unhealthy(&mut self, digest: &DomainDigest) {
         for (id, _) in digest.unhealthy.iter().take(MAX_UNHEALTHY) {
             if let Some(index) = self.table.by_id.get(id) {
-                self.table.servers[*index].failures.note_rumour();
+                self.table.servers[*index].failures.record_peer_ejection();
             }
         }
     }
 
-    fn forget_peers(&mut self, now: Instant) {
-        let heard = |at| now.saturating_duration_since(at) <= PEER_LIFE;
-        self.peers.peers.retain(|_, peer| heard(peer.at));
+    fn expire_peers(&mut self, now: Instant) {
+        let is_fresh = |at| now.saturating_duration_since(at) <= MAX_PEER_AGE;
+        self.peers.peers.retain(|_, peer| is_fresh(peer.at));
     }
 }
--- a/src/policy/dispatcher/lifecycle.rs
+++ b/src/policy/dispatcher/lifecycle.rs
@@ -1,8 +1,9 @@
-//! The life of a request: `Received` → `Admitted` → `Sent`.
+//! The stages of a request: `Received` → `Admitted` → `Sent`.
 //!
-//! A booking that is sent twice sends two vans. So what may not run twice has, once sent, no method
-//! that leads back to `Admitted` but [`LiveRequest::unsent`], which wants the proof that not a byte
-//! left; the compiler keeps every other path from sending it again.
+//! Executing a non-repeatable call twice, such as a booking, has external effects that cannot be
+//! undone. Once sent, a non-repeatable request therefore can return to `Admitted` only through
+//! [`StagedRequest::requeue_unsent`], which requires a proof that it was not executed; the types
+//! rule out all other paths.
 
 use {
     crate::{
@@ -12,20 +13,20 @@
     std::{marker::PhantomData, time::Instant},
 };
 
-/// Taken in, not yet admitted.
+/// Received, not yet admitted.
 #[derive(Debug)]
 pub struct Received;
 
-/// Waits for a server.
+/// Waiting for a server.
 #[derive(Debug)]
 pub struct Admitted {
-    /// Not sent before this moment: the pause before a retry.
+    /// Earliest time at which it may be sent.
     pub not_before: Instant,
     /// Why it is sent again; `None` before the first send.
     pub retry: Option<RetryReason>,
 }
 
-/// Sent to a server. `R` says whether it may run more than once.
+/// Sent to a server. `R` is [`Repeatable`] or [`NonRepeatable`].
 #[derive(Debug)]
 pub struct Sent<R> {
     /// The attempt in flight.
@@ -33,170 +34,171 @@
     kind: PhantomData<R>,
 }
 
-/// May run more than once.
+/// Marks requests that may be executed more than once.
 #[derive(Debug)]
 pub struct Repeatable;
 
-/// Must run at most once.
+/// Marks requests that must be executed at most once.
 #[derive(Debug)]
-pub struct Once;
+pub struct NonRepeatable;
 
-/// What has happened to a request so far.
+/// Previous attempts of a request.
 #[derive(Debug)]
 pub struct RequestHistory {
-    /// Times it was sent.
+    /// Number of times it was sent.
     pub tries: u32,
-    /// What a refusal now has to say; only ever goes from `No` to `Unknown`.
-    pub ran: DidRun,
-    /// Tokens that the caller already has; only grows.
+    /// Whether it may have been executed, for a refusal; changes only from `No` to `Unknown`.
+    pub did_run: DidRun,
+    /// Tokens already relayed to the caller; never decreases.
     pub relayed: u32,
-    /// The weights that the tokens relayed so far came from; set exactly when `relayed` is positive.
+    /// Weights that generated the relayed tokens. Set exactly if `relayed` is positive and the
+    /// weights were known.
     pub weights: Option<WeightsVersion>,
-    /// Servers that failed it; asked again only when there is no other.
-    pub avoid: Vec<ServerIndex>,
+    /// Servers that failed it. They are used again only if no other server is eligible.
+    pub avoided_servers: Vec<ServerIndex>,
     /// When it arrived.
     pub arrived: Instant,
 }
 
-/// A request in one stage of its life.
+/// A request in stage `S`.
 #[derive(Debug)]
-pub struct LiveRequest<S> {
-    /// What was asked.
+pub struct StagedRequest<S> {
+    /// The submitted request.
     pub ticket: RequestTicket,
-    /// What has happened to it.
+    /// Its previous attempts.
     pub history: RequestHistory,
-    /// What the stage adds.
+    /// Data of the stage.
     pub stage: S,
 }
 
-/// Proof that an attempt did not run: not a byte left for the server, or the server itself says so
-/// in a form that only it can give.
+/// Proof that an attempt was not executed: either no byte was sent, or the server itself declined
+/// it in a form that only the server can produce.
 #[derive(Debug)]
-pub struct NothingSent(());
+pub struct NotExecutedProof(());
 
-impl NothingSent {
-    /// The proof, if the failure is one. A bare refusal is none: the call reached the server, and
-    /// what stands between may answer 503 for a call that ran.
-    pub fn shown_by(failure: AttemptFailure) -> Option<Self> {
+impl NotExecutedProof {
+    /// Returns a proof if the failure is one. A plain refusal is none, since a proxy between daemon
+    /// and server may answer 503 for a call that was executed.
+    pub fn from_failure(failure: AttemptFailure) -> Option<Self> {
         matches!(
             failure,
             AttemptFailure::NotConnected | AttemptFailure::Stale | AttemptFailure::Declined
         )
-        .then_some(NothingSent(()))
+        .then_some(NotExecutedProof(()))
     }
 }
 
-impl LiveRequest<Received> {
-    /// Takes in a caller's request.
+impl StagedRequest<Received> {
+    /// Creates the initial stage of a caller's request.
     pub fn receive(now: Instant, ticket: RequestTicket) -> Self {
         let history = RequestHistory {
             tries: 0,
-            ran: DidRun::No,
+            did_run: DidRun::No,
             relayed: 0,
             weights: None,
-            avoid: Vec::new(),
+            avoided_servers: Vec::new(),
             arrived: now,
         };
-        LiveRequest { ticket, history, stage: Received }
+        StagedRequest { ticket, history, stage: Received }
     }
 
-    /// Lets it wait for a server.
-    pub fn admit(self, now: Instant) -> LiveRequest<Admitted> {
+    /// Admits it, so that it may be sent from `now` on.
+    pub fn admit(self, now: Instant) -> StagedRequest<Admitted> {
         self.into_stage(Admitted { not_before: now, retry: None })
     }
 }
 
-impl LiveRequest<Admitted> {
-    /// Sends it.
+impl StagedRequest<Admitted> {
+    /// Marks it as sent with the given attempt.
     pub fn send(mut self, attempt: AttemptId) -> SentRequest {
         self.history.tries += 1;
         if self.ticket.repeatable {
             SentRequest::Repeatable(self.into_stage(Sent { attempt, kind: PhantomData }))
         } else {
-            SentRequest::Once(self.into_stage(Sent { attempt, kind: PhantomData }))
+            SentRequest::NonRepeatable(self.into_stage(Sent { attempt, kind: PhantomData }))
         }
     }
 }
 
-impl LiveRequest<Sent<Repeatable>> {
-    /// Lets it wait for another try.
-    pub fn retry(self, not_before: Instant, reason: RetryReason) -> LiveRequest<Admitted> {
+impl StagedRequest<Sent<Repeatable>> {
+    /// Requeues it for a retry.
+    pub fn retry(self, not_before: Instant, reason: RetryReason) -> StagedRequest<Admitted> {
         self.into_stage(Admitted { not_before, retry: Some(reason) })
     }
 }
 
-impl<R> LiveRequest<Sent<R>> {
-    /// Lets it wait again, since nothing was sent.
-    pub fn unsent(
+impl<R> StagedRequest<Sent<R>> {
+    /// Requeues it after an attempt that was not executed.
+    pub fn requeue_unsent(
         self,
-        _proof: NothingSent,
+        _proof: NotExecutedProof,
         not_before: Instant,
         reason: RetryReason,
-    ) -> LiveRequest<Admitted> {
+    ) -> StagedRequest<Admitted> {
         self.into_stage(Admitted { not_before, retry: Some(reason) })
     }
 }
 
-impl<S> LiveRequest<S> {
-    fn into_stage<T>(self, stage: T) -> LiveRequest<T> {
-        LiveRequest { ticket: self.ticket, history: self.history, stage }
+impl<S> StagedRequest<S> {
+    fn into_stage<T>(self, stage: T) -> StagedRequest<T> {
+        StagedRequest { ticket: self.ticket, history: self.history, stage }
     }
 }
 
-/// A request that was sent.
+/// A sent request.
 #[derive(Debug)]
 pub enum SentRequest {
     /// It may be sent again.
-    Repeatable(LiveRequest<Sent<Repeatable>>),
-    /// It may not.
-    Once(LiveRequest<Sent<Once>>),
+    Repeatable(StagedRequest<Sent<Repeatable>>),
+    /// It must not be sent again unless a proof shows that it was not executed.
+    NonRepeatable(StagedRequest<Sent<NonRepeatable>>),
 }
 
 impl SentRequest {
-    /// What was asked.
+    /// Returns the submitted request.
     pub fn ticket(&self) -> &RequestTicket {
         match self {
             SentRequest::Repeatable(request) => &request.ticket,
-            SentRequest::Once(request) => &request.ticket,
+            SentRequest::NonRepeatable(request) => &request.ticket,
         }
     }
 
-    /// What has happened to it.
+    /// Returns its previous attempts.
     pub fn history(&self) -> &RequestHistory {
         match self {
             SentRequest::Repeatable(request) => &request.history,
-            SentRequest::Once(request) => &request.history,
+            SentRequest::NonRepeatable(request) => &request.history,
         }
     }
 
-    /// What has happened to it, to be added to.
+    /// Returns its previous attempts for an update.
     pub fn history_mut(&mut self) -> &mut RequestHistory {
         match self {
             SentRequest::Repeatable(request) => &mut request.history,
-            SentRequest::Once(request) => &mut request.history,
+            SentRequest::NonRepeatable(request) => &mut request.history,
         }
     }
 
-    /// The attempt in flight.
+    /// Returns the attempt in flight.
     pub fn attempt(&self) -> AttemptId {
         match self {
             SentRequest::Repeatable(request) => request.stage.attempt,
-            SentRequest::Once(request) => request.stage.attempt,
+            SentRequest::NonRepeatable(request) => request.stage.attempt,
         }
     }
 }
 
-/// Where a request stands.
+/// The phase of a request without a final outcome.
 #[derive(Debug)]
 pub enum RequestPhase {
-    /// It waits in its pool's queue.
-    Waiting(LiveRequest<Admitted>),
+    /// It waits in the queue of its pool.
+    Waiting(StagedRequest<Admitted>),
     /// One attempt is in flight.
     Running(SentRequest),
 }
 
 impl RequestPhase {
-    /// What was asked.
+    /// Returns the submitted request.
     pub fn ticket(&self) -> &RequestTicket {
         match self {
             RequestPhase::Waiting(request) => &request.ticket,
--- /dev/null
+++ b/src/policy/dispatcher/selection.rs
@@ -0,0 +1,443 @@
+//! Selects a server for each waiting request, in fair order.
+
+use {
+    super::{
+        Dispatcher,
+        affinity::AffinitySet,
+        lifecycle::{Admitted, RequestPhase, StagedRequest},
+        servers::{PoolIndex, ServerState, Urgency},
+    },
+    crate::policy::{
+        PolicySafeguard, PrefixLevel, RefusalReason, RequestWork,
+        fairness::QueuedWork,
+        placement::{CandidateCost, SMALL_POOL},
+        prefix::ServerIndex,
+        window::WindowPart,
+    },
+    rand_core::RngCore,
+    std::time::Instant,
+};
+
+/// Maximum waiting requests considered for each free slot. Those before them wait for a server that
+/// is better for them by more than the wait.
+const MAX_SCANNED: usize = 16;
+
+/// Maximum waiting requests considered of one organisation and class, so that it cannot hide the
+/// others.
+const MAX_SCANNED_PER_LANE: usize = 4;
+
+/// Maximum requests sent per pool and input, which bounds the time of one call.
+const MAX_SENDS: usize = 256;
+
+/// Maximum known holders evaluated for one request.
+const MAX_HITS: usize = 6;
+
+/// Maximum affinity servers evaluated for one request.
+const MAX_AFFINITY_SERVERS: usize = 8;
+
+/// Prefill time in seconds from which a prompt counts as long: twice that of a typical chat without
+/// cache hits.
+const LONG_PREFILL: f64 = 1.0;
+
+/// An evaluated server for one request.
+pub(super) struct Candidate {
+    pub(super) server: ServerIndex,
+    /// Tokens that the server holds if other daemons send the prefix to the same affinity server; 0
+    /// if it is none.
+    pub(super) affinity_tokens: u32,
+    pub(super) cost: CandidateCost,
+    pub(super) hit: u32,
+    pub(super) computed: u32,
+    pub(super) import: Option<PrefixLevel>,
+    /// Server from which missing tokens are fetched.
+    pub(super) source: Option<ServerIndex>,
+    pub(super) open: bool,
+    pub(super) urgency: Urgency,
+}
+
+/// The decision on a waiting request.
+enum PlacementDecision {
+    Send(Candidate),
+    /// It must not be sent yet.
+    Wait,
+    /// It waits for a busy server, which is still the best choice.
+    WaitFor(ServerIndex),
+    Refuse(RefusalReason),
+}
+
+/// Inputs that are the same for all candidates of one request.
+pub(super) struct PlacementQuery<'a> {
+    pub(super) request: &'a StagedRequest<Admitted>,
+    pub(super) pool: PoolIndex,
+    pub(super) hits: Vec<(ServerIndex, u32)>,
+    pub(super) affinity: AffinitySet,
+    pub(super) suspect: bool,
+    pub(super) part: WindowPart,
+    pub(super) urgency: Urgency,
+}
+
+/// Which servers are eligible. Stricter tiers are tried first.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum EligibilityTier {
+    /// Healthy servers that have not failed this request.
+    Usable,
+    /// Also reserved and ejected servers, but none that failed this request or are unverified.
+    Responding,
+    /// All servers that accept requests.
+    Any,
+}
+
+impl Dispatcher {
+    pub(super) fn place_waiting(&mut self, now: Instant) {
+        for pool in 0..self.table.pools.len() {
+            if std::mem::take(&mut self.table.pools[pool].dirty) {
+                self.place_pool(now, pool);
+            }
+        }
+        self.schedule_recheck(now);
+    }
+
+    fn place_pool(&mut self, now: Instant, pool: PoolIndex) {
+        self.table.pools[pool].queue.refresh_active_weight(now);
+        for _ in 0..MAX_SENDS {
+            self.reset_waiters(pool);
+            if self.table.pools[pool].queue.is_empty() || !self.has_room(now, pool) {
+                return;
+            }
+            let waiting =
+                self.table.pools[pool].queue.candidates(MAX_SCANNED, MAX_SCANNED_PER_LANE);
+            let moved = waiting.into_iter().any(|work| self.try_place(now, pool, work));
+            if !moved {
+                return;
+            }
+        }
+        self.table.pools[pool].dirty = true;
+    }
+
+    fn reset_waiters(&mut self, pool: PoolIndex) {
+        for index in &self.table.pools[pool].members {
+            self.table.servers[*index].waiters = 0;
+        }
+    }
+
+    /// Returns whether any member has capacity, or no member accepts requests.
+    fn has_room(&self, now: Instant, pool: PoolIndex) -> bool {
+        let servers = &self.table.servers;
+        let members = &self.table.pools[pool].members;
+        let mut usable = members.iter().filter(|index| servers[**index].takes_work()).peekable();
+        usable.peek().is_none()
+            || usable.any(|index| self.is_open(now, &servers[*index], WindowPart::Whole))
+    }
+
+    fn is_open(&self, now: Instant, server: &ServerState, part: WindowPart) -> bool {
+        !self.is_enabled(PolicySafeguard::Window)
+            || server.window.is_open(now, server.in_flight, part)
+    }
+
+    /// Places or refuses a waiting request; returns whether it left the queue.
+    fn try_place(&mut self, now: Instant, pool: PoolIndex, work: QueuedWork) -> bool {
+        match self.decide_placement(now, pool, work.number) {
+            PlacementDecision::Wait => false,
+            PlacementDecision::WaitFor(server) => {
+                self.table.servers[server].waiters += 1;
+                false
+            }
+            PlacementDecision::Send(candidate) => {
+                self.send(now, work.number, candidate);
+                true
+            }
+            PlacementDecision::Refuse(reason) => {
+                let pause = match reason {
+                    RefusalReason::CrashesServers | RefusalReason::NotResumable => None,
+                    _ => Some(self.drain_pause(pool, work.cost)),
+                };
+                self.refuse_waiting(now, work.number, reason, pause);
+                true
+            }
+        }
+    }
+
+    fn decide_placement(
+        &mut self,
+        now: Instant,
+        pool: PoolIndex,
+        number: u64,
+    ) -> PlacementDecision {
+        let draws = [self.random.next_u64(), self.random.next_u64()];
+        let Some(RequestPhase::Waiting(request)) =
+            self.requests.get(&number).map(|entry| &entry.phase)
+        else {
+            return PlacementDecision::Wait;
+        };
+        if request.stage.not_before > now {
+            return PlacementDecision::Wait;
+        }
+        let fingerprint = request.ticket.fingerprint;
+        if self.has_crashed_servers(now, fingerprint) {
+            return PlacementDecision::Refuse(RefusalReason::CrashesServers);
+        }
+        let suspect = self.is_enabled(PolicySafeguard::Suspect)
+            && self.suspects.crash_count(now, fingerprint) > 0;
+        if suspect && self.running_suspects.contains(&fingerprint) {
+            return PlacementDecision::Wait;
+        }
+        let query = self.placement_query(now, pool, request, suspect);
+        let candidates = self.candidates(&query, draws);
+        let best = [EligibilityTier::Usable, EligibilityTier::Responding, EligibilityTier::Any]
+            .into_iter()
+            .find_map(|tier| self.best(now, &query, &candidates, tier));
+        match best {
+            Some(best) => self.decide_for_candidate(now, request, best),
+            None => self.decide_without_candidate(request, pool),
+        }
+    }
+
+    fn decide_for_candidate(
+        &self,
+        now: Instant,
+        request: &StagedRequest<Admitted>,
+        best: Candidate,
+    ) -> PlacementDecision {
+        if !best.open {
+            return PlacementDecision::WaitFor(best.server);
+        }
+        let remaining = request.ticket.deadline.saturating_duration_since(now).as_secs_f64();
+        let late = best.cost.first_token() > remaining;
+        let exempt = request.history.relayed > 0 || request.ticket.is_status_call();
+        // An idle server gets the request nevertheless: its estimate may be outdated, and an answer
+        // updates it.
+        let idle = self.table.servers[best.server].in_flight == 0;
+        if late && !exempt && !idle && self.is_enabled(PolicySafeguard::Admission) {
+            return PlacementDecision::Refuse(RefusalReason::DeadlineUnreachable);
+        }
+        PlacementDecision::Send(best)
+    }
+
+    /// Decides on a request without an eligible server.
+    fn decide_without_candidate(
+        &self,
+        request: &StagedRequest<Admitted>,
+        pool: PoolIndex,
+    ) -> PlacementDecision {
+        let servers = &self.table.servers;
+        let available: Vec<&ServerState> = self.table.pools[pool]
+            .members
+            .iter()
+            .map(|index| &servers[*index])
+            .filter(|server| server.takes_work())
+            .collect();
+        if let (Some(pin), RequestWork::Model { model, .. }) =
+            (&request.history.weights, &request.ticket.work)
+            && !available.iter().any(|server| server.certain_weights(model) == Some(pin))
+        {
+            return PlacementDecision::Refuse(RefusalReason::NotResumable);
+        }
+        if available.is_empty() && !request.ticket.is_status_call() {
+            return PlacementDecision::Refuse(RefusalReason::NoServer);
+        }
+        PlacementDecision::Wait
+    }
+
+    fn placement_query<'a>(
+        &self,
+        now: Instant,
+        pool: PoolIndex,
+        request: &'a StagedRequest<Admitted>,
+        suspect: bool,
+    ) -> PlacementQuery<'a> {
+        let (mut hits, mut affinity) = (Vec::new(), AffinitySet::default());
+        if let RequestWork::Model { levels, model, prompt_tokens, .. } = &request.ticket.work {
+            let desired = self.view.weights.get(model);
+            let checks = self.is_enabled(PolicySafeguard::CacheIdentity);
+            hits = self.prefix_table.hits(levels, MAX_HITS, |holding| {
+                let server = &self.table.servers[holding.server];
+                let sure = !server.unverified && server.cache.allows_hits_for(model, desired);
+                (sure || !checks) && server.cache.holds(holding)
+            });
+            affinity = self.affinity_set(now, pool, levels, *prompt_tokens);
+        }
+        let over = self.table.pools[pool].queue.is_over_share(now, &request.ticket.organisation);
+        let part = if over { WindowPart::Unreserved } else { WindowPart::Whole };
+        let urgency = self.urgency(pool, request, &hits, over);
+        PlacementQuery { request, pool, hits, affinity, suspect, part, urgency }
+    }
+
+    /// Returns the priority of a request: long prompts and organisations over their share come
+    /// after the rest of their class.
+    fn urgency(
+        &self,
+        pool: PoolIndex,
+        request: &StagedRequest<Admitted>,
+        hits: &[(ServerIndex, u32)],
+        over: bool,
+    ) -> Urgency {
+        if !self.is_enabled(PolicySafeguard::LongJobs) {
+            return 0;
+        }
+        let long = match &request.ticket.work {
+            RequestWork::Model { prompt_tokens, .. } => {
+                let held = hits.first().map_or(0, |(_, tokens)| *tokens);
+                let rate = self.table.pools[pool].typical_rate.unwrap_or(f64::INFINITY);
+                f64::from(prompt_tokens.saturating_sub(held)) / rate > LONG_PREFILL
+            }
+            RequestWork::Service { .. } => false,
+        };
+        2 * request.ticket.class as usize + usize::from(over || long)
+    }
+
+    fn candidates(&self, query: &PlacementQuery<'_>, draws: [u64; 2]) -> Vec<ServerIndex> {
+        let members = &self.table.pools[query.pool].members;
+        if members.len() <= SMALL_POOL {
+            return members.clone();
+        }
+        let mut candidates: Vec<ServerIndex> =
+            query.affinity.servers.iter().take(MAX_AFFINITY_SERVERS).copied().collect();
+        candidates.extend(query.hits.iter().map(|(server, _)| *server));
+        for draw in draws {
+            // Each draw selects two servers.
+            for half in [draw >> 32, draw & 0xffff_ffff] {
+                candidates.push(members[half as usize % members.len()]);
+            }
+        }
+        candidates.sort_unstable();
+        candidates.dedup();
+        candidates
+    }
+
+    fn best(
+        &self,
+        now: Instant,
+        query: &PlacementQuery<'_>,
+        candidates: &[ServerIndex],
+        tier: EligibilityTier,
+    ) -> Option<Candidate> {
+        let fitting = |index: &&ServerIndex| self.is_eligible(query, **index, tier);
+        let members = &self.table.pools[query.pool].members;
+        let mut found: Vec<Candidate> = candidates
+            .iter()
+            .filter(fitting)
+            .map(|index| self.estimate_candidate(now, query, *index))
+            .collect();
+        if found.is_empty() && members.len() > candidates.len() {
+            // Rarely, no candidate is eligible; then the whole pool is evaluated.
+            found = members
+                .iter()
+                .filter(fitting)
+                .map(|index| self.estimate_candidate(now, query, *index))
+                .collect();
+        }
+        let objective = self.view.objective;
+        found.into_iter().min_by(|a, b| a.cost.score(objective).total_cmp(&b.cost.score(objective)))
+    }
+
+    fn is_eligible(
+        &self,
+        query: &PlacementQuery<'_>,
+        index: ServerIndex,
+        tier: EligibilityTier,
+    ) -> bool {
+        let server = &self.table.servers[index];
+        let history = &query.request.history;
+        if !server.takes_work() || !server.pools.contains(&query.pool) {
+            return false;
+        }
+        if query.suspect && server.suspects > 0 {
+            return false;
+        }
+        if let (Some(pin), RequestWork::Model { model, .. }) =
+            (&history.weights, &query.request.ticket.work)
+            && server.certain_weights(model) != Some(pin)
+        {
+            return false;
+        }
+        match tier {
+            EligibilityTier::Usable => {
+                server.is_usable() && !history.avoided_servers.contains(&index)
+            }
+            EligibilityTier::Responding => {
+                !server.unverified && !history.avoided_servers.contains(&index)
+            }
+            EligibilityTier::Any => true,
+        }
+    }
+
+    fn estimate_candidate(
+        &self,
+        now: Instant,
+        query: &PlacementQuery<'_>,
+        index: ServerIndex,
+    ) -> Candidate {
+        let server = &self.table.servers[index];
+        let open = self.is_open(now, server, query.part);
+        let mut slot_wait = server.window.slot_wait(now, server.in_flight) * server.speed.service();
+        if !open {
+            // The time already waited indicates the error of the estimate.
+            let turn = f64::from(server.waiters + 1);
+            let waited = now.saturating_duration_since(query.request.history.arrived);
+            slot_wait +=
+                turn * server.speed.service() / server.window.limit() + waited.as_secs_f64();
+        }
+        let overdue = match self.is_enabled(PolicySafeguard::Overdue) {
+            true => server.overdue(now).as_secs_f64(),
+            false => 0.0,
+        };
+        let base = server.speed.base();
+        let mut candidate = Candidate {
+            server: index,
+            affinity_tokens: 0,
+            cost: CandidateCost {
+                slot_wait,
+                queue_wait: overdue,
+                prefill: 0.0,
+                base,
+                spillover: false,
+                utilization: server.window.utilization(now, server.in_flight),
+            },
+            hit: 0,
+            computed: 0,
+            import: None,
+            source: None,
+            open,
+            urgency: query.urgency,
+        };
+        match &query.request.ticket.work {
+            RequestWork::Model { .. } => self.estimate_prompt(now, query, &mut candidate),
+            RequestWork::Service { .. } => {
+                let queued = f64::from(server.in_flight);
+                candidate.cost.queue_wait += base * queued / f64::from(server.window.slots());
+            }
+        }
+        candidate
+    }
+
+    fn estimate_prompt(&self, now: Instant, query: &PlacementQuery<'_>, candidate: &mut Candidate) {
+        let RequestWork::Model { levels, prompt_tokens, .. } = &query.request.ticket.work else {
+            return;
+        };
+        let (index, prompt_tokens) = (candidate.server, *prompt_tokens);
+        let (server, pool) = (&self.table.servers[index], &self.table.pools[query.pool]);
+        let hit = query.hits.iter().find(|(server, _)| *server == index);
+        let hit = hit.map_or(0, |(_, tokens)| (*tokens).min(prompt_tokens));
+        let rate = server.speed.rate(pool.typical_rate);
+        candidate.hit = hit;
+        candidate.computed = prompt_tokens - hit;
+        candidate.cost.queue_wait += server.tokens_ahead(now, query.urgency) / rate;
+        let has_affinity = query.affinity.servers.contains(&index);
+        candidate.affinity_tokens = if has_affinity { query.affinity.tokens } else { 0 };
+        // Prefixes that other daemons have sent to this affinity server are held there with the
+        // measured hit ratio.
+        let likely =
+            f64::from(candidate.affinity_tokens.saturating_sub(hit)) * pool.affinity_hit_ratio;
+        candidate.cost.prefill = (f64::from(candidate.computed) - likely) / rate;
+        candidate.cost.spillover = !has_affinity && hit < query.affinity.tokens;
+        if !has_affinity && !self.is_enabled(PolicySafeguard::PrefixReplication) {
+            candidate.cost.slot_wait += f64::from(u16::MAX);
+        }
+        self.estimate_fetch(query, candidate, rate);
+        if let Some((level, seconds)) = self.import(levels, hit, rate) {
+            let rest = f64::from(prompt_tokens.saturating_sub(level.tokens));
+            candidate.cost.prefill = seconds + rest / rate;
+            candidate.import = Some(level);
+        }
+    }
+}
--- a/src/policy/dispatcher/servers.rs
+++ b/src/policy/dispatcher/servers.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher knows of each backend server, and the pools they form.
+//! State of the backend servers and of the pools that they form.
 
 use {
     super::AttemptState,
@@ -6,11 +6,11 @@
         ids::{AttemptId, FailureDomainId, Incarnation, ModelId, ServerId, WeightsVersion},
         policy::{
             PolicyView, RequestWork, ServerHealth, ServerView,
-            admission::DrainGauge,
+            admission::DrainRate,
             fairness::FairQueue,
             outlier::FailureRecord,
-            placement::{HomeRing, SpeedGauge},
-            prefix::{CacheKnowledge, ServerIndex},
+            placement::{AffinityRing, SpeedGauge},
+            prefix::{ServerCacheState, ServerIndex},
             window::ServerWindow,
         },
     },
@@ -21,90 +21,92 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Tokens that other daemons have waiting there count this long after the report.
-const REPORT_LIFE: Duration = Duration::from_secs(2);
+/// Maximum age of a report from which the waiting tokens of other daemons are derived.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(2);
 
-/// Prompt tokens that engines compute at one go; what is more urgent passes only between pieces.
-const ENGINE_PIECE: u64 = 2_048;
+/// Prompt tokens that an engine prefills in one chunk. A more urgent request overtakes only between
+/// chunks.
+const PREFILL_CHUNK: u64 = 2_048;
 
-/// How urgent a request is among all: by class, and within a class short prompts of organisations
-/// within their share before the rest. It is the priority that the engine is told.
+/// Priority of a request, 0 being the highest: by class, and within a class short prompts of
+/// organisations within their share before the rest. It is also the priority sent to the engine.
 pub type Urgency = usize;
 
-/// Values of [`Urgency`].
-pub const URGENCIES: usize = 6;
+/// Number of values of [`Urgency`].
+pub const URGENCY_LEVELS: usize = 6;
 
-/// The part of other daemons' waiting tokens that is taken to come before a request, by urgency;
-/// reports do not tell how urgent what waits is.
-const FOREIGN_PART: [f64; URGENCIES] = [0.25, 0.5, 0.75, 0.75, 1.0, 1.0];
+/// Fraction of other daemons' waiting tokens that is assumed to be served before a request, by
+/// urgency, since reports do not include the urgency of what waits.
+const REMOTE_FRACTION: [f64; URGENCY_LEVELS] = [0.25, 0.5, 0.75, 0.75, 1.0, 1.0];
 
-/// Trust in homes before any answer.
-const FIRST_TRUST: f64 = 0.5;
+/// Assumed hit ratio at affinity servers before any measurement.
+const INITIAL_AFFINITY_HIT_RATIO: f64 = 0.5;
 
-/// Position of a pool in the dispatcher's table.
+/// Index of a pool in the dispatcher's server table.
 pub type PoolIndex = usize;
 
-/// One backend server.
+/// State of one backend server.
 #[derive(Debug)]
 pub struct ServerState {
-    /// Its name.
+    /// Its identifier.
     pub id: ServerId,
-    /// Hash of its name, the same at each daemon.
+    /// Hash of the identifier, identical on every daemon.
     pub name_hash: u64,
     /// Its failure domain.
     pub domain: FailureDomainId,
-    /// Whether the configuration in force lists it.
+    /// Whether the current configuration lists it.
     pub listed: bool,
-    /// Whether its failure domain can be reached.
+    /// Whether its failure domain is reachable.
     pub reachable: bool,
-    /// What membership last said; alive until told otherwise.
+    /// Last reported membership state; alive until the first report.
     pub health: ServerHealth,
-    /// Whether it said itself that it is leaving.
+    /// Whether its last load report said that it is shutting down.
     pub leaving: bool,
-    /// What it is thought to hold.
-    pub cache: CacheKnowledge,
-    /// A connection broke and no sign of the same life came since: no hit is expected.
-    pub in_doubt: bool,
-    /// How much may be in flight there.
+    /// What is known about its prefix cache.
+    pub cache: ServerCacheState,
+    /// Whether a connection broke and neither a load report nor membership has reported its
+    /// incarnation since. No hits are expected meanwhile.
+    pub unverified: bool,
+    /// Limit of this daemon's requests in flight.
     pub window: ServerWindow,
-    /// How fast it is.
+    /// Measured speed.
     pub speed: SpeedGauge,
-    /// How it failed.
+    /// Failures and ejection.
     pub failures: FailureRecord,
-    /// Attempts in flight of this daemon.
+    /// This daemon's attempts in flight.
     pub in_flight: u32,
-    /// Suspected requests among them.
+    /// Attempts in flight whose fingerprint was recorded at a crash.
     pub suspects: u32,
-    /// Attempts without a first token yet: when each was sent, its predicted first-token time and
-    /// the tokens it has to compute. Bounded by the window.
+    /// Attempts without a first token; their number is bounded by the window.
     pub unanswered: BTreeMap<AttemptId, UnansweredAttempt>,
-    /// Sum of the tokens in `unanswered` by urgency.
-    pub pending_tokens: [u64; URGENCIES],
-    /// Tokens of other daemons that wait there, and when that was reported.
-    pub foreign_tokens: Option<(u64, Instant)>,
-    /// Waiting requests that were found to wait for it in the present look at its pool.
+    /// Total tokens to compute of `unanswered`, by urgency.
+    pub pending_tokens: [u64; URGENCY_LEVELS],
+    /// Waiting tokens of other daemons, and when they were reported.
+    pub remote_tokens: Option<(u64, Instant)>,
+    /// Waiting requests that prefer this server although it has no capacity, in the current pass
+    /// over its pool.
     pub waiters: u32,
-    /// When its life or weights last changed; what peers tell of its cache may be older.
-    pub reborn: Option<Instant>,
-    /// Pools it belongs to.
+    /// When its incarnation or weights last changed. Peer reports about its cache may be older.
+    pub cache_reset_at: Option<Instant>,
+    /// Pools that it belongs to.
     pub pools: Vec<PoolIndex>,
 }
 
-/// An attempt that waits for its first token.
+/// An attempt without a first token.
 #[derive(Clone, Copy, Debug)]
 pub struct UnansweredAttempt {
     /// When it was sent.
     pub sent: Instant,
-    /// When its first token was expected.
+    /// When its first token is expected.
     pub due: Instant,
-    /// Prompt tokens it has to compute.
+    /// Prompt tokens to compute.
     pub tokens: u32,
-    /// How urgent it is.
+    /// Priority of its request.
     pub urgency: Urgency,
 }
 
 impl ServerState {
-    /// A server as the configuration names it.
+    /// Creates the state of a server from its configuration.
     pub fn new(id: &ServerId, view: &ServerView, daemons: usize) -> Self {
         ServerState {
             id: id.clone(),
@@ -114,23 +116,23 @@
             reachable: true,
             health: ServerHealth::Alive { incarnation: 0 },
             leaving: false,
-            cache: CacheKnowledge::default(),
-            in_doubt: false,
+            cache: ServerCacheState::default(),
+            unverified: false,
             window: ServerWindow::new(view.slots, daemons),
             speed: SpeedGauge::default(),
             failures: FailureRecord::default(),
             in_flight: 0,
             suspects: 0,
             unanswered: BTreeMap::new(),
-            pending_tokens: [0; URGENCIES],
-            foreign_tokens: None,
+            pending_tokens: [0; URGENCY_LEVELS],
+            remote_tokens: None,
             waiters: 0,
-            reborn: None,
+            cache_reset_at: None,
             pools: Vec::new(),
         }
     }
 
-    /// Whether it may get new work at all.
+    /// Returns whether it may get new requests at all.
     pub fn takes_work(&self) -> bool {
         self.listed
             && self.reachable
@@ -138,45 +140,45 @@
             && matches!(self.health, ServerHealth::Alive { .. } | ServerHealth::Reserved { .. })
     }
 
-    /// Whether it may get new work and works. A server in doubt has just broken a connection: its
-    /// life and weights are unknown until its next report, so a stream begun there could not be
-    /// resumed, and its cache counts for nothing.
+    /// Returns whether it may get new requests and is healthy. An unverified server has just broken
+    /// a connection: its incarnation and weights are unknown until its next report, so a stream
+    /// started there could not be resumed, and no cache hits are expected.
     pub fn is_usable(&self) -> bool {
         let reserved = matches!(self.health, ServerHealth::Reserved { .. });
-        self.takes_work() && !reserved && !self.failures.is_ejected() && !self.in_doubt
+        self.takes_work() && !reserved && !self.failures.is_ejected() && !self.unverified
     }
 
-    /// Weights that an answer from there now comes from, if known beyond doubt.
+    /// Returns the weights that new answers will be generated with, if known for certain.
     pub fn certain_weights(&self, model: &str) -> Option<&WeightsVersion> {
-        if self.in_doubt { None } else { self.cache.weights(model) }
+        if self.unverified { None } else { self.cache.weights(model) }
     }
 
-    /// The life it is in, if known beyond doubt.
+    /// Returns its incarnation, if known for certain.
     pub fn certain_incarnation(&self) -> Option<Incarnation> {
-        if self.in_doubt { None } else { self.cache.incarnation() }
+        if self.unverified { None } else { self.cache.incarnation() }
     }
 
-    /// Tokens to be computed there before a new request of `urgency`: those as urgent and more
-    /// urgent ones, and of the others the piece that an engine computes before it looks again.
+    /// Returns the tokens to be computed there before a new request of `urgency`: those of equally
+    /// or more urgent requests, and of the others one prefill chunk, which cannot be preempted.
     pub fn tokens_ahead(&self, now: Instant, urgency: Urgency) -> f64 {
-        let foreign = match self.foreign_tokens {
-            Some((tokens, at)) if now.saturating_duration_since(at) < REPORT_LIFE => tokens,
+        let remote = match self.remote_tokens {
+            Some((tokens, at)) if now.saturating_duration_since(at) < MAX_REPORT_AGE => tokens,
             _ => 0,
         };
         let (before, behind) = self.pending_tokens.split_at(urgency + 1);
         let before: u64 = before.iter().sum();
         let behind: u64 = behind.iter().sum();
-        (before + behind.min(ENGINE_PIECE)) as f64 + foreign as f64 * FOREIGN_PART[urgency]
+        (before + behind.min(PREFILL_CHUNK)) as f64 + remote as f64 * REMOTE_FRACTION[urgency]
     }
 
-    /// How long the most overdue first token is overdue: a server that hangs sends no sample of
-    /// its slowness, so its silence has to count.
+    /// Returns the delay of the most overdue first token. A server that hangs produces no speed
+    /// samples, so its missing answers have to count.
     pub fn overdue(&self, now: Instant) -> Duration {
         let due = self.unanswered.values().map(|attempt| attempt.due).min();
         due.map_or(Duration::ZERO, |due| now.saturating_duration_since(due))
     }
 
-    /// Notes an attempt that was sent.
+    /// Records an attempt that was sent.
     pub fn begin(&mut self, attempt: AttemptId, state: &AttemptState) {
         self.in_flight += 1;
         self.suspects += u32::from(state.suspect.is_some());
@@ -191,14 +193,14 @@
         self.unanswered.insert(attempt, unanswered);
     }
 
-    /// Notes an attempt's first token.
+    /// Records the first token of an attempt.
     pub fn answer(&mut self, attempt: AttemptId) {
         if let Some(unanswered) = self.unanswered.remove(&attempt) {
             self.pending_tokens[unanswered.urgency] -= u64::from(unanswered.tokens);
         }
     }
 
-    /// Notes an attempt's end.
+    /// Records the end of an attempt.
     pub fn end(&mut self, attempt: AttemptId, state: &AttemptState) {
         self.answer(attempt);
         self.in_flight -= 1;
@@ -216,7 +218,7 @@
 }
 
 impl PoolKey {
-    /// The pool that `work` is for.
+    /// Returns the key of the pool that serves `work`.
     pub fn of(work: &RequestWork) -> Self {
         match work {
             RequestWork::Model { model, .. } => PoolKey::Model(model.clone()),
@@ -224,7 +226,7 @@
         }
     }
 
-    /// The name in digests.
+    /// Returns the name of the model or service.
     pub fn name(&self) -> &str {
         match self {
             PoolKey::Model(name) | PoolKey::Service(name) => name,
@@ -232,46 +234,48 @@
     }
 }
 
-/// The servers of one model or service and the queue before them.
+/// The servers of one model or service, and the queue of requests for them.
 #[derive(Debug, Default)]
 pub struct PoolState {
-    /// Servers that the configuration lists, in the order of their names.
+    /// Listed servers, ordered by identifier.
     pub members: Vec<ServerIndex>,
-    /// Where prefixes are at home among them.
-    pub ring: HomeRing,
-    /// Who waits.
+    /// Ring from which affinity servers are chosen.
+    pub ring: AffinityRing,
+    /// Waiting requests.
     pub queue: FairQueue,
-    /// How fast the queue drains.
-    pub drain: DrainGauge,
-    /// Mean tokens generated for an answer.
+    /// Measured drain rate of the queue.
+    pub drain: DrainRate,
+    /// Mean number of tokens generated for an answer.
     pub output: f64,
-    /// Mean speed of the measured servers.
+    /// Mean speed of the measured servers in prompt tokens per second; `None` until measured.
     pub typical_rate: Option<f64>,
-    /// Speed of the fastest measured server.
+    /// Speed of the fastest measured server in prompt tokens per second; `None` until measured.
     pub fastest_rate: Option<f64>,
-    /// How often a prefix sent home for the first time from here was held there, 0 to 1.
-    pub home_trust: f64,
-    /// Mean time a request stays at a server in seconds.
+    /// Fraction of requests that found a prefix cached at an affinity server although this daemon
+    /// had not sent it there before, from 0 to 1.
+    pub affinity_hit_ratio: f64,
+    /// Mean time from sending a request to its complete answer in seconds.
     pub service: f64,
-    /// Whether something changed that may let a waiting request go.
-    pub stirred: bool,
+    /// Whether a change may allow a waiting request to be sent.
+    pub dirty: bool,
 }
 
 /// All servers and pools.
 #[derive(Debug, Default)]
 pub struct ServerTable {
-    /// By index. An entry is reused only once it is unlisted and has nothing in flight.
+    /// Servers by index. An entry is reused only after it was unlisted and has no requests in
+    /// flight.
     pub servers: Vec<ServerState>,
-    /// Index by name; listed servers only.
+    /// Indices by identifier, for listed servers only.
     pub by_id: BTreeMap<ServerId, ServerIndex>,
-    /// By index; pools stay for the daemon's life, as models are few.
+    /// Pools by index. Pools are never removed, since there are few models.
     pub pools: Vec<PoolState>,
-    /// Index by what they serve.
+    /// Indices by what the pools serve.
     pub by_key: BTreeMap<PoolKey, PoolIndex>,
 }
 
 impl ServerTable {
-    /// Takes over a configuration; what is known of servers that stay is kept.
+    /// Applies a configuration, retaining the state of servers that stay listed.
     pub fn configure(&mut self, view: &PolicyView, daemons: usize, make: impl Fn() -> FairQueue) {
         self.unlist(view);
         for (id, server) in &view.servers {
@@ -292,7 +296,7 @@
                 self.pools.push(PoolState {
                     queue: make(),
                     service: 1.0,
-                    home_trust: FIRST_TRUST,
+                    affinity_hit_ratio: INITIAL_AFFINITY_HIT_RATIO,
                     ..Default::default()
                 });
                 self.pools.len() - 1
@@ -301,9 +305,9 @@
                 self.servers[*index].pools.push(pool);
             }
             let named = members.iter().map(|index| (*index, self.servers[*index].id.as_str()));
-            self.pools[pool].ring = HomeRing::new(named);
+            self.pools[pool].ring = AffinityRing::new(named);
             self.pools[pool].members = members;
-            self.pools[pool].stirred = true;
+            self.pools[pool].dirty = true;
         }
     }
 
@@ -326,8 +330,8 @@
         let free = self.servers.iter().position(|server| !server.listed && server.in_flight == 0);
         let index = match free {
             Some(index) => {
-                // The former server's holdings must not pass for the new one's.
-                state.cache = CacheKnowledge::successor(&self.servers[index].cache);
+                // Holders of the former server must not count for the new one.
+                state.cache = ServerCacheState::replacing(&self.servers[index].cache);
                 self.servers[index] = state;
                 index
             }
--- a/src/policy/dispatcher/sending.rs
+++ b/src/policy/dispatcher/submission.rs
@@ -1,10 +1,10 @@
-//! Sends a placed request, and notes what was promised by it.
+//! Sends a placed request and records the expectations of the new attempt.
 
 use {
     super::{
         AttemptState, Dispatcher, RequestEntry,
-        lifecycle::{Admitted, LiveRequest, RequestPhase},
-        placing::Candidate,
+        lifecycle::{Admitted, RequestPhase, StagedRequest},
+        selection::Candidate,
         servers::PoolIndex,
     },
     crate::policy::{PolicyAction, PolicySafeguard, RequestWork, SendOrder},
@@ -12,13 +12,13 @@
     std::time::{Duration, Instant},
 };
 
-/// How long a decided sending stays valid: longer than the way to the driver's task takes on a busy
-/// VM, shorter than any change of membership that callers could notice.
+/// Validity of a send order: longer than its delivery to the driver's task takes on a busy VM,
+/// shorter than any membership change that callers could notice.
 const SEND_WITHIN: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
     pub(super) fn send(&mut self, now: Instant, number: u64, best: Candidate) {
-        let Some((pool, cost, mut request)) = self.unqueue(now, number) else { return };
+        let Some((pool, cost, mut request)) = self.dequeue(now, number) else { return };
         let attempt =
             (u128::from(self.random.next_u64()) << 64) | u128::from(self.random.next_u64());
         if let Some(reason) = request.stage.retry {
@@ -31,11 +31,12 @@
         if let Some(fingerprint) = state.suspect {
             self.running_suspects.insert(fingerprint);
         }
-        let store_use = self.use_keep(now, &request, &best, state.weights.as_ref());
-        let order = SendOrder { store_use, ..self.order(now, attempt, &request, &best, &state) };
+        let store_use = self.plan_store_use(now, &request, &best, state.weights.as_ref());
+        let send_order =
+            SendOrder { store_use, ..self.send_order(now, attempt, &request, &best, &state) };
         self.table.servers[best.server].begin(attempt, &state);
         if let RequestWork::Model { levels, .. } = &request.ticket.work {
-            self.holdings.note(levels, best.server, &self.table.servers[best.server].cache);
+            self.prefix_table.record(levels, best.server, &self.table.servers[best.server].cache);
         }
         self.attempts.insert(attempt, state);
         if request.ticket.repeatable && request.history.relayed == 0 {
@@ -44,7 +45,7 @@
         request.stage.retry = None;
         let phase = RequestPhase::Running(request.send(attempt));
         self.requests.insert(number, RequestEntry { pool, cost, phase });
-        self.actions.push(PolicyAction::Send(order));
+        self.actions.push(PolicyAction::Send(send_order));
     }
 
     fn attempt_state(
@@ -52,18 +53,18 @@
         now: Instant,
         number: u64,
         pool: PoolIndex,
-        request: &LiveRequest<Admitted>,
+        request: &StagedRequest<Admitted>,
         best: &Candidate,
     ) -> AttemptState {
         let ticket = &request.ticket;
         let server = &self.table.servers[best.server];
-        let strikes = self.suspects.strikes(now, ticket.fingerprint);
-        let suspect = strikes > 0 && self.is_on(PolicySafeguard::Suspect);
+        let crash_count = self.suspects.crash_count(now, ticket.fingerprint);
+        let suspect = crash_count > 0 && self.is_enabled(PolicySafeguard::Suspect);
         let (weights, output, age) = match &ticket.work {
             RequestWork::Model { model, max_output_tokens, levels, .. } => (
                 server.certain_weights(model).cloned(),
                 self.expected_output(pool, *max_output_tokens),
-                self.holdings.hit_age(levels, best.server, &server.cache),
+                self.prefix_table.hit_age(levels, best.server, &server.cache),
             ),
             RequestWork::Service { .. } => (None, 0, 0),
         };
@@ -75,7 +76,7 @@
             computed: best.computed,
             urgency: best.urgency,
             expected_hit: best.hit,
-            home_tokens: best.home_tokens,
+            affinity_tokens: best.affinity_tokens,
             hit_age: age,
             generation: server.cache.generation(),
             weights,
@@ -85,11 +86,11 @@
         }
     }
 
-    fn order(
+    fn send_order(
         &self,
         now: Instant,
         attempt: u128,
-        request: &LiveRequest<Admitted>,
+        request: &StagedRequest<Admitted>,
         best: &Candidate,
         state: &AttemptState,
     ) -> SendOrder {
--- a/src/policy/dispatcher/wakeups.rs
+++ b/src/policy/dispatcher/timers.rs
@@ -1,4 +1,4 @@
-//! What passing time brings: deadlines, pauses that end, probes, and another look at the queues.
+//! Processes timers: deadlines, retry delays, probes and periodic placement.
 
 use {
     super::{Dispatcher, lifecycle::RequestPhase},
@@ -9,31 +9,31 @@
     std::time::{Duration, Instant},
 };
 
-/// Waiting requests are looked at again after this time though nothing was reported: estimates
-/// of other daemons' requests run out, and silence of a server grows.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// Interval at which waiting requests are considered again without an input, since estimates for
+/// other daemons' requests expire and the delay of overdue answers grows.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
-    /// Does what has become due until `now`, before anything else is decided.
-    pub(super) fn pass_time(&mut self, now: Instant) {
+    /// Processes all timers due at `now`, before anything is sent.
+    pub(super) fn advance_time(&mut self, now: Instant) {
         while let Some((at, number)) = self.timers.first().copied() {
             if at > now {
                 break;
             }
             self.timers.pop_first();
-            self.end_wait(now, number);
+            self.handle_timer(now, number);
         }
-        if self.look_at.is_some_and(|at| at <= now) {
-            self.look_at = None;
+        if self.recheck_at.is_some_and(|at| at <= now) {
+            self.recheck_at = None;
             for pool in &mut self.table.pools {
-                pool.stirred = true;
+                pool.dirty = true;
             }
         }
         self.send_probes(now);
     }
 
-    /// A deadline passed or a pause ended.
-    fn end_wait(&mut self, now: Instant, number: u64) {
+    /// Handles an expired deadline or retry delay of a request.
+    fn handle_timer(&mut self, now: Instant, number: u64) {
         let Some(entry) = self.requests.get(&number) else { return };
         match &entry.phase {
             RequestPhase::Waiting(request) => {
@@ -41,20 +41,20 @@
                     let pause = self.drain_pause(entry.pool, entry.cost);
                     self.refuse_waiting(now, number, RefusalReason::DeadlinePassed, Some(pause));
                 } else {
-                    self.table.pools[entry.pool].stirred = true;
+                    self.table.pools[entry.pool].dirty = true;
                 }
             }
             RequestPhase::Running(sent) => {
                 let attempt = sent.attempt();
                 let request = sent.ticket().request.clone();
-                self.give_up(attempt, request);
+                self.abort_attempt(attempt, request);
             }
         }
     }
 
-    /// Ends an attempt whose caller has stopped waiting for its first token: the server's place is
-    /// for those who still wait.
-    fn give_up(&mut self, attempt: AttemptId, request: RequestId) {
+    /// Aborts an attempt without a first token whose deadline has passed, to free its slot for
+    /// requests that can still be answered in time.
+    fn abort_attempt(&mut self, attempt: AttemptId, request: RequestId) {
         if self.attempts.get(&attempt).is_none_or(|state| state.answered) {
             return;
         }
@@ -68,7 +68,7 @@
         self.ejected.retain(|index| {
             let server = &mut self.table.servers[*index];
             if server.listed && server.failures.probe_due().is_some_and(|at| at <= now) {
-                server.failures.note_probing();
+                server.failures.record_probing();
                 let server = server.id.clone();
                 self.actions.push(PolicyAction::Probe { server });
             }
@@ -76,13 +76,13 @@
         });
     }
 
-    /// Asks for another look while anyone waits.
-    pub(super) fn plan_look(&mut self, now: Instant) {
+    /// Schedules the next periodic placement while requests wait.
+    pub(super) fn schedule_recheck(&mut self, now: Instant) {
         let waiting = self.table.pools.iter().any(|pool| !pool.queue.is_empty());
-        self.look_at = match (waiting, self.look_at) {
+        self.recheck_at = match (waiting, self.recheck_at) {
             (false, _) => None,
             (true, Some(at)) => Some(at),
-            (true, None) => Some(now + LOOK_PAUSE),
+            (true, None) => Some(now + RECHECK_INTERVAL),
         };
     }
 }
--- a/src/policy/input.rs
+++ b/src/policy/input.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher is told.
+//! Inputs of the dispatcher.
 
 use {
     crate::{
@@ -12,282 +12,287 @@
     std::{collections::BTreeMap, sync::Arc, time::Instant},
 };
 
-/// Everything that can happen to a dispatcher.
+/// An event that the dispatcher handles.
 #[derive(Clone, Debug)]
 pub enum PolicyInput {
-    /// A configuration came into force.
+    /// A configuration took effect.
     Configure(Arc<PolicyView>),
-    /// A caller's request passed the earlier filters and waits for a decision.
+    /// A request passed the earlier pipeline stages and waits to be placed.
     Arrive(RequestTicket),
     /// The first token of an attempt arrived from the engine.
     FirstToken {
         /// The attempt.
         attempt: AttemptId,
-        /// Prompt tokens that the engine took from its cache, when it said so.
+        /// Prompt tokens that the engine served from its cache; `None` if it did not report them.
         cached_tokens: Option<u32>,
     },
-    /// More tokens of an attempt arrived; `tokens` counts the new ones.
+    /// More tokens of an attempt arrived after the first one.
     Progress {
         /// The attempt.
         attempt: AttemptId,
-        /// New tokens since the last report.
+        /// Tokens generated since the previous event of this attempt.
         tokens: u32,
     },
-    /// An attempt ended whole.
+    /// An attempt ended with a complete answer.
     Finished {
         /// The attempt.
         attempt: AttemptId,
-        /// Prompt tokens that the engine took from its cache, when it said so.
+        /// Prompt tokens that the engine served from its cache; `None` if it did not report them.
         cached_tokens: Option<u32>,
-        /// Tokens generated in all.
+        /// Total number of generated tokens.
         output_tokens: u32,
     },
-    /// An attempt ended without a whole answer.
+    /// An attempt ended without a complete answer.
     Failed {
         /// The attempt.
         attempt: AttemptId,
-        /// What went wrong.
+        /// The kind of failure.
         failure: AttemptFailure,
-        /// Tokens already passed on to the caller; they must not be sent twice.
+        /// Tokens already relayed to the caller, which must not be relayed again.
         relayed_tokens: u32,
-        /// What the server asked to wait before the next try, if it did.
+        /// The delay that the server requested with `Retry-After`, if any.
         retry_after: Option<std::time::Duration>,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// An engine's or service's own account of its load; it lags.
+    /// A load report of a backend server. Reports arrive late.
     Load(LoadReport),
-    /// What engines publish of their caches; late and with gaps.
+    /// A change of an engine's cache. Events arrive late and some are lost.
     Cache(CacheEvent),
-    /// What membership knows of a server.
+    /// A change of a server's membership state.
     Health {
         /// The server.
         server: ServerId,
         /// Its health.
         health: ServerHealth,
     },
-    /// Failure domains that can be reached from here now, the own one included.
+    /// The set of reachable failure domains changed. It includes the daemon's own domain.
     Reachable {
         /// The domains.
         domains: Vec<FailureDomainId>,
     },
-    /// A digest from another daemon.
+    /// A digest from another daemon of the same failure domain.
     Digest(DomainDigest),
-    /// Engines share a store of KV cache, or do not now.
+    /// The link to the engines' shared KV cache store changed.
     CacheStoreLink {
-        /// Tokens a second of the link of the engines' common store that are this daemon's part;
-        /// `None` if there is no store or it cannot be reached.
+        /// This daemon's share of the link bandwidth, in tokens per second; `None` if no store is
+        /// configured or it is unreachable.
         rate: Option<f64>,
     },
-    /// Engines can fetch cached prefixes from each other.
+    /// The ability of engines to fetch cached prefixes from each other changed.
     PeerFetch {
-        /// Tokens a second that one of them gets from another; `None` if they cannot.
+        /// Transfer rate between two engines, in tokens per second; `None` if fetching is not
+        /// possible.
         rate: Option<f64>,
-        /// The newest weights that operators have named, by model. A server with others is about
-        /// to change them.
+        /// The newest weights that operators have named, by model. A server with other weights is
+        /// expected to load them soon.
         newest: BTreeMap<ModelId, WeightsVersion>,
     },
-    /// Retries that this daemon may have saved up, where operators bound them for all daemons
-    /// together.
+    /// The retry reserve of this daemon, sent when operators limit retries across all daemons.
     RetryReserve {
-        /// The most that can be saved; at least 1.
+        /// Maximum number of unused retries; at least 1.
         retries: f64,
     },
-    /// The probe that [`super::PolicyAction::Probe`] asked for ended.
+    /// A probe requested by [`super::PolicyAction::Probe`] ended.
     Probed {
         /// The server.
         server: ServerId,
-        /// Whether it answered.
+        /// Whether the server responded.
         answered: bool,
     },
-    /// Time passed; sent when `next_wakeup` is due.
+    /// A timer expired: the time returned by `Dispatcher::next_wakeup` was reached.
     Wake,
 }
 
-/// What the dispatcher needs of a configuration.
+/// The part of a configuration that the dispatcher uses.
 #[derive(Clone, Debug, Default)]
 pub struct PolicyView {
-    /// The revision it was made from.
+    /// Revision of the configuration.
     pub revision: Revision,
-    /// What placement optimises.
+    /// What server selection optimises.
     pub objective: DecisionObjective,
     /// Backend servers that requests may be sent to.
     pub servers: BTreeMap<ServerId, ServerView>,
-    /// Weights of organisations that differ from 1.0; each positive.
+    /// Fair-share weights of organisations that differ from 1.0; each is positive.
     pub shares: BTreeMap<OrganisationId, f64>,
-    /// Daemons by failure domain with their relative capacity, this one included.
+    /// Relative capacity of all daemons, including this one, by failure domain.
     pub daemons: BTreeMap<FailureDomainId, BTreeMap<VmId, f64>>,
-    /// Desired weights by model; cached blocks of other versions never count.
+    /// Desired weights by model. Blocks cached under other weights never count as cache hits.
     pub weights: BTreeMap<ModelId, WeightsVersion>,
 }
 
-/// One backend server as the dispatcher sees it.
+/// The part of a backend server's registration that the dispatcher uses.
 #[derive(Clone, Debug)]
 pub struct ServerView {
     /// Its failure domain.
     pub failure_domain: FailureDomainId,
-    /// What it does.
+    /// Whether it is an engine, a service or a cache store.
     pub kind: ServerKind,
-    /// Models it may run.
+    /// Models that it can serve.
     pub models: Vec<ModelId>,
-    /// The service it offers.
+    /// The plain service that it offers, if any.
     pub service: Option<ServiceId>,
-    /// Requests it runs at once; at least 1.
+    /// Requests that it runs concurrently; at least 1.
     pub slots: u32,
 }
 
-/// One request that waits for a decision.
+/// A request as submitted to the dispatcher.
 #[derive(Clone, Debug)]
 pub struct RequestTicket {
-    /// Its id.
+    /// Identifier, unique among requests without a final outcome.
     pub request: RequestId,
-    /// Who sent it.
+    /// The organisation that is charged for it.
     pub organisation: OrganisationId,
-    /// How urgent it is.
+    /// Priority class.
     pub class: RequestClass,
-    /// When the caller stops waiting for the first token (or for the whole, if not streamed).
+    /// When the caller stops waiting for the first token, or for the whole answer if it is not
+    /// streamed.
     pub deadline: Instant,
-    /// Whether it may run more than once.
+    /// Whether it may be executed more than once.
     pub repeatable: bool,
-    /// A hash of the whole request, the same for each resend of it; keys the crash suspects.
+    /// Hash of the whole request, identical for every resend. Identifies requests that crash
+    /// servers.
     pub fingerprint: u64,
-    /// What is to be done.
+    /// The work that it asks for.
     pub work: RequestWork,
 }
 
-/// What a request asks for.
+/// The kind of work that a request asks for.
 #[derive(Clone, Debug)]
 pub enum RequestWork {
-    /// A model's answer.
+    /// Text generated by a model.
     Model {
         /// The model.
         model: ModelId,
         /// The adapter, if any.
         adapter: Option<AdapterId>,
-        /// Prefix levels, shortest first; `tokens` grow from level to level.
+        /// Prefix levels, shortest first, with increasing `tokens`.
         levels: Vec<PrefixLevel>,
-        /// Tokens of the whole prompt (estimated).
+        /// Estimated tokens of the whole prompt.
         prompt_tokens: u32,
-        /// Upper limit of generated tokens.
+        /// Maximum number of tokens to generate.
         max_output_tokens: u32,
     },
-    /// A plain service's answer.
+    /// A call to a plain service.
     Service {
         /// The service.
         service: ServiceId,
     },
 }
 
-/// One level of a prompt's prefix.
+/// One level of a prompt's nested prefixes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixLevel {
-    /// Chained hash of everything up to here, seeded by organisation, model and adapter.
+    /// Hash chained over all segments up to this level, seeded by organisation, model and adapter.
     pub hash: u64,
-    /// Tokens up to here.
+    /// Tokens of the prompt up to this level.
     pub tokens: u32,
 }
 
-/// Why an attempt ended early.
+/// Why an attempt ended without a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum AttemptFailure {
-    /// No connection was made: not a byte reached the server.
+    /// The connection could not be established, so no byte reached the server.
     NotConnected,
-    /// The server refused the request before running it (429 or 503).
+    /// The server refused the request with status 429 or 503.
     Refused,
-    /// The connection broke after bytes were sent, and the server may have died.
+    /// The connection broke after bytes were sent. The server may have crashed.
     Broken,
-    /// The server answered with an error of its own (5xx).
+    /// The server answered with a 5xx status.
     ServerError,
-    /// The server answered that the request is wrong (4xx); the caller gets that answer.
+    /// The server answered with a 4xx status, which is relayed to the caller.
     CallerError,
-    /// No sign of life for too long.
+    /// The server sent nothing within the timeout.
     TimedOut,
-    /// The engine runs other weights than the attempt was made for.
+    /// The engine runs other weights than the attempt was sent for.
     WrongWeights,
-    /// The server proved that it did not run the request and never will.
+    /// The server proved that it did not execute the request and will not do so later.
     Declined,
-    /// This daemon woke from a pause and the attempt's decision was out of date; nothing was sent.
+    /// The daemon process was paused until the send order expired; nothing was sent.
     Stale,
 }
 
-/// A backend server's own account of its load.
+/// A load report of a backend server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The server.
     pub server: ServerId,
-    /// Its present life; a new number means an empty cache.
+    /// Its current incarnation; a new one starts with an empty cache.
     pub incarnation: Incarnation,
     /// Loaded weights by model.
     pub weights: BTreeMap<ModelId, WeightsVersion>,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait inside the server.
+    /// Requests queued inside the server.
     pub waiting: u32,
-    /// Prompt tokens that wait for prefill inside the server.
+    /// Prompt tokens waiting for prefill inside the server.
     pub waiting_tokens: u64,
-    /// Share of the KV cache in use, 0 to 1.
+    /// Fraction of the KV cache in use, from 0 to 1.
     pub cache_used: f64,
-    /// Whether it says itself that it is leaving.
+    /// Whether the server reports that it is shutting down.
     pub leaving: bool,
 }
 
-/// What an engine published of its cache.
+/// A change of an engine's prefix cache, as published by the engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CacheEvent {
     /// The server.
     pub server: ServerId,
-    /// The life of the server that published it; other lives' events are dropped.
+    /// Incarnation of the server that published the event. Events of other incarnations are
+    /// dropped.
     pub incarnation: Incarnation,
-    /// Its position in the server's stream; a hole means lost events.
+    /// Position in the server's event stream; a gap means that events were lost.
     pub sequence: u64,
-    /// Prefix hashes stored.
+    /// Hashes of prefixes added to the cache.
     pub stored: Vec<u64>,
-    /// Prefix hashes evicted.
+    /// Hashes of prefixes evicted from the cache.
     pub evicted: Vec<u64>,
 }
 
-/// What membership knows of a backend server.
+/// Membership state of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerHealth {
-    /// It answers.
+    /// It responds to health checks.
     Alive {
-        /// Its present life.
+        /// Its current incarnation.
         incarnation: Incarnation,
     },
-    /// It finishes what it has and takes nothing new.
+    /// It is draining: it finishes running requests and accepts no new ones.
     Leaving,
-    /// It does not answer.
+    /// It does not respond to health checks.
     Dead,
-    /// It answers, and is about to load other weights: it gets work only while no other can take it.
+    /// It responds and will load other weights soon. It gets new requests only while no other
+    /// server can take them.
     Reserved {
-        /// Its present life.
+        /// Its current incarnation.
         incarnation: Incarnation,
     },
 }
 
-/// What daemons of one failure domain tell each other; each list is bounded by its maker.
+/// State that daemons of one failure domain exchange. The sender bounds the length of each list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DomainDigest {
-    /// The daemon that made it.
+    /// The daemon that sent it.
     pub daemon: VmId,
-    /// Grows with each digest of one life of a daemon.
+    /// Sequence number, increasing within one incarnation of the daemon.
     pub sequence: u64,
-    /// In-flight requests by server, the busiest first; at most 64.
+    /// In-flight requests by server, busiest first; at most 64.
     pub in_flight: Vec<(ServerId, u32)>,
-    /// Waiting requests by model or service, for sharing windows by demand; at most 32.
+    /// Waiting requests by model or service; at most 32.
     pub demand: Vec<(String, u32)>,
-    /// Hottest prefixes with holders; at most 32.
+    /// Most requested prefixes with the servers that hold them; at most 32.
     pub hot_prefixes: Vec<(u64, Vec<ServerId>)>,
-    /// Heaviest organisations with recent token cost; at most 16.
+    /// Organisations with the highest recent token cost; at most 16.
     pub heavy_organisations: Vec<(OrganisationId, u64)>,
-    /// Fingerprints with crash strikes; at most 64.
+    /// Fingerprints of requests in flight at server crashes, with the number of crashes; at most
+    /// 64.
     pub suspects: Vec<(u64, u32)>,
-    /// Servers that this daemon's requests found slow or failing; at most 64.
+    /// Servers that this daemon has ejected; at most 64.
     pub unhealthy: Vec<(ServerId, ServerHealth)>,
-    /// What this daemon's probes found, the unhealthy first; at most 64. Added by the daemon, not
-    /// by the dispatcher, and read by the membership watch.
+    /// Results of this daemon's health checks, unhealthy servers first; at most 64. The daemon adds
+    /// them to the dispatcher's digest, and the membership watch reads them.
     pub findings: Vec<(ServerId, ServerHealth)>,
 }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,15 +1,16 @@
-//! Picks the backend server with the least predicted time to the first token.
+//! Estimates the time to the first token of candidate servers and selects cache-affinity servers.
 //!
-//! Load pattern: servers bought over years differ several times over in speed, a missed prefix costs
-//! seconds of prefill, and a hot prefix needs more than one server. Without it round robin gives the
-//! slowest server the same share and misses most prefixes; a bare prefix hash piles a hot prefix
-//! onto one server.
+//! Servers of different generations differ several times over in speed, a cache miss costs seconds
+//! of prefill, and a hot prefix needs more than one server. Round robin gives the slowest server
+//! the same share of requests and misses most prefixes; a plain prefix hash sends all requests for
+//! a hot prefix to one server.
 //!
-//! Predicted time = wait for a place + (tokens before it + prompt − expected hit) ÷ measured speed.
-//! Candidates are the known holders, the prefix's homes and two at random, so a decision looks at a
-//! handful of servers however many there are. Homes come from a consistent-hash ring that every
-//! daemon computes alike; a prefix gets more of them as it heats. The two at random keep the load
-//! bounded and find servers that have become faster.
+//! Predicted time = wait for a slot + (tokens queued ahead + prompt − expected hit) ÷ measured
+//! speed. The candidates are the known holders, the affinity servers of the prefix and servers
+//! chosen at random, so a decision considers a handful of servers regardless of the size of the
+//! pool. Affinity servers come from a consistent-hash ring that is identical on every daemon; a
+//! prefix gets more of them as its request rate grows. The random candidates bound the load and
+//! discover servers that have become faster.
 
 use {
     super::{PrefixLevel, prefix::ServerIndex},
@@ -21,149 +22,153 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Speed assumed of an engine before anything was measured, in prompt tokens per second. Engines
-/// in use range from some thousands to some tens of thousands; it is corrected by the first answer.
-const FIRST_SPEED: f64 = 5_000.0;
+/// Assumed engine speed before any measurement, in prompt tokens per second. Engines in use range
+/// from some thousands to some tens of thousands; the first answer corrects it.
+const INITIAL_SPEED: f64 = 5_000.0;
 
-/// First-token time of an empty prompt before anything was measured.
-const FIRST_BASE: f64 = 0.02;
+/// Assumed first-token time of an empty prompt before any measurement, in seconds.
+const INITIAL_BASE: f64 = 0.02;
 
-/// Prompts with fewer computed tokens tell the base time, longer ones the speed: below it the fixed
-/// time is as long as the prefill.
-const SPEED_SAMPLE: f64 = 512.0;
+/// Prompts with fewer computed tokens update the base time, longer ones the speed. Below this size
+/// the fixed time is as long as the prefill.
+const MIN_SPEED_TOKENS: f64 = 512.0;
 
-/// How far one answer moves the base time down and up: what is above it was mostly waiting.
-const FALLING_PART: f64 = 0.3;
-const RISING_PART: f64 = 0.02;
+/// Smoothing factors for a base time sample below and above the estimate. Increases get a small
+/// factor, since a longer time is mostly queueing.
+const BASE_DECREASE_STEP: f64 = 0.3;
+const BASE_INCREASE_STEP: f64 = 0.02;
 
-/// Answers that tell a server's speed …
-const SAMPLES: usize = 8;
+/// Number of latest answers from which a server's speed is estimated.
+const MAX_SAMPLES: usize = 8;
 
-/// … none of them older than this, so that a server that has become slow is found soon.
-const SAMPLE_LIFE: Duration = Duration::from_secs(15);
+/// Maximum age of the answers from which a server's speed is estimated, so that a server that slows
+/// down is detected soon.
+const MAX_SAMPLE_AGE: Duration = Duration::from_secs(15);
 
-/// Parts of the typical speed below which a server becomes slow, and above which it is no more.
+/// Fractions of the pool's mean speed below which a server is classified as slow, and above which
+/// it is not slow any more.
 const SLOW_BELOW: f64 = 0.5;
-const SLOW_UNTIL: f64 = 0.7;
+const SLOW_ABOVE: f64 = 0.7;
 
-/// Answers in a row that it takes.
-const DOUBTS: u32 = 3;
+/// Consecutive answers needed to reclassify a server as slow or as not slow.
+const CONTRARY_SAMPLES: u32 = 3;
 
-/// Weight as a home of a slow server: it serves others' overflow sooner than prefixes of its own.
+/// Affinity weight of a slow server, which is better used for overflow than for prefixes of its
+/// own.
 const SLOW_WEIGHT: f64 = 0.1;
 
-/// How far one answer moves the mean service time.
-const SERVICE_PART: f64 = 0.1;
+/// Smoothing factor of the mean service time.
+const SERVICE_TIME_STEP: f64 = 0.1;
 
-/// Places of each server on the ring; evens out the homes to within some tens of percent.
-const RING_PLACES: u64 = 32;
+/// Points of each server on the ring; they even out the assignment to within some tens of percent.
+const VIRTUAL_NODES: u64 = 32;
 
-/// The time over which a prefix's heat is counted: about what an engine's cache remembers.
-const HEAT_SPAN: Duration = Duration::from_secs(20);
+/// Time constant of the request rate of a prefix: about the retention of an engine's cache.
+const RATE_WINDOW: Duration = Duration::from_secs(20);
 
-/// What was counted for less than this tells no rate.
-const LEAST_COUNTED: Duration = Duration::from_secs(1);
+/// Minimum observation time from which a rate is computed.
+const MIN_OBSERVATION: Duration = Duration::from_secs(1);
 
-/// Standard deviations by which a count may exceed its mean by chance.
-const SCATTER: f64 = 2.0;
+/// Number of standard deviations subtracted from a count, to exclude random fluctuations.
+const CONFIDENCE_DEVIATIONS: f64 = 2.0;
 
-/// A second, shorter count that finds a prefix which has just become hot.
-const FAST_SPAN: Duration = Duration::from_secs(4);
+/// Time constant of a second, faster count that detects a prefix whose rate has just risen.
+const SHORT_RATE_WINDOW: Duration = Duration::from_secs(4);
 
-/// Prefixes whose heat is kept. Heat matters only for prefixes with several requests a second.
-const MAX_HEATS: usize = 4_096;
+/// Maximum prefixes with a tracked request rate. The rate matters only for prefixes with several
+/// requests per second.
+const MAX_TRACKED_PREFIXES: usize = 4_096;
 
-/// Pools up to this size are looked at whole, as their few servers cost less than choosing among
-/// them would.
+/// Pools up to this size are evaluated completely, which is cheaper than choosing candidates.
 pub const SMALL_POOL: usize = 12;
 
-/// Weight of prefill work and of straying when reuse is the objective: a second of waiting is
-/// accepted to spare a third of a second of engine time.
+/// Weight of prefill and spillover when cache reuse is the objective: a second of waiting is
+/// accepted to save a third of a second of engine time.
 const REUSE_WEIGHT: f64 = 3.0;
 
-/// Seconds of waiting accepted rather than stray, beside as much as the prefill takes. More would let
-/// a hot prefix wait at its homes while others are idle.
-const STRAY_COST: f64 = 0.25;
+/// Seconds of waiting accepted to avoid spillover, in addition to the prefill time. A larger value
+/// would let requests for a hot prefix wait at its affinity servers while others are idle.
+const SPILLOVER_COST: f64 = 0.25;
 
-/// Part of the slots in use from which straying costs more, and seconds for the whole of them:
-/// beyond it there is hardly any straying.
-const SCARCE_FROM: f64 = 0.5;
+/// Slot utilization above which spillover gets more expensive, and the additional cost in seconds
+/// per unit of utilization above it. Near full utilization there is hardly any spillover.
+const SCARCE_UTILIZATION: f64 = 0.5;
 const SCARCE_COST: f64 = 100.0;
 
-/// What has been measured of one server's speed.
+/// Measured speed of one server.
 #[derive(Clone, Debug, Default)]
 pub struct SpeedGauge {
     /// Prompt tokens per second; `None` until measured.
     rate: Option<f64>,
     /// First-token time of an empty prompt in seconds; `None` until measured.
     base: Option<f64>,
-    /// Time from sending to the whole answer in seconds; `None` until measured.
+    /// Time from sending to the complete answer in seconds; `None` until measured.
     service: Option<f64>,
-    /// Speeds that the latest answers showed at least, oldest first; at most [`SAMPLES`].
+    /// Lower bounds of the speed from the latest answers, oldest first; at most [`MAX_SAMPLES`].
     latest: VecDeque<(Instant, f64)>,
-    /// Whether it is far slower than its pool.
+    /// Whether it is classified as much slower than its pool.
     slow: bool,
-    /// Answers in a row that say otherwise.
-    doubts: u32,
+    /// Consecutive answers that contradict `slow`.
+    contrary_samples: u32,
 }
 
 impl SpeedGauge {
-    /// Prompt tokens per second, or `typical` if not measured.
+    /// Returns the speed in prompt tokens per second, or `typical` if not measured.
     pub fn rate(&self, typical: Option<f64>) -> f64 {
-        self.rate.or(typical).unwrap_or(FIRST_SPEED)
+        self.rate.or(typical).unwrap_or(INITIAL_SPEED)
     }
 
-    /// Prompt tokens per second, if measured.
+    /// Returns the speed in prompt tokens per second, if measured.
     pub fn measured(&self) -> Option<f64> {
         self.rate
     }
 
-    /// First-token time of an empty prompt.
+    /// Returns the first-token time of an empty prompt in seconds.
     pub fn base(&self) -> f64 {
-        self.base.unwrap_or(FIRST_BASE)
+        self.base.unwrap_or(INITIAL_BASE)
     }
 
-    /// Time from sending to the whole answer.
+    /// Returns the mean time from sending to the complete answer in seconds.
     pub fn service(&self) -> f64 {
         self.service.unwrap_or(1.0)
     }
 
-    /// Its weight as a home.
-    pub fn home_weight(&self) -> f64 {
+    /// Returns the server's weight in the affinity ranking.
+    pub fn affinity_weight(&self) -> f64 {
         if self.slow { SLOW_WEIGHT } else { 1.0 }
     }
 
-    /// Compares its speed with the pool's typical one.
+    /// Compares the speed with the pool's mean and updates the classification as slow.
     ///
-    /// Only several answers in a row make it slow or end that, and the two borders lie apart: homes
-    /// that move cost a prefill each, and daemons have to agree on them.
+    /// A change needs several consecutive answers, and the two thresholds differ, since moving a
+    /// prefix to another affinity server costs a prefill and all daemons have to agree on it.
     pub fn compare(&mut self, typical: Option<f64>) {
         let (Some(rate), Some(typical)) = (self.rate, typical) else { return };
-        let border = if self.slow { SLOW_UNTIL } else { SLOW_BELOW };
-        if (rate < border * typical) == self.slow {
-            self.doubts = 0;
+        let threshold = if self.slow { SLOW_ABOVE } else { SLOW_BELOW };
+        if (rate < threshold * typical) == self.slow {
+            self.contrary_samples = 0;
             return;
         }
-        self.doubts += 1;
-        if self.doubts >= DOUBTS {
+        self.contrary_samples += 1;
+        if self.contrary_samples >= CONTRARY_SAMPLES {
             self.slow = !self.slow;
-            self.doubts = 0;
+            self.contrary_samples = 0;
         }
     }
 
-    /// Learns from a first token that came after `taken` with `tokens` of its own to compute.
+    /// Updates the speed from a first token that arrived after `taken`, with `tokens` to compute.
     ///
-    /// What it waited for is not known well, so one answer tells no more than that the server is at
-    /// least so fast; the fastest of the latest answers tells its speed.
-    pub fn note_first_token(&mut self, now: Instant, tokens: f64, taken: Duration) {
+    /// The queueing time is not known precisely, so an answer only gives a lower bound of the
+    /// speed; the estimate is the maximum over the latest answers.
+    pub fn record_first_token(&mut self, now: Instant, tokens: f64, taken: Duration) {
         let taken = taken.as_secs_f64();
-        if tokens < SPEED_SAMPLE {
+        if tokens < MIN_SPEED_TOKENS {
             let base = self.base();
-            let part = if taken < base { FALLING_PART } else { RISING_PART };
+            let part = if taken < base { BASE_DECREASE_STEP } else { BASE_INCREASE_STEP };
             self.base = Some(base + (taken - base) * part);
             return;
         }
-        if self.latest.len() >= SAMPLES {
+        if self.latest.len() >= MAX_SAMPLES {
             self.latest.pop_front();
         }
         self.latest.push_back((now, tokens / (taken - self.base()).max(taken / 2.0).max(0.001)));
@@ -171,219 +176,225 @@
             && self
                 .latest
                 .front()
-                .is_some_and(|(at, _)| now.saturating_duration_since(*at) > SAMPLE_LIFE)
+                .is_some_and(|(at, _)| now.saturating_duration_since(*at) > MAX_SAMPLE_AGE)
         {
             self.latest.pop_front();
         }
         self.rate = self.latest.iter().map(|(_, rate)| *rate).max_by(f64::total_cmp);
     }
 
-    /// Learns from a whole answer that came after `taken`.
-    pub fn note_finished(&mut self, taken: Duration) {
+    /// Updates the mean service time from a complete answer that arrived after `taken`.
+    pub fn record_finished(&mut self, taken: Duration) {
         let taken = taken.as_secs_f64();
         self.service =
-            Some(self.service.map_or(taken, |mean| mean + (taken - mean) * SERVICE_PART));
+            Some(self.service.map_or(taken, |mean| mean + (taken - mean) * SERVICE_TIME_STEP));
     }
 }
 
-/// A server's rank as a home of `hash` (weighted rendezvous hashing): the share of prefixes that it
-/// is first for is its weight's part of all weights.
-pub fn home_rank(server: u64, hash: u64, weight: f64) -> u64 {
+/// Returns the rank of a server as an affinity server of `hash` by weighted rendezvous hashing: the
+/// fraction of prefixes for which it ranks first is its fraction of the total weight.
+pub fn affinity_rank(server: u64, hash: u64, weight: f64) -> u64 {
     let mixed = xxh3_64_with_seed(&hash.to_le_bytes(), server);
     let unit = ((mixed >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
-    // Positive floats order as their bits do.
+    // The bit patterns of positive floats are ordered like their values.
     (weight / -unit.ln()).to_bits()
 }
 
-/// What placement weighs of one candidate, in seconds.
+/// Cost estimate of one candidate; times are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct CandidateCost {
-    /// Until a place is free there.
-    pub place: f64,
-    /// Until the tokens before it are computed, and whatever is overdue.
-    pub wait: f64,
-    /// Its own prefill, or the import and the rest.
+    /// Wait for a free slot.
+    pub slot_wait: f64,
+    /// Time to compute the tokens queued ahead, and the delay of overdue answers.
+    pub queue_wait: f64,
+    /// Time to prefill the prompt, including an import or a fetch.
     pub prefill: f64,
-    /// The way there and back and the engine's fixed time.
+    /// Network round trip and the engine's fixed time.
     pub base: f64,
-    /// Whether the prefix is neither held nor at home there.
-    pub stray: bool,
-    /// Part of the slots in use.
-    pub occupied: f64,
+    /// Whether the server neither holds the prefix nor is one of its affinity servers.
+    pub spillover: bool,
+    /// Fraction of the slots in use.
+    pub utilization: f64,
 }
 
 impl CandidateCost {
-    /// Predicted time to the first token.
+    /// Returns the predicted time to the first token in seconds.
     pub fn first_token(&self) -> f64 {
-        self.place + self.wait + self.prefill + self.base
+        self.slot_wait + self.queue_wait + self.prefill + self.base
     }
 
-    /// What it costs others that a prefix strays from its homes: its blocks push theirs out, here
-    /// now and at home when it comes back. Beside idle slots that is little. Where slots are scarce
-    /// each stray makes the next one likelier, until all hits are lost while load is highest.
-    fn stray_cost(&self) -> f64 {
-        if !self.stray {
+    /// Returns the cost to other requests if a prefix is computed outside its affinity servers: its
+    /// blocks evict theirs, both here and at the affinity server when the prefix returns there. The
+    /// cost is low while slots are idle. When slots are scarce, each spillover makes the next one
+    /// more likely, until most hits are lost when load is highest.
+    fn spillover_cost(&self) -> f64 {
+        if !self.spillover {
             return 0.0;
         }
-        let scarce = (self.occupied - SCARCE_FROM).max(0.0) * SCARCE_COST;
-        STRAY_COST + self.prefill + scarce
+        let scarce = (self.utilization - SCARCE_UTILIZATION).max(0.0) * SCARCE_COST;
+        SPILLOVER_COST + self.prefill + scarce
     }
 
-    /// What is minimised under `objective`.
+    /// Returns the cost to be minimised under `objective`.
     pub fn score(&self, objective: DecisionObjective) -> f64 {
         let weight = match objective {
             DecisionObjective::FirstToken => 1.0,
             DecisionObjective::Reuse => REUSE_WEIGHT,
         };
         let reuse = (weight - 1.0) * self.prefill;
-        self.first_token() + reuse + weight * self.stray_cost()
+        self.first_token() + reuse + weight * self.spillover_cost()
     }
 }
 
-/// A consistent-hash ring over the servers of one pool.
+/// A consistent-hash ring of the servers of one pool.
 #[derive(Clone, Debug, Default)]
-pub struct HomeRing {
-    /// Sorted by hash.
-    places: Vec<(u64, ServerIndex)>,
+pub struct AffinityRing {
+    /// Points of the ring, sorted by hash.
+    points: Vec<(u64, ServerIndex)>,
 }
 
-impl HomeRing {
-    /// The ring of the given servers; their names decide their places, so that each daemon gets the
-    /// same ring whatever its own numbering.
+impl AffinityRing {
+    /// Creates the ring of the given servers. Points are derived from server ids, so every daemon
+    /// gets the same ring whatever its own indices.
     pub fn new<'a>(servers: impl Iterator<Item = (ServerIndex, &'a str)>) -> Self {
-        let mut places: Vec<(u64, ServerIndex)> = servers
+        let mut points: Vec<(u64, ServerIndex)> = servers
             .flat_map(|(index, id)| {
-                (0..RING_PLACES).map(move |place| (xxh3_64_with_seed(id.as_bytes(), place), index))
+                (0..VIRTUAL_NODES).map(move |node| (xxh3_64_with_seed(id.as_bytes(), node), index))
             })
             .collect();
-        places.sort_unstable();
-        HomeRing { places }
+        points.sort_unstable();
+        AffinityRing { points }
     }
 
-    /// Servers in the order in which they are home to `hash`, with repetitions.
-    pub fn homes(&self, hash: u64) -> impl Iterator<Item = ServerIndex> {
-        let start = self.places.partition_point(|(place, _)| *place < hash);
-        self.places[start..].iter().chain(&self.places[..start]).map(|(_, index)| *index)
+    /// Returns the servers for `hash` in order of preference, with repetitions.
+    pub fn affinity_servers(&self, hash: u64) -> impl Iterator<Item = ServerIndex> {
+        let start = self.points.partition_point(|(point, _)| *point < hash);
+        self.points[start..].iter().chain(&self.points[..start]).map(|(_, index)| *index)
     }
 }
 
-/// Decayed counts of requests for one prefix.
+/// Exponentially decayed request counts of one prefix.
 #[derive(Clone, Copy, Debug)]
-struct PrefixHeat {
-    slow: f64,
-    fast: f64,
+struct PrefixRate {
+    long_count: f64,
+    short_count: f64,
     at: Instant,
 }
 
-impl PrefixHeat {
-    fn at(&self, now: Instant) -> PrefixHeat {
+impl PrefixRate {
+    fn at(&self, now: Instant) -> PrefixRate {
         let age = now.saturating_duration_since(self.at).as_secs_f64();
-        PrefixHeat {
-            slow: self.slow * (-age / HEAT_SPAN.as_secs_f64()).exp(),
-            fast: self.fast * (-age / FAST_SPAN.as_secs_f64()).exp(),
+        PrefixRate {
+            long_count: self.long_count * (-age / RATE_WINDOW.as_secs_f64()).exp(),
+            short_count: self.short_count * (-age / SHORT_RATE_WINDOW.as_secs_f64()).exp(),
             at: now,
         }
     }
 
-    /// Requests per second, counted for `counted` so far.
-    fn mean_rate(&self, counted: Duration) -> f64 {
-        self.slow / seen_part(HEAT_SPAN, counted)
+    /// Returns the mean rate in requests per second, given the total observation time.
+    fn mean_rate(&self, observed: Duration) -> f64 {
+        self.long_count / effective_seconds(RATE_WINDOW, observed)
     }
 
-    /// Requests per second that the counts prove, so that chance makes nothing hot.
-    fn proven_rate(&self, counted: Duration) -> f64 {
-        let fast = proven_count(self.fast) / seen_part(FAST_SPAN, counted);
-        let slow = proven_count(self.slow) / seen_part(HEAT_SPAN, counted);
-        fast.max(slow)
+    /// Returns a conservative estimate of the rate in requests per second that excludes random
+    /// fluctuations.
+    fn confident_rate(&self, observed: Duration) -> f64 {
+        let short =
+            confident_count(self.short_count) / effective_seconds(SHORT_RATE_WINDOW, observed);
+        let long = confident_count(self.long_count) / effective_seconds(RATE_WINDOW, observed);
+        short.max(long)
     }
 }
 
-/// What is left of a decayed count without its own scatter.
+/// Subtracts the expected random deviation from a decayed count.
 ///
-/// One of hundreds of daemons sees a rare prefix once in a long time. Taken for this daemon's part of the
-/// traffic, that one request would stand for hundreds.
-fn proven_count(count: f64) -> f64 {
-    // A count that decays evenly has half of its mean as its variance.
+/// One of hundreds of daemons rarely sees a given rare prefix. Extrapolated to all daemons, a
+/// single request would count as hundreds.
+fn confident_count(count: f64) -> f64 {
+    // The variance of an exponentially decayed count is half its mean.
     let deviation = (count / 2.0).sqrt();
-    (count - SCATTER * deviation).max(0.0)
+    (count - CONFIDENCE_DEVIATIONS * deviation).max(0.0)
 }
 
-/// Seconds of requests that a count with this span holds after `counted`: a daemon that has just started
-/// has not seen a whole span yet.
-fn seen_part(span: Duration, counted: Duration) -> f64 {
+/// Returns the seconds of requests that a decayed count covers after an observation time: a daemon
+/// that has just started has not observed a full time constant.
+fn effective_seconds(span: Duration, observed: Duration) -> f64 {
     let span = span.as_secs_f64();
-    let counted = counted.max(LEAST_COUNTED).as_secs_f64();
-    span * (1.0 - (-counted / span).exp())
+    let observed = observed.max(MIN_OBSERVATION).as_secs_f64();
+    span * (1.0 - (-observed / span).exp())
 }
 
-/// How often prefixes are asked for, so that hot ones get more homes.
+/// Request rates of prefixes, from which the number of affinity servers is derived.
 #[derive(Debug, Default)]
-pub struct HeatTable {
-    /// At most [`MAX_HEATS`].
-    heats: BTreeMap<u64, PrefixHeat>,
-    /// When the first request was counted.
+pub struct PrefixRateTable {
+    /// Holds at most [`MAX_TRACKED_PREFIXES`] entries.
+    rates: BTreeMap<u64, PrefixRate>,
+    /// When the first request was recorded.
     since: Option<Instant>,
 }
 
-impl HeatTable {
-    /// Counts a request for the prefix `hash`.
-    pub fn note(&mut self, now: Instant, hash: u64) {
+impl PrefixRateTable {
+    /// Records a request for the prefix `hash`.
+    pub fn record(&mut self, now: Instant, hash: u64) {
         self.since.get_or_insert(now);
-        if self.heats.len() >= MAX_HEATS && !self.heats.contains_key(&hash) {
-            self.cool(now);
+        if self.rates.len() >= MAX_TRACKED_PREFIXES && !self.rates.contains_key(&hash) {
+            self.evict_least_requested(now);
         }
-        let cold = PrefixHeat { slow: 0.0, fast: 0.0, at: now };
-        let heat = self.heats.entry(hash).or_insert(cold);
-        let PrefixHeat { slow, fast, at } = heat.at(now);
-        *heat = PrefixHeat { slow: slow + 1.0, fast: fast + 1.0, at };
+        let empty = PrefixRate { long_count: 0.0, short_count: 0.0, at: now };
+        let rate = self.rates.entry(hash).or_insert(empty);
+        let PrefixRate { long_count, short_count, at } = rate.at(now);
+        *rate = PrefixRate { long_count: long_count + 1.0, short_count: short_count + 1.0, at };
     }
 
-    /// Requests per second for the prefix `hash`, chance included.
+    /// Returns the mean rate of the prefix `hash` in requests per second, random fluctuations
+    /// included.
     pub fn mean_rate(&self, now: Instant, hash: u64) -> f64 {
-        self.heats.get(&hash).map_or(0.0, |heat| heat.at(now).mean_rate(self.counted(now)))
+        self.rates.get(&hash).map_or(0.0, |rate| rate.at(now).mean_rate(self.observed(now)))
     }
 
-    /// Requests per second for the prefix `hash` that are not by chance.
-    pub fn proven_rate(&self, now: Instant, hash: u64) -> f64 {
-        self.heats.get(&hash).map_or(0.0, |heat| heat.at(now).proven_rate(self.counted(now)))
+    /// Returns a conservative rate of the prefix `hash` in requests per second.
+    pub fn confident_rate(&self, now: Instant, hash: u64) -> f64 {
+        self.rates.get(&hash).map_or(0.0, |rate| rate.at(now).confident_rate(self.observed(now)))
     }
 
-    fn counted(&self, now: Instant) -> Duration {
+    fn observed(&self, now: Instant) -> Duration {
         self.since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
-    /// The hottest prefixes, hottest first.
+    /// Returns the prefixes with the highest request rates, highest first.
     pub fn hottest(&self, now: Instant, limit: usize) -> Vec<u64> {
-        let mut heats: Vec<(f64, u64)> = self
-            .heats
+        let mut rates: Vec<(f64, u64)> = self
+            .rates
             .iter()
-            .map(|(hash, heat)| (heat.at(now).slow, *hash))
-            .filter(|(heat, _)| *heat > 2.0)
+            .map(|(hash, rate)| (rate.at(now).long_count, *hash))
+            .filter(|(rate, _)| *rate > 2.0)
             .collect();
-        heats.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        heats.into_iter().take(limit).map(|(_, hash)| hash).collect()
+        rates.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+        rates.into_iter().take(limit).map(|(_, hash)| hash).collect()
     }
 
-    /// Forgets the colder half.
-    fn cool(&mut self, now: Instant) {
-        let mut values: Vec<f64> = self.heats.values().map(|heat| heat.at(now).slow).collect();
+    /// Evicts the less requested half.
+    fn evict_least_requested(&mut self, now: Instant) {
+        let mut values: Vec<f64> =
+            self.rates.values().map(|rate| rate.at(now).long_count).collect();
         values.sort_by(f64::total_cmp);
         let median = values[values.len() / 2];
-        self.heats.retain(|_, heat| heat.at(now).slow > median);
-        if self.heats.len() >= MAX_HEATS {
-            self.heats.clear();
+        self.rates.retain(|_, rate| rate.at(now).long_count > median);
+        if self.rates.len() >= MAX_TRACKED_PREFIXES {
+            self.rates.clear();
         }
     }
 }
 
-/// Speed at which prompt-keep delivers kept prefixes, in tokens per second, and its fixed time.
-/// Taken from the pieces of about four thousand tokens that it keeps; an import is chosen only
-/// where it is cheaper by [`IMPORT_GAIN`], so a somewhat slower keep does no harm.
+/// Transfer speed of prompt-keep servers in tokens per second and their fixed time in seconds, for
+/// blocks of about four thousand tokens. An import has to be cheaper by the factor [`IMPORT_GAIN`],
+/// which tolerates a somewhat slower server.
 const IMPORT_RATE: f64 = 40_000.0;
 const IMPORT_BASE: f64 = 0.05;
 const IMPORT_GAIN: f64 = 1.5;
 
-/// The level to import before prefill, if that is clearly cheaper than computing it.
+/// Returns the level to import before prefill and the seconds that it takes, if that is clearly
+/// cheaper than computing it.
 pub fn import_level(levels: &[PrefixLevel], hit: u32, rate: f64) -> Option<(PrefixLevel, f64)> {
     let level = levels.last().filter(|level| level.tokens > hit)?;
     let tokens = f64::from(level.tokens - hit);
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,13 +1,14 @@
-//! When, where and how often a request is sent again.
+//! Retry budgets and backoff.
 //!
-//! Load pattern: a server dies or a domain is cut off, and everything in flight there fails at once.
-//! Without it each failure is sent again at once, the survivors get the load twice, fail too, and
-//! the storm outlives its cause.
+//! When a server crashes or a failure domain is cut off, all requests in flight there fail at once.
+//! If each of them were retried immediately, the remaining servers would get the load twice and
+//! fail as well, and the retry storm would outlast its cause.
 //!
-//! Retries are paid from budgets that first sends fill: one for the daemon, one for each
-//! organisation. At a tenth of the sends, amplification cannot pass 1.1 in the long run whatever
-//! fails; the reserve covers one server's crash at a quiet time. What must not run twice has no
-//! retry at all: see [`super::dispatcher::lifecycle`].
+//! Retries are paid from budgets that first sends fill: one for the daemon and one for each
+//! organisation. With a tenth of a retry earned per first send, the long-term amplification is at
+//! most 1.1, whatever fails. The reserve covers the crash of one server under low load.
+//! Non-repeatable requests that may have run are never retried: see
+//! [`super::dispatcher::lifecycle`].
 
 use {
     super::{AttemptFailure, RetryReason},
@@ -18,34 +19,34 @@
     },
 };
 
-/// Retries that one first send pays for.
+/// Retries earned by one first send.
 const RETRIES_PER_SEND: f64 = 0.1;
 
-/// Retries that a daemon may have saved: what a few servers have in flight when they crash.
+/// Maximum unused retries of a daemon, enough for the requests in flight on a few crashing servers.
 const DAEMON_RESERVE: f64 = 48.0;
 
-/// Retries that one organisation may have saved: its part of such a crash.
+/// Maximum unused retries of one organisation, its share of such a crash.
 const ORGANISATION_RESERVE: f64 = 12.0;
 
-/// Organisations with a budget of their own. Beyond it the least is forgotten, and starts anew
-/// with a full reserve; the daemon's budget still binds.
+/// Organisations with a budget of their own. Beyond this limit, one is evicted and starts again
+/// with a full reserve; the daemon's budget still applies.
 const MAX_BUDGETS: usize = 4_096;
 
-/// Tries of one request in all.
+/// Maximum number of times one request is sent.
 pub const MAX_TRIES: u32 = 4;
 
-/// The pause before a second retry; the first one goes at once, to another server.
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+/// Delay before the second retry. The first retry is immediate and goes to another server.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The longest pause.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(2);
+/// Maximum delay before a retry.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// A budget that first sends fill and retries use up.
+/// A token bucket that first sends fill and retries drain.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// Retries that may be made now; between 0 and `reserve`.
+    /// Available retries, between 0 and `reserve`.
     balance: f64,
-    /// The most that can be saved.
+    /// Maximum balance.
     reserve: f64,
 }
 
@@ -68,53 +69,53 @@
     }
 }
 
-/// The budgets of one daemon.
+/// The retry budgets of one daemon.
 #[derive(Debug)]
-pub struct BudgetBook {
+pub struct RetryBudgets {
     daemon: RetryBudget,
-    /// At most [`MAX_BUDGETS`].
+    /// Budgets below their reserve; at most [`MAX_BUDGETS`].
     organisations: BTreeMap<OrganisationId, RetryBudget>,
-    /// Whether operators bound the retries of all daemons together.
-    shared_bound: bool,
+    /// Whether operators limit the retries of all daemons together.
+    has_fleet_limit: bool,
 }
 
-impl Default for BudgetBook {
+impl Default for RetryBudgets {
     fn default() -> Self {
-        BudgetBook {
+        RetryBudgets {
             daemon: RetryBudget::new(DAEMON_RESERVE),
             organisations: BTreeMap::new(),
-            shared_bound: false,
+            has_fleet_limit: false,
         }
     }
 }
 
-impl BudgetBook {
-    /// Bounds what this daemon may save up. Where operators allow so many retries in a span of time
-    /// for all daemons together, each may save its part; more would let a crash that all of them
-    /// see at once pass the bound many times over.
-    pub fn bound_reserve(&mut self, retries: f64) {
+impl RetryBudgets {
+    /// Limits the reserve of this daemon. If operators limit the retries of all daemons together in
+    /// a time span, each daemon gets its part. A larger reserve would let a crash that all daemons
+    /// see at once exceed that limit many times over.
+    pub fn limit_reserve(&mut self, retries: f64) {
         self.daemon.resize(retries);
-        self.shared_bound = true;
+        self.has_fleet_limit = true;
     }
 
-    /// Whether every retry has to be paid for, those of status calls included.
+    /// Returns whether retries of status calls need budget, too.
     pub fn is_strict(&self) -> bool {
-        self.shared_bound
+        self.has_fleet_limit
     }
 
-    /// Notes a first send.
+    /// Credits the budgets for a first send.
     pub fn deposit(&mut self, organisation: &OrganisationId) {
         self.daemon.deposit();
         if let Some(budget) = self.organisations.get_mut(organisation) {
             budget.deposit();
-            // A full budget is the same as none.
+            // A full budget is equivalent to no entry.
             if budget.balance >= budget.reserve {
                 self.organisations.remove(organisation);
             }
         }
     }
 
-    /// Pays for one retry if both budgets cover it.
+    /// Charges one retry if both budgets cover it, and returns whether they do.
     pub fn withdraw(&mut self, organisation: &OrganisationId) -> bool {
         let saved = self.organisations.get(organisation);
         if !self.daemon.covers() || saved.is_some_and(|budget| !budget.covers()) {
@@ -132,17 +133,20 @@
     }
 }
 
-/// When a retry after `tries` sends may go, with `chance` in 0 to 1 spreading it.
-pub fn retry_at(now: Instant, tries: u32, asked: Option<Duration>, chance: f64) -> Instant {
+/// Returns the earliest time of a retry after `tries` sends. The backoff is jittered by `chance`, a
+/// random number from 0 to 1, and extended to the delay `requested` by the server, up to the
+/// maximum.
+pub fn retry_at(now: Instant, tries: u32, requested: Option<Duration>, chance: f64) -> Instant {
     let backoff = match tries {
         0 | 1 => Duration::ZERO,
-        more => FIRST_BACKOFF.saturating_mul(1 << (more - 2).min(8)).min(LONGEST_BACKOFF),
+        more => MIN_BACKOFF.saturating_mul(1 << (more - 2).min(8)).min(MAX_BACKOFF),
     };
-    let asked = asked.map_or(Duration::ZERO, |pause| pause.min(LONGEST_BACKOFF));
-    now + backoff.mul_f64(0.5 + chance / 2.0).max(asked)
+    let requested = requested.map_or(Duration::ZERO, |pause| pause.min(MAX_BACKOFF));
+    now + backoff.mul_f64(0.5 + chance / 2.0).max(requested)
 }
 
-/// The counter under which a retry after `failure` goes; `None` where it is never retried.
+/// Returns the reason under which a retry after `failure` is counted; `None` if it is never
+/// retried.
 pub fn reason_of(failure: AttemptFailure, relayed: u32) -> Option<RetryReason> {
     match failure {
         AttemptFailure::CallerError => None,
--- a/src/policy/rollout.rs
+++ b/src/policy/rollout.rs
@@ -1,33 +1,33 @@
-//! The order in which backend servers load new weights.
+//! Schedules the loading of new weights on backend servers.
 //!
-//! Load pattern: operators change the weights of a model while its servers are busy. Without it all
-//! servers load at once: the weight store, which serves only a few loads at full rate, slows each of
-//! them, and for that time nobody serves the model.
+//! If all servers of a model loaded new weights at once, the weight store, which sustains only a
+//! few loads at full rate, would slow down every load, and no server would serve the model
+//! meanwhile.
 //!
-//! At most as many loads run as the rule allows. A server that serves is
-//! drained first, provided that others can take its work meanwhile; idle servers come first, since
-//! they need no draining, and a server without any weights comes before all, since it serves
-//! nobody. Pure: given what is wanted and what is seen, it says what may happen next.
+//! At most as many loads run at once as the configured limit allows. A serving server is drained
+//! first if others can take its requests. Servers without weights load first, since they serve no
+//! requests, and idle servers load before busy ones, since they need no draining. This module only
+//! computes the next step from the desired and the observed state.
 
 use {
     crate::ids::{ServerId, WeightsVersion},
     std::collections::BTreeMap,
 };
 
-/// One server of one model, as a rollout sees it.
+/// State of one server of one model in a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutServer {
-    /// The version wanted there.
+    /// The version that it has to load.
     pub desired: WeightsVersion,
-    /// The version it reports, if any.
+    /// The version that it reports, if any.
     pub observed: Option<WeightsVersion>,
-    /// Whether an order to load is on its way or being carried out.
+    /// Whether a load order has been issued and has not been completed.
     pub loading: bool,
-    /// Whether it takes no new work so that it may load.
+    /// Whether it gets no new requests because it is about to load.
     pub draining: bool,
-    /// Whether it answers.
+    /// Whether it responds to health checks.
     pub alive: bool,
-    /// Requests in flight there, of all daemons as far as known.
+    /// Requests in flight there, from all daemons as far as known.
     pub in_flight: u32,
 }
 
@@ -36,9 +36,10 @@
         self.observed.as_ref() == Some(&self.desired)
     }
 
-    /// Where versions are numbers, the oldest goes first: versions named every few seconds would
-    /// otherwise let the same quick servers load each of them, while a busy one stays on the first.
-    fn age_rank(&self) -> u64 {
+    /// Orders numeric versions so that the oldest loads first. Otherwise, versions named every few
+    /// seconds would be loaded by the same idle servers each time, while a busy one keeps its first
+    /// version.
+    fn version_rank(&self) -> u64 {
         self.observed.as_ref().and_then(|version| version.parse().ok()).unwrap_or_default()
     }
 
@@ -47,27 +48,28 @@
     }
 }
 
-/// What a rollout may do next.
+/// The next actions of a rollout.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RolloutStep {
-    /// Servers to give no new work from now on.
+    /// Servers that must get no new requests from now on.
     pub drain: Vec<ServerId>,
-    /// Servers to order to load now.
+    /// Servers that have to load now.
     pub load: Vec<ServerId>,
 }
 
-/// The next step towards the desired weights with at most `limit` servers loading or draining.
+/// Returns the next step towards the desired weights with at most `limit` servers loading or
+/// draining.
 ///
-/// A server is loaded when nothing is in flight there, or when no other can serve the model, since
-/// waiting for a drain would then hold callers back without sparing any. The last serving server
-/// is never drained while another is on its way.
+/// A server loads once no requests are in flight there, or if no other server can serve the model,
+/// since waiting for it to drain would then only delay callers. The last serving server is never
+/// drained while another one is loading or draining.
 pub fn next_step(servers: &BTreeMap<ServerId, RolloutServer>, limit: u32) -> RolloutStep {
     let mut step = RolloutStep::default();
     let mut serving = servers.values().filter(|server| server.serves()).count();
     let mut busy = servers.values().filter(|server| server.loading || server.draining).count();
     let mut loading = servers.values().filter(|server| server.loading).count();
     let limit = limit.max(1) as usize;
-    for (id, server) in waiting(servers) {
+    for (id, server) in outdated_servers(servers) {
         if server.draining {
             let alone = serving == 0 && loading == 0;
             if loading < limit && (server.in_flight == 0 || alone) {
@@ -92,15 +94,17 @@
     step
 }
 
-/// Live servers whose weights are not the desired ones, in the order in which they take turns.
-fn waiting(servers: &BTreeMap<ServerId, RolloutServer>) -> Vec<(&ServerId, &RolloutServer)> {
-    let mut waiting: Vec<_> = servers
+/// Returns the responding servers without the desired weights, in the order in which they load.
+fn outdated_servers(
+    servers: &BTreeMap<ServerId, RolloutServer>,
+) -> Vec<(&ServerId, &RolloutServer)> {
+    let mut outdated: Vec<_> = servers
         .iter()
         .filter(|(_, server)| server.alive && !server.loading && !server.is_current())
         .collect();
-    waiting.sort_by_key(|(id, server)| {
-        let place = (server.observed.is_some(), server.age_rank(), server.in_flight);
-        (!server.draining, place, (*id).clone())
+    outdated.sort_by_key(|(id, server)| {
+        let rank = (server.observed.is_some(), server.version_rank(), server.in_flight);
+        (!server.draining, rank, (*id).clone())
     });
-    waiting
+    outdated
 }
--- a/src/policy/safeguard.rs
+++ b/src/policy/safeguard.rs
@@ -1,16 +1,16 @@
-//! The policy's mechanisms by name, and the setting that switches some of them off.
+//! Names of the policy's mechanisms, and the setting that disables some of them.
 
 use {
     displaydoc::Display,
     std::{collections::BTreeSet, fmt, str::FromStr},
 };
 
-/// One mechanism of the policy that can be switched off, to show what happens without it.
+/// A mechanism of the policy that can be disabled to show its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicySafeguard {
-    /// Refusal at once of what cannot make its deadline.
+    /// Immediate refusal of requests whose deadline cannot be met.
     Admission,
-    /// Turns by tokens served instead of by arrival.
+    /// Service order by tokens served instead of by arrival.
     Fairness,
     /// Budgets for retries.
     RetryBudget,
@@ -18,28 +18,29 @@
     Outlier,
     /// Isolation of requests that crash servers.
     Suspect,
-    /// Windows that keep the queue here.
+    /// Concurrency windows, which keep requests queued in the daemon.
     Window,
-    /// Urgent classes and short prompts first inside the engines.
+    /// Priority of urgent classes and short prompts inside the engines.
     LongJobs,
-    /// More servers than one for a prefix: more homes as it heats, and straying from full ones.
+    /// More than one server for a prefix: affinity servers in proportion to its request rate, and
+    /// spillover when they are full.
     PrefixReplication,
-    /// Counting answers that are overdue against a server.
+    /// Overdue answers as part of a server's predicted first-token time.
     Overdue,
-    /// Trust in a held prefix only under the same life and weights of its server.
+    /// Cache hits only under the same incarnation and weights of the server.
     CacheIdentity,
-    /// Sending only to failure domains that can be reached.
+    /// Sending only to reachable failure domains.
     Reachability,
-    /// What other daemons tell.
+    /// Digests exchanged with other daemons.
     Digests,
-    /// Prefixes that an engine fetches from another one.
+    /// Fetching of cached prefixes from other engines.
     PeerFetch,
-    /// Long shared prefixes in the engines' common store.
+    /// Long shared prefixes in the engines' shared KV cache store.
     CacheStore,
 }
 
 impl PolicySafeguard {
-    /// All of them.
+    /// All mechanisms, in order of declaration.
     pub const ALL: [PolicySafeguard; 14] = [
         PolicySafeguard::Admission,
         PolicySafeguard::Fairness,
@@ -57,7 +58,7 @@
         PolicySafeguard::CacheStore,
     ];
 
-    /// The name used in settings and logs.
+    /// Returns the name used in settings and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             PolicySafeguard::Admission => "admission",
@@ -78,22 +79,22 @@
     }
 }
 
-/// Safeguards that are switched off; as text, their names with commas between them.
+/// The disabled safeguards. The text form is a comma-separated list of names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SafeguardSet(BTreeSet<PolicySafeguard>);
 
 impl SafeguardSet {
-    /// Whether it is in the set.
+    /// Returns whether `safeguard` is disabled.
     pub fn contains(&self, safeguard: PolicySafeguard) -> bool {
         self.0.contains(&safeguard)
     }
 
-    /// Whether all safeguards are on.
+    /// Returns whether all safeguards are enabled.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Warns that some are off: whoever reads a log must not take such a run for a usual one.
+    /// Logs a warning if some are disabled, so that such a run is not mistaken for a regular one.
     pub fn warn_if_any(&self) {
         if !self.is_empty() {
             log::warn!("policy safeguards are switched off: {self}");
@@ -134,14 +135,14 @@
     safeguards.into_iter().map(PolicySafeguard::as_str).collect::<Vec<_>>().join(",")
 }
 
-/// Why a list of safeguards cannot be used.
+/// Why a list of safeguards is invalid.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum SafeguardError {
-    /// no safeguard is called "{name}"; give some of {known}, with commas between them
+    /// unknown policy safeguard "{name}"; use a comma-separated list of {known}
     Unknown {
-        /// The name given.
+        /// The unknown name.
         name: String,
-        /// All names there are.
+        /// All valid names.
         known: String,
     },
 }
