--- a/src/policy/suspect.rs
+++ b/src/policy/suspect.rs
@@ -1,15 +1,15 @@
 //! Isolates requests that crash backend servers.
 //!
-//! Load pattern: now and then one request crashes each server that runs it, and its caller (or a
-//! retry) sends it again. Without it each resend costs one more server and everything that was in
-//! flight there, until the group is empty.
+//! A request that crashes the server running it is usually sent again, by its caller or by a retry.
+//! Without isolation, each resend takes down another server together with all requests in flight
+//! there.
 //!
-//! A request in flight at a crash gets a strike by its fingerprint, which is the same for each
-//! resend. A fingerprint with strikes runs only beside no other suspect, and once at a time, so a
-//! second crash tells which one it was; at two strikes it is refused at once. Innocents lose their
-//! strikes when they finish. If a broken connection turns out to be none of a crash, since the
-//! server shows the same life again, the strikes it gave are taken back. The price of one bad
-//! request is two servers for the daemons that share digests.
+//! Each request in flight at a crash is recorded by its fingerprint, which is the same for every
+//! resend. A recorded fingerprint runs on a server only while no other recorded one runs there, and
+//! only one request with it runs at a time, so that a second crash identifies it; after two crashes
+//! it is refused. A fingerprint is cleared once a request with it completes. If a broken connection
+//! turns out not to be a crash, because the server reports the same incarnation again, the crash is
+//! retracted. Daemons that exchange digests lose at most two servers to one request.
 
 use {
     super::prefix::ServerIndex,
@@ -20,136 +20,142 @@
     },
 };
 
-/// Crashes after which a fingerprint is refused. One is not enough, since up to a server's slots
-/// of innocents are in flight at each crash; the second one is met beside no other suspect.
-pub const STRIKES_TO_REFUSE: u32 = 2;
+/// Crashes after which a fingerprint is refused. One crash is not sufficient evidence, since other
+/// requests are in flight at the same time, up to the server's slots. The second crash happens
+/// while no other recorded fingerprint runs on the server.
+pub const CRASHES_TO_REFUSE: u32 = 2;
 
-/// Fingerprints remembered; beyond it the one with the oldest strike is forgotten.
+/// Maximum number of fingerprints; the one with the oldest crash is evicted first.
 const MAX_SUSPECTS: usize = 1_024;
 
-/// Suspects told to other daemons at once, as the digest's bound says.
-pub const MAX_SHARED: usize = 64;
+/// Maximum number of fingerprints in a digest.
+pub const MAX_PUBLISHED: usize = 64;
 
-/// Strikes of our own finding are kept this long: callers give up sending again within minutes.
-const OWN_LIFE: Duration = Duration::from_secs(600);
+/// Retention of crashes seen by this daemon. Callers stop resending within minutes.
+const OWN_RETENTION: Duration = Duration::from_secs(600);
 
-/// Strikes below the limit heard from another daemon are kept this long after it last named them,
-/// which it does with every digest until the request is cleared.
-const HEARD_LIFE: Duration = Duration::from_secs(3);
+/// Retention of crash counts below the limit that another daemon reported. It repeats them in every
+/// digest until the fingerprint is cleared.
+const PEER_RETENTION: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Debug)]
 struct SuspectRecord {
-    /// Strikes of our own finding, with the server's life; one for each crash.
+    /// Crashes seen by this daemon, as server and incarnation; one entry for each crash.
     crashes: Vec<(ServerIndex, Option<Incarnation>)>,
-    /// When the last of them was found.
-    struck_at: Option<Instant>,
-    /// Strikes another daemon told of, and when.
-    heard: Option<(u32, Instant)>,
+    /// When the last of them was recorded.
+    last_crash_at: Option<Instant>,
+    /// Crash count reported by another daemon, and when.
+    peer_report: Option<(u32, Instant)>,
 }
 
 impl SuspectRecord {
-    fn strikes(&self, now: Instant) -> u32 {
-        let own = match self.struck_at {
-            Some(at) if now.saturating_duration_since(at) < OWN_LIFE => self.crashes.len() as u32,
+    fn crash_count(&self, now: Instant) -> u32 {
+        let own = match self.last_crash_at {
+            Some(at) if now.saturating_duration_since(at) < OWN_RETENTION => {
+                self.crashes.len() as u32
+            }
             _ => 0,
         };
-        let heard = match self.heard {
-            Some((strikes, at)) => {
-                let life = if strikes >= STRIKES_TO_REFUSE { OWN_LIFE } else { HEARD_LIFE };
-                if now.saturating_duration_since(at) < life { strikes } else { 0 }
+        let peer_report = match self.peer_report {
+            Some((crash_count, at)) => {
+                let retention =
+                    if crash_count >= CRASHES_TO_REFUSE { OWN_RETENTION } else { PEER_RETENTION };
+                if now.saturating_duration_since(at) < retention { crash_count } else { 0 }
             }
             None => 0,
         };
-        own.max(heard)
+        own.max(peer_report)
     }
 }
 
-/// Fingerprints of requests that were in flight at crashes.
+/// Fingerprints of requests that were in flight when a server crashed.
 #[derive(Debug, Default)]
 pub struct SuspectList {
-    /// At most [`MAX_SUSPECTS`].
+    /// Holds at most [`MAX_SUSPECTS`] entries.
     records: BTreeMap<u64, SuspectRecord>,
 }
 
 impl SuspectList {
-    /// Strikes counted against a fingerprint.
-    pub fn strikes(&self, now: Instant, fingerprint: u64) -> u32 {
-        self.records.get(&fingerprint).map_or(0, |record| record.strikes(now))
+    /// Returns the number of crashes recorded for a fingerprint.
+    pub fn crash_count(&self, now: Instant, fingerprint: u64) -> u32 {
+        self.records.get(&fingerprint).map_or(0, |record| record.crash_count(now))
     }
 
-    /// Notes that a request was in flight when `server` seemed to crash.
-    pub fn strike(
+    /// Records that a request was in flight when `server` appeared to crash.
+    pub fn record_crash(
         &mut self,
         now: Instant,
         fingerprint: u64,
         server: ServerIndex,
-        life: Option<Incarnation>,
+        incarnation: Option<Incarnation>,
     ) {
         self.make_room(fingerprint);
         let record = self.records.entry(fingerprint).or_insert_with(|| SuspectRecord {
             crashes: Vec::new(),
-            struck_at: None,
-            heard: None,
+            last_crash_at: None,
+            peer_report: None,
         });
-        if record.crashes.contains(&(server, life)) || record.crashes.len() >= 8 {
+        if record.crashes.contains(&(server, incarnation)) || record.crashes.len() >= 8 {
             return;
         }
-        // Another daemon's strikes were for other crashes than this one, which only we saw.
-        if let Some((strikes, _)) = record.heard {
-            while (record.crashes.len() as u32) < strikes.min(STRIKES_TO_REFUSE) {
+        // Crashes reported by another daemon differ from this one, which only this daemon saw.
+        if let Some((crash_count, _)) = record.peer_report {
+            while (record.crashes.len() as u32) < crash_count.min(CRASHES_TO_REFUSE) {
                 record.crashes.push((ServerIndex::MAX, None));
             }
         }
-        record.crashes.push((server, life));
-        record.struck_at = Some(now);
+        record.crashes.push((server, incarnation));
+        record.last_crash_at = Some(now);
     }
 
-    /// Takes strikes back: `server` shows the same life as when its connections broke.
-    pub fn acquit_life(&mut self, server: ServerIndex, life: Incarnation) {
+    /// Removes the crashes of `server` with this incarnation: it still runs, so it did not crash.
+    pub fn retract_crash(&mut self, server: ServerIndex, incarnation: Incarnation) {
         for record in self.records.values_mut() {
-            record.crashes.retain(|crash| *crash != (server, Some(life)));
+            record.crashes.retain(|crash| *crash != (server, Some(incarnation)));
         }
-        self.records.retain(|_, record| !record.crashes.is_empty() || record.heard.is_some());
+        self.records.retain(|_, record| !record.crashes.is_empty() || record.peer_report.is_some());
     }
 
-    /// Clears a fingerprint: a request with it ran whole.
+    /// Removes a fingerprint after a request with it completed.
     pub fn clear(&mut self, fingerprint: u64) {
         self.records.remove(&fingerprint);
     }
 
-    /// Takes over what another daemon tells.
-    pub fn hear(&mut self, now: Instant, told: &[(u64, u32)]) {
-        for (fingerprint, strikes) in told.iter().take(MAX_SHARED) {
+    /// Merges crash counts reported by another daemon.
+    pub fn merge_peer_report(&mut self, now: Instant, reported: &[(u64, u32)]) {
+        for (fingerprint, crash_count) in reported.iter().take(MAX_PUBLISHED) {
             self.make_room(*fingerprint);
             let record = self.records.entry(*fingerprint).or_insert_with(|| SuspectRecord {
                 crashes: Vec::new(),
-                struck_at: None,
-                heard: None,
+                last_crash_at: None,
+                peer_report: None,
+            });
+            let stronger = record.peer_report.filter(|(before, _)| {
+                *before >= CRASHES_TO_REFUSE && *crash_count < CRASHES_TO_REFUSE
             });
-            let stands = record
-                .heard
-                .filter(|(before, _)| *before >= STRIKES_TO_REFUSE && *strikes < STRIKES_TO_REFUSE);
-            if stands.is_none() {
-                record.heard = Some((*strikes, now));
+            if stronger.is_none() {
+                record.peer_report = Some((*crash_count, now));
             }
         }
     }
 
-    /// What to tell other daemons: the fingerprints struck here, the most strikes first.
-    pub fn shared(&self, now: Instant) -> Vec<(u64, u32)> {
-        let mut shared: Vec<(u64, u32)> = self
+    /// Returns the fingerprints with crashes seen by this daemon, highest count first, for digests.
+    pub fn published(&self, now: Instant) -> Vec<(u64, u32)> {
+        let mut published: Vec<(u64, u32)> = self
             .records
             .iter()
-            .filter(|(_, record)| record.struck_at.is_some() && !record.crashes.is_empty())
-            .map(|(fingerprint, record)| (*fingerprint, record.strikes(now)))
-            .filter(|(_, strikes)| *strikes > 0)
+            .filter(|(_, record)| record.last_crash_at.is_some() && !record.crashes.is_empty())
+            .map(|(fingerprint, record)| (*fingerprint, record.crash_count(now)))
+            .filter(|(_, crash_count)| *crash_count > 0)
             .collect();
-        shared.sort_by_key(|(fingerprint, strikes)| (std::cmp::Reverse(*strikes), *fingerprint));
-        shared.truncate(MAX_SHARED);
-        shared
+        published.sort_by_key(|(fingerprint, crash_count)| {
+            (std::cmp::Reverse(*crash_count), *fingerprint)
+        });
+        published.truncate(MAX_PUBLISHED);
+        published
     }
 
-    /// Whether nobody is suspected.
+    /// Returns whether no fingerprint is recorded.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -158,7 +164,8 @@
         if self.records.len() < MAX_SUSPECTS || self.records.contains_key(&fingerprint) {
             return;
         }
-        let at = |record: &SuspectRecord| record.struck_at.max(record.heard.map(|(_, at)| at));
+        let at =
+            |record: &SuspectRecord| record.last_crash_at.max(record.peer_report.map(|(_, at)| at));
         let oldest = self.records.iter().min_by_key(|(_, record)| at(record));
         if let Some(oldest) = oldest.map(|(fingerprint, _)| *fingerprint) {
             self.records.remove(&oldest);
--- a/tests/prefix_levels.rs
+++ b/tests/prefix_levels.rs
@@ -1,9 +1,9 @@
-//! Prefix levels keep organisations, models and adapters apart, and holdings end with the life and
-//! the weights that they were learned under.
+//! Prefix levels separate organisations, models and adapters, and expected hits end with the
+//! incarnation and the weights under which they were recorded.
 
 use {
     oleandermount::policy::prefix::{
-        CacheKnowledge, HoldingTable, MAX_LEVELS, PromptSegment, cache_salt, levels,
+        MAX_LEVELS, PrefixTable, PromptSegment, ServerCacheState, cache_salt, levels,
     },
     std::collections::BTreeSet,
 };
@@ -12,20 +12,20 @@
     (0..count).map(|index| format!("message {index}")).collect()
 }
 
-fn cut(texts: &[String]) -> Vec<PromptSegment<'_>> {
+fn prompt_segments(texts: &[String]) -> Vec<PromptSegment<'_>> {
     texts.iter().map(|text| PromptSegment { bytes: text.as_bytes(), tokens: 100 }).collect()
 }
 
 #[test]
-fn borders_change_every_level() {
+fn boundaries_change_every_level() {
     let texts = segments(3);
-    let cut = cut(&texts);
+    let prompt = prompt_segments(&texts);
     let lists = [
-        levels("naran", "m", None, &cut),
-        levels("saran", "m", None, &cut),
-        levels("naran", "n", None, &cut),
-        levels("naran", "m", Some("a"), &cut),
-        levels("naranm", "", None, &cut),
+        levels("naran", "m", None, &prompt),
+        levels("saran", "m", None, &prompt),
+        levels("naran", "n", None, &prompt),
+        levels("naran", "m", Some("a"), &prompt),
+        levels("naranm", "", None, &prompt),
     ];
     let hashes: BTreeSet<u64> = lists.iter().flatten().map(|level| level.hash).collect();
     assert_eq!(hashes.len(), lists.len() * texts.len());
@@ -34,11 +34,11 @@
 }
 
 #[test]
-fn longer_conversations_keep_levels() {
+fn longer_conversations_share_levels() {
     let texts = segments(500);
     for count in [1, 2, 40, 63, 64, 65, 130, 499] {
-        let short = levels("naran", "m", None, &cut(&texts[..count]));
-        let long = levels("naran", "m", None, &cut(&texts[..count + 1]));
+        let short = levels("naran", "m", None, &prompt_segments(&texts[..count]));
+        let long = levels("naran", "m", None, &prompt_segments(&texts[..count + 1]));
         assert!(short.len() <= MAX_LEVELS && long.len() <= MAX_LEVELS);
         assert_eq!(short.last().map(|level| level.tokens), Some(100 * count as u32));
         let shared = long.iter().rev().find(|level| short.contains(level));
@@ -47,45 +47,44 @@
     }
 }
 
-/// The caller sees its answer computed afresh, not quickly and wrongly. A server restarts, or loads
-/// other weights; what it held before is gone, so no hit may be expected, nor may it come back
-/// when the old number is reported once more.
+/// After a server restarts or loads other weights, its former cache contents are gone. No hit may
+/// be expected, not even when the former incarnation is reported again.
 #[test]
-fn holdings_end_with_life_and_weights() {
+fn hits_end_with_incarnation_and_weights() {
     let texts = segments(2);
-    let list = levels("naran", "m", None, &cut(&texts));
-    let mut table = HoldingTable::new(100);
-    let mut cache = CacheKnowledge::default();
-    let hit = |table: &HoldingTable, cache: &CacheKnowledge| {
-        table.hits(&list, 4, |holding| cache.holds(holding)).first().map(|(_, tokens)| *tokens)
+    let list = levels("naran", "m", None, &prompt_segments(&texts));
+    let mut table = PrefixTable::new(100);
+    let mut cache = ServerCacheState::default();
+    let hit = |table: &PrefixTable, cache: &ServerCacheState| {
+        table.hits(&list, 4, |holder| cache.holds(holder)).first().map(|(_, tokens)| *tokens)
     };
-    assert!(!cache.counts_for("m", None), "an unknown life holds nothing");
-    cache.note_incarnation(Some(1));
-    assert!(!cache.counts_for("m", None), "unknown weights hold nothing");
+    assert!(!cache.allows_hits_for("m", None), "an unknown incarnation allows no hits");
+    cache.record_incarnation(Some(1));
+    assert!(!cache.allows_hits_for("m", None), "unknown weights allow no hits");
     let weights = |version: &str| [("m".to_owned(), version.to_owned())].into();
-    cache.note_weights(&weights("w1"));
-    table.note(&list, 0, &cache);
+    cache.record_weights(&weights("w1"));
+    table.record(&list, 0, &cache);
     assert_eq!(hit(&table, &cache), Some(200));
-    assert!(!cache.counts_for("m", Some(&"w2".to_owned())), "other weights are wanted");
-    cache.note_weights(&weights("w2"));
+    assert!(!cache.allows_hits_for("m", Some(&"w2".to_owned())), "other weights are desired");
+    cache.record_weights(&weights("w2"));
     assert_eq!(hit(&table, &cache), None);
-    table.note(&list, 0, &cache);
-    cache.note_incarnation(Some(2));
-    cache.note_weights(&weights("w2"));
+    table.record(&list, 0, &cache);
+    cache.record_incarnation(Some(2));
+    cache.record_weights(&weights("w2"));
     assert_eq!(hit(&table, &cache), None);
-    cache.note_incarnation(Some(1));
-    cache.note_weights(&weights("w2"));
+    cache.record_incarnation(Some(1));
+    cache.record_weights(&weights("w2"));
     assert_eq!(hit(&table, &cache), None);
 }
 
 #[test]
 fn table_stays_bounded() {
-    let mut table = HoldingTable::new(64);
-    let mut cache = CacheKnowledge::default();
-    cache.note_incarnation(Some(1));
+    let mut table = PrefixTable::new(64);
+    let mut cache = ServerCacheState::default();
+    cache.record_incarnation(Some(1));
     for hash in 0..1_000 {
-        table.note_hash(hash, hash as usize % 40, &cache);
-        table.note_hash(7, hash as usize % 40, &cache);
+        table.record_hash(hash, hash as usize % 40, &cache);
+        table.record_hash(7, hash as usize % 40, &cache);
     }
     assert_eq!(table.len(), 64);
     assert!(table.knows(7) && !table.knows(8));
