--- a/tests/listed_server.rs
+++ b/tests/atomic_inputs.rs
@@ -1,9 +1,9 @@
-//! A server is listed together with the word that it must get no work.
+//! A configuration and the health of a newly listed server are handled atomically.
 //!
-//! What callers saw without it: an answer of weights that operators had replaced long before. Order of
-//! events: a server that was away comes back on its former weights and is listed anew; the view that
-//! lists it says as well that it must get nothing; a request that waits is placed between the two, and
-//! the new server is the only idle one.
+//! Guards against answers from weights that operators had replaced. A server that was away returns
+//! with its former weights and is listed again, together with the report that it must get no
+//! requests. A waiting request must not be placed between the two inputs, although the new server
+//! is the only idle one.
 
 use {
     oleandermount::{
@@ -39,7 +39,7 @@
     }))
 }
 
-fn booking(number: u32, now: Instant) -> PolicyInput {
+fn non_repeatable_call(number: u32, now: Instant) -> PolicyInput {
     PolicyInput::Arrive(RequestTicket {
         request: format!("r{number}"),
         organisation: "naran".to_owned(),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn nothing_between_list_and_health() {
+fn inputs_are_handled_atomically() {
     let now = Instant::now();
     let mut dispatcher = Dispatcher::new(DispatcherSettings {
         daemon: "vm-0".to_owned(),
@@ -71,13 +71,13 @@
     dispatcher.handle(now, view(&["old"]));
     let mut sent = 0;
     for number in 0..20 {
-        sent += sends(dispatcher.handle(now, booking(number, now))).len();
+        sent += sends(dispatcher.handle(now, non_repeatable_call(number, now))).len();
     }
-    assert!(sent < 20, "some of them wait");
+    assert!(sent < 20, "some requests wait");
     let leaving = PolicyInput::Health { server: "new".to_owned(), health: ServerHealth::Leaving };
     let orders = sends(dispatcher.handle_all(now, [view(&["new", "old"]), leaving]));
     assert_eq!(orders.iter().filter(|order| order.server == "new").count(), 0, "{orders:?}");
-    // The same as two inputs shows what the waiting requests would do.
+    // The waiting requests go to the new server once it is reported as alive.
     let alive = ServerHealth::Alive { incarnation: 1 };
     let health = PolicyInput::Health { server: "new".to_owned(), health: alive };
     assert!(sends(dispatcher.handle(now, health)).iter().any(|order| order.server == "new"));
--- a/tests/burst_arrivals.rs
+++ b/tests/burst_arrivals.rs
@@ -1,4 +1,4 @@
-//! A burst of three times what the site can serve.
+//! Bursts of three times the capacity of a site.
 
 #[path = "../examples/policy_report/harness.rs"]
 mod harness;
@@ -12,24 +12,24 @@
 
 const LENGTH: Duration = Duration::from_secs(50);
 
-/// What chat callers have to get over the whole run.
+/// Required goodput of chat requests over the whole run.
 const GOODPUT: f64 = 0.99;
 
-/// Three times in a run, for two seconds, three times as much arrives as the site can serve. Nearly
-/// all chat callers get their answer in time, since chats go before long prompts and each goes where
-/// its first token comes soonest. In a plain router by prefix hash, the burst stands before the few
-/// engines that it hits hardest, and chats wait behind long prompts.
+/// Three bursts of two seconds each exceed the capacity threefold. Chat requests still meet their
+/// deadlines, since chats precede long prompts and each goes to the server with the earliest
+/// predicted first token. A router by prefix hash queues the burst at the few engines that it hits
+/// hardest, and chats wait behind long prompts.
 #[test]
-fn burst_is_absorbed() {
+fn chats_meet_deadlines_during_bursts() {
     let plain = PolicyName::Plain(PlainRule::PrefixHash);
     for seed in [1, 2, 3] {
         let run = |policy: PolicyName| {
             let scene = LoadName::Burst.scene(SiteName::Tuul, seed, LENGTH);
             policy.run(scene, seed).figures(INTERACTIVE).goodput()
         };
-        let (own, bare) = (run(PolicyName::Chosen), run(plain));
-        println!("seed {seed}: goodput {own}, plain {bare}");
+        let (own, baseline) = (run(PolicyName::Chosen), run(plain));
+        println!("seed {seed}: goodput {own}, plain {baseline}");
         assert!(own >= GOODPUT, "seed {seed}: goodput {own}");
-        assert!(bare < GOODPUT, "seed {seed}: the load proves nothing: {bare}");
+        assert!(baseline < GOODPUT, "seed {seed}: the baseline passes as well: {baseline}");
     }
 }
--- a/tests/cache_identity.rs
+++ b/tests/cache_identity.rs
@@ -1,7 +1,8 @@
-//! An answer must never be built on cached blocks of a dead engine, of another organisation or of
-//! older weights: a firm would read a rival's standing order, or an answer of a withdrawn model. The
-//! dispatcher has seen a prompt answered by an engine; then the engine restarts, or its weights
-//! change, or another organisation sends the same prompt. No hit may be expected, no import asked.
+//! An answer must never be generated from cached blocks of a former incarnation, of another
+//! organisation or of older weights, since it would disclose another organisation's data or come
+//! from withdrawn weights. After an engine has answered a prompt, the engine restarts, its weights
+//! change, or another organisation sends the same prompt. No hit may be expected and no import
+//! requested.
 
 use {
     oleandermount::{
@@ -21,14 +22,14 @@
 
 const MODEL: &str = "m";
 
-/// One dispatcher before one engine.
-struct CacheBench {
+/// A dispatcher with one engine.
+struct CacheFixture {
     dispatcher: Dispatcher,
     now: Instant,
-    asked: u32,
+    sent_count: u32,
 }
 
-impl CacheBench {
+impl CacheFixture {
     fn new(disabled: impl IntoIterator<Item = PolicySafeguard>) -> Self {
         let settings = DispatcherSettings {
             daemon: "a-1".to_owned(),
@@ -36,19 +37,22 @@
             seed: 7,
             disabled: disabled.into_iter().collect(),
         };
-        let mut bench =
-            CacheBench { dispatcher: Dispatcher::new(settings), now: Instant::now(), asked: 0 };
-        bench.desire("v1");
-        bench.report(1, "v1");
-        bench
+        let mut fixture = CacheFixture {
+            dispatcher: Dispatcher::new(settings),
+            now: Instant::now(),
+            sent_count: 0,
+        };
+        fixture.set_desired_weights("v1");
+        fixture.report_state(1, "v1");
+        fixture
     }
 
-    fn tell(&mut self, input: PolicyInput) -> Vec<PolicyAction> {
+    fn handle(&mut self, input: PolicyInput) -> Vec<PolicyAction> {
         self.now += Duration::from_millis(20);
         self.dispatcher.handle(self.now, input)
     }
 
-    fn desire(&mut self, weights: &str) {
+    fn set_desired_weights(&mut self, weights: &str) {
         let server = ServerView {
             failure_domain: "a".to_owned(),
             kind: ServerKind::Engine,
@@ -61,13 +65,13 @@
             weights: BTreeMap::from([(MODEL.to_owned(), weights.to_owned())]),
             ..PolicyView::default()
         };
-        self.tell(PolicyInput::Configure(Arc::new(view)));
+        self.handle(PolicyInput::Configure(Arc::new(view)));
     }
 
-    fn report(&mut self, incarnation: u64, weights: &str) {
+    fn report_state(&mut self, incarnation: u64, weights: &str) {
         let health = ServerHealth::Alive { incarnation };
-        self.tell(PolicyInput::Health { server: "e".to_owned(), health });
-        self.tell(PolicyInput::Load(LoadReport {
+        self.handle(PolicyInput::Health { server: "e".to_owned(), health });
+        self.handle(PolicyInput::Load(LoadReport {
             server: "e".to_owned(),
             incarnation,
             weights: BTreeMap::from([(MODEL.to_owned(), weights.to_owned())]),
@@ -79,17 +83,17 @@
         }));
     }
 
-    /// Sends the one prompt for `organisation`, has it answered whole and returns its order.
-    fn ask(&mut self, organisation: &str) -> SendOrder {
-        self.asked += 1;
+    /// Sends the same prompt for `organisation`, completes its answer and returns the send order.
+    fn send_prompt(&mut self, organisation: &str) -> SendOrder {
+        self.sent_count += 1;
         let order = [PromptSegment { bytes: b"the standing order", tokens: 4_000 }];
         let ticket = RequestTicket {
-            request: self.asked.to_string(),
+            request: self.sent_count.to_string(),
             organisation: organisation.to_owned(),
             class: RequestClass::Interactive,
             deadline: self.now + Duration::from_secs(20),
             repeatable: true,
-            fingerprint: u64::from(self.asked),
+            fingerprint: u64::from(self.sent_count),
             work: RequestWork::Model {
                 model: MODEL.to_owned(),
                 adapter: None,
@@ -98,59 +102,71 @@
                 max_output_tokens: 10,
             },
         };
-        let actions = self.tell(PolicyInput::Arrive(ticket));
+        let actions = self.handle(PolicyInput::Arrive(ticket));
         let sent = actions.into_iter().find_map(|action| match action {
             PolicyAction::Send(order) => Some(order),
             _ => None,
         });
-        let order = sent.expect("the engine is free");
+        let order = sent.expect("the idle engine takes the request");
         let (attempt, cached_tokens) = (order.attempt, Some(order.expected_hit));
-        self.tell(PolicyInput::FirstToken { attempt, cached_tokens });
-        self.tell(PolicyInput::Finished { attempt, cached_tokens, output_tokens: 10 });
+        self.handle(PolicyInput::FirstToken { attempt, cached_tokens });
+        self.handle(PolicyInput::Finished { attempt, cached_tokens, output_tokens: 10 });
         order
     }
 }
 
 #[test]
-fn hit_is_expected_again() {
-    let mut bench = CacheBench::new([]);
-    assert_eq!(bench.ask("firm").expected_hit, 0);
-    assert_eq!(bench.ask("firm").expected_hit, 4_000);
+fn repeated_prompt_expects_hit() {
+    let mut fixture = CacheFixture::new([]);
+    assert_eq!(fixture.send_prompt("firm").expected_hit, 0);
+    assert_eq!(fixture.send_prompt("firm").expected_hit, 4_000);
 }
 
 #[test]
-fn restarted_engine_holds_nothing() {
-    let mut bench = CacheBench::new([]);
-    bench.ask("firm");
-    bench.report(2, "v1");
-    assert_eq!(bench.ask("firm").expected_hit, 0);
+fn restarted_engine_expects_no_hit() {
+    let mut fixture = CacheFixture::new([]);
+    fixture.send_prompt("firm");
+    fixture.report_state(2, "v1");
+    assert_eq!(fixture.send_prompt("firm").expected_hit, 0);
 }
 
 #[test]
-fn older_weights_hold_nothing() {
-    let mut bench = CacheBench::new([]);
-    bench.ask("firm");
-    bench.desire("v2");
-    assert_eq!(bench.ask("firm").expected_hit, 0, "the engine has not loaded the new weights");
-    bench.report(1, "v2");
-    assert_eq!(bench.ask("firm").expected_hit, 0, "it has, and holds nothing under them");
+fn changed_weights_expect_no_hit() {
+    let mut fixture = CacheFixture::new([]);
+    fixture.send_prompt("firm");
+    fixture.set_desired_weights("v2");
+    assert_eq!(
+        fixture.send_prompt("firm").expected_hit,
+        0,
+        "the engine has not loaded the new weights"
+    );
+    fixture.report_state(1, "v2");
+    assert_eq!(
+        fixture.send_prompt("firm").expected_hit,
+        0,
+        "the engine holds nothing under the new weights"
+    );
 }
 
 #[test]
-fn rival_shares_nothing() {
-    let mut bench = CacheBench::new([]);
-    bench.ask("firm");
-    assert_eq!(bench.ask("rival").expected_hit, 0);
+fn organisations_share_no_blocks() {
+    let mut fixture = CacheFixture::new([]);
+    fixture.send_prompt("firm");
+    assert_eq!(fixture.send_prompt("rival").expected_hit, 0);
     assert_ne!(cache_salt("firm", MODEL, None, "v1"), cache_salt("rival", MODEL, None, "v1"));
     assert_ne!(cache_salt("firm", MODEL, None, "v1"), cache_salt("firm", MODEL, None, "v2"));
-    // Names that run into each other are still two organisations.
+    // Different parts with the same concatenation must give different salts.
     assert_ne!(cache_salt("ab", "c", None, "v1"), cache_salt("a", "bc", None, "v1"));
 }
 
 #[test]
-fn without_the_check_a_dead_engine_counts() {
-    let mut bench = CacheBench::new([PolicySafeguard::CacheIdentity]);
-    bench.ask("firm");
-    bench.report(2, "v1");
-    assert_eq!(bench.ask("firm").expected_hit, 4_000, "the safeguard is what the tests above show");
+fn disabled_check_expects_stale_hit() {
+    let mut fixture = CacheFixture::new([PolicySafeguard::CacheIdentity]);
+    fixture.send_prompt("firm");
+    fixture.report_state(2, "v1");
+    assert_eq!(
+        fixture.send_prompt("firm").expected_hit,
+        4_000,
+        "the other tests depend on this safeguard"
+    );
 }
--- a/tests/crash_request.rs
+++ b/tests/crash_request.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each server that runs it, sent again and again.
+//! A request that crashes every server that runs it and is resent repeatedly.
 
 #[path = "../examples/policy_report/harness.rs"]
 mod harness;
@@ -11,18 +11,18 @@
 
 const LENGTH: Duration = Duration::from_secs(30);
 
-/// A caller's request kills the engine that computes it, with all that runs there; the caller sends
-/// it again through daemons of all failure domains. After two crashes its fingerprint is known to all
-/// daemons, and it is refused at once. Without that, each resend costs one
-/// more engine and everybody's answers on it.
+/// A request crashes the engine that computes it, together with all requests running there, and its
+/// caller resends it through daemons of all failure domains. After two crashes all daemons know its
+/// fingerprint and refuse it immediately. Without isolation, each resend costs another engine and
+/// all its answers.
 #[test]
 fn crashing_request_is_isolated() {
     for seed in [1, 2, 3] {
         let scene = LoadName::CrashRequest.scene(SiteName::Tuul, seed, LENGTH);
-        let (tally, bare) = with_and_without(scene, seed, PolicySafeguard::Suspect);
+        let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::Suspect);
         let (lost, answered) = (tally.servers_lost, tally.answered_part());
-        println!("seed {seed}: lost {lost} not {}, answered {answered}", bare.servers_lost);
+        println!("seed {seed}: lost {lost} not {}, answered {answered}", baseline.servers_lost);
         assert!(lost <= 2 && answered >= 0.99, "seed {seed}: lost {lost}, answered {answered}");
-        assert!(bare.servers_lost > 2, "seed {seed}: the load proves nothing");
+        assert!(baseline.servers_lost > 2, "seed {seed}: the baseline passes as well");
     }
 }
--- a/tests/dispatch_outcomes.rs
+++ b/tests/dispatch_outcomes.rs
@@ -1,4 +1,4 @@
-//! Each request gets exactly one final outcome, and what may not be repeated is sent at most once.
+//! Each request gets exactly one final outcome, and a non-repeatable request is sent at most once.
 
 use {
     oleandermount::{
@@ -92,7 +92,7 @@
     }
 }
 
-fn booking(request: &str, deadline: Instant) -> RequestTicket {
+fn non_repeatable_call(request: &str, deadline: Instant) -> RequestTicket {
     let work = RequestWork::Service { service: SERVICE.to_owned() };
     RequestTicket { repeatable: false, work, ..chat(request, deadline) }
 }
@@ -115,22 +115,22 @@
     PolicyInput::Failed { attempt, failure, relayed_tokens, retry_after: None }
 }
 
-/// What a random run has seen.
+/// Observations of a random run.
 #[derive(Default)]
-struct RunLedger {
-    /// Final outcomes by request.
-    finals: BTreeMap<String, u32>,
-    /// Attempts that can have reached a server, by non-repeatable request.
-    reached: BTreeMap<String, u32>,
-    /// Requests of which a byte can have reached a server.
-    touched: BTreeSet<String>,
+struct OutcomeTally {
+    /// Number of final outcomes by request.
+    final_outcomes: BTreeMap<String, u32>,
+    /// Attempts that may have reached a server, by request.
+    reached_attempts: BTreeMap<String, u32>,
+    /// Requests of which at least one byte may have reached a server.
+    reached_server: BTreeSet<String>,
     running: BTreeMap<AttemptId, String>,
     ended: Vec<AttemptId>,
     false_refusals: u32,
 }
 
-impl RunLedger {
-    fn take(&mut self, actions: Vec<PolicyAction>) {
+impl OutcomeTally {
+    fn record(&mut self, actions: Vec<PolicyAction>) {
         for action in actions {
             match action {
                 PolicyAction::Send(order) => {
@@ -138,8 +138,8 @@
                 }
                 PolicyAction::Refuse { request, did_run, .. } => {
                     self.false_refusals +=
-                        u32::from(did_run == DidRun::No && self.touched.contains(&request));
-                    *self.finals.entry(request).or_default() += 1;
+                        u32::from(did_run == DidRun::No && self.reached_server.contains(&request));
+                    *self.final_outcomes.entry(request).or_default() += 1;
                 }
                 PolicyAction::Cancel { attempt, .. } => {
                     self.running.remove(&attempt);
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Ends the attempt that `pick` names as `kind` says.
+    /// Ends the attempt selected by `pick` with the result selected by `kind`.
     fn end(&mut self, pick: usize, kind: u8) -> Option<PolicyInput> {
         let attempt = *self.running.keys().nth(pick % self.running.len().max(1))?;
         let request = self.running.remove(&attempt)?;
@@ -168,15 +168,15 @@
         let failure = failures.get(usize::from(kind) % 12).copied();
         let unsent = [Some(AttemptFailure::NotConnected), Some(AttemptFailure::Stale)];
         if !unsent.contains(&failure) {
-            self.touched.insert(request.clone());
-            *self.reached.entry(request.clone()).or_default() += 1;
+            self.reached_server.insert(request.clone());
+            *self.reached_attempts.entry(request.clone()).or_default() += 1;
         }
         match failure {
             Some(failure) if failure != AttemptFailure::CallerError => {
                 Some(failed(attempt, failure, 0))
             }
             other => {
-                *self.finals.entry(request).or_default() += 1;
+                *self.final_outcomes.entry(request).or_default() += 1;
                 Some(match other {
                     Some(failure) => failed(attempt, failure, 0),
                     None => {
@@ -191,7 +191,7 @@
 fn random_run(steps: Vec<(u8, u8, u16)>) -> bool {
     let start = Instant::now();
     let (mut now, mut dispatcher) = (start, dispatcher(start));
-    let (mut ledger, mut asked) = (RunLedger::default(), Vec::new());
+    let (mut tally, mut asked) = (OutcomeTally::default(), Vec::new());
     for (number, (kind, choice, pick)) in steps.into_iter().enumerate() {
         now += Duration::from_millis(u64::from(pick % 40));
         let input = match kind % 8 {
@@ -200,37 +200,38 @@
                 let deadline = now + Duration::from_millis(200 + u64::from(pick % 3_000));
                 asked.push((name.clone(), choice % 3 != 0));
                 Some(PolicyInput::Arrive(if choice % 3 == 0 {
-                    booking(&name, deadline)
+                    non_repeatable_call(&name, deadline)
                 } else {
                     RequestTicket { fingerprint: number as u64, ..chat(&name, deadline) }
                 }))
             }
-            4 | 5 => ledger.end(pick.into(), choice),
-            6 if choice % 4 == 0 => ledger.ended.last().map(|attempt| {
-                // A late, crossed report of an attempt that has ended.
+            4 | 5 => tally.end(pick.into(), choice),
+            6 if choice % 4 == 0 => tally.ended.last().map(|attempt| {
+                // A late event of an attempt that has already ended.
                 failed(*attempt, AttemptFailure::Broken, 3)
             }),
             _ => Some(PolicyInput::Wake),
         };
         if let Some(input) = input {
-            ledger.take(dispatcher.handle(now, input));
+            tally.record(dispatcher.handle(now, input));
         }
     }
     for _ in 0..20_000 {
-        while let Some(input) = ledger.end(0, 11) {
-            ledger.take(dispatcher.handle(now, input));
+        while let Some(input) = tally.end(0, 11) {
+            tally.record(dispatcher.handle(now, input));
         }
         now += Duration::from_millis(50);
-        ledger.take(dispatcher.handle(now, PolicyInput::Wake));
-        if ledger.running.is_empty() && now > start + Duration::from_secs(20) {
+        tally.record(dispatcher.handle(now, PolicyInput::Wake));
+        if tally.running.is_empty() && now > start + Duration::from_secs(20) {
             break;
         }
     }
-    let once = asked.iter().all(|(name, _)| ledger.finals.get(name) == Some(&1));
-    let booked = asked.iter().filter(|(_, repeatable)| !repeatable);
-    let at_most_once =
-        booked.clone().all(|(name, _)| ledger.reached.get(name).copied().unwrap_or(0) <= 1);
-    once && at_most_once && ledger.false_refusals == 0
+    let once = asked.iter().all(|(name, _)| tally.final_outcomes.get(name) == Some(&1));
+    let non_repeatable = asked.iter().filter(|(_, repeatable)| !repeatable);
+    let at_most_once = non_repeatable
+        .clone()
+        .all(|(name, _)| tally.reached_attempts.get(name).copied().unwrap_or(0) <= 1);
+    once && at_most_once && tally.false_refusals == 0
 }
 
 #[test]
@@ -241,25 +242,25 @@
         .quickcheck(random_run as fn(Vec<(u8, u8, u16)>) -> bool);
 }
 
-/// The caller sees one booking. The service takes the call and the connection breaks before the
-/// answer: the call may have run, so a second send could book twice. The caller is told that the
-/// outcome is unknown.
+/// A service accepts a non-repeatable call and the connection breaks before the answer. The call
+/// may have been executed, so it must not be resent, and the caller is told that the outcome is
+/// unknown.
 #[test]
-fn broken_booking_is_not_resent() {
+fn broken_non_repeatable_call_is_not_resent() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
-    let ticket = booking("b", now + Duration::from_secs(9));
+    let ticket = non_repeatable_call("b", now + Duration::from_secs(9));
     let order = only_send(&dispatcher.handle(now, PolicyInput::Arrive(ticket))).expect("sent");
     let actions = dispatcher.handle(now, failed(order.attempt, AttemptFailure::Broken, 0));
     assert_eq!(refusal(&actions), Some(DidRun::Unknown));
     assert!(only_send(&actions).is_none());
 }
 
-/// The caller sees its stream go on. An engine dies in mid-stream; the other one runs the same
-/// weights and resumes after the tokens that the caller has. Were its weights others, the text would
-/// not fit together, so then the stream ends.
+/// An engine crashes in the middle of a stream. If the other engine runs the same weights, it
+/// resumes the stream after the relayed tokens. With other weights the text would be inconsistent,
+/// so the stream ends.
 #[test]
-fn streams_resume_on_same_weights_only() {
+fn streams_resume_only_on_same_weights() {
     for (weights, resumes) in [("w1", true), ("w2", false)] {
         let now = Instant::now();
         let mut dispatcher = dispatcher(now);
@@ -277,10 +278,10 @@
     }
 }
 
-/// The caller is told at once that its time is over. The VM is frozen with a request in the queue;
-/// when it wakes the deadline has passed, and the request must not be sent for nobody.
+/// The VM is paused while a request is queued, and its deadline passes before the VM resumes. The
+/// request must be refused and not sent.
 #[test]
-fn pause_sends_nothing_old() {
+fn paused_process_sends_no_expired_request() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
     let mut attempts = Vec::new();
@@ -304,12 +305,12 @@
     assert!(only_send(&actions).is_none());
 }
 
-/// A server dies while callers' requests are about to go there: none of them has reached a server,
-/// and all of them are answered elsewhere, although the retries that operators allow are used up by
-/// then. Order of events: connections to one engine fail, more often than the reserve lasts; each
-/// request goes to the other engine. A break in the middle is still paid for.
+/// A server crashes while requests are being delivered to it. None of them reached a server, so all
+/// are answered elsewhere, even after the retries that operators allow are used up. More
+/// connections to one engine fail than the reserve covers. Connections that break after bytes were
+/// sent are still charged.
 #[test]
-fn unmade_connections_cost_no_retry() {
+fn failed_connections_cost_no_retry() {
     let mut now = Instant::now();
     let mut dispatcher = dispatcher(now);
     dispatcher.handle(now, PolicyInput::RetryReserve { retries: 1.0 });
@@ -324,7 +325,7 @@
             let ticket = chat(&format!("{failure:?}-{number}"), now + Duration::from_secs(30));
             let ticket = RequestTicket { fingerprint: number + 100, ..ticket };
             let first = only_send(&dispatcher.handle(now, PolicyInput::Arrive(ticket)));
-            let first = first.expect("an idle engine takes it");
+            let first = first.expect("an idle engine takes the request");
             let actions = dispatcher.handle(now, failed(first.attempt, failure, 0));
             count += u32::from(refusal(&actions).is_some());
             if let Some(second) = only_send(&actions) {
@@ -336,27 +337,28 @@
         refused.push(count);
     }
     assert_eq!(refused[0], 0);
-    assert!(refused[1] >= 4, "breaks are paid for: {refused:?}");
+    assert!(refused[1] >= 4, "broken connections are charged: {refused:?}");
 }
 
-/// Callers who leave give back the places of what they had asked for. Without it an entry refuses
-/// bookings for as long as it lives, as not to be served in time, while the servers are idle. Order of
-/// events: callers leave bookings that their servers hold up, or that end unseen; a later caller books.
+/// Disconnected callers release the slots of their requests. Otherwise a daemon would refuse
+/// non-repeatable calls as not servable in time while the servers are idle. Callers disconnect from
+/// calls that their servers delay or that end unobserved; later another caller sends one.
 #[test]
-fn left_bookings_free_their_places() {
+fn disconnected_callers_release_their_slots() {
     let mut now = Instant::now();
     let mut dispatcher = dispatcher(now);
     for number in 0..200 {
-        let name = format!("left-{number}");
+        let name = format!("call-{number}");
         let deadline = now + Duration::from_secs(60);
-        let actions = dispatcher.handle(now, PolicyInput::Arrive(booking(&name, deadline)));
-        assert!(only_send(&actions).is_some(), "booking {number} is sent: {actions:?}");
+        let actions =
+            dispatcher.handle(now, PolicyInput::Arrive(non_repeatable_call(&name, deadline)));
+        assert!(only_send(&actions).is_some(), "call {number} is sent: {actions:?}");
         now += Duration::from_millis(500);
         let actions = dispatcher.handle(now, PolicyInput::CallerDisconnected { request: name });
         let cancelled = actions.iter().any(|action| matches!(action, PolicyAction::Cancel { .. }));
-        assert!(!cancelled, "what may be half done is not cancelled");
+        assert!(!cancelled, "a call that may be partly done is not cancelled");
     }
     let short = now + Duration::from_millis(300);
-    let actions = dispatcher.handle(now, PolicyInput::Arrive(booking("last", short)));
+    let actions = dispatcher.handle(now, PolicyInput::Arrive(non_repeatable_call("last", short)));
     assert!(only_send(&actions).is_some(), "{actions:?}");
 }
--- a/tests/fleet_homes.rs
+++ b/tests/fleet_affinity.rs
@@ -1,6 +1,7 @@
-//! Load pattern: hundreds of entries before hundreds of engines, each entry with a few requests a second.
-//! A handful of first levels is part of all long prompts; behind each come hundreds of contracts, each
-//! asked for now and then by whichever entry. One entry's counts are a small sample of the traffic.
+//! Prefix affinity in a large fleet: hundreds of daemons send to hundreds of engines, each daemon
+//! with a few requests per second. A few first levels are part of all long prompts, each followed
+//! by hundreds of contracts that are requested rarely and through any daemon, so that the counts of
+//! one daemon are a small sample of the traffic.
 
 use {
     oleandermount::{
@@ -26,14 +27,14 @@
 const CONTRACT_TOKENS: u32 = 3_800;
 const SHARED_TOKENS: u32 = FIRST_TOKENS + CONTRACT_TOKENS;
 const OWN_TOKENS: u32 = 2_900;
-/// Prompt tokens that an engine reads in a millisecond, and what an answer takes beside that.
-const READ_PER_MS: u32 = 38;
-const DECODE: Duration = Duration::from_millis(60);
-/// Time in which the entries learn what is hot.
+/// Prompt tokens that an engine prefills per millisecond, and the time to generate an answer.
+const PREFILL_TOKENS_PER_MS: u32 = 38;
+const DECODE_TIME: Duration = Duration::from_millis(60);
+/// Time for the daemons to measure the request rates.
 const WARM_UP: Duration = Duration::from_secs(20);
 const MEASURED: Duration = Duration::from_secs(10);
 
-/// A fleet and its traffic.
+/// Size and traffic of a fleet.
 #[derive(Clone, Copy)]
 struct FleetSize {
     entries: usize,
@@ -41,7 +42,7 @@
     domains: usize,
     first_levels: u64,
     contracts: u64,
-    /// Requests a second, all entries together.
+    /// Requests per second over all daemons.
     rate: u64,
 }
 
@@ -54,20 +55,20 @@
     rate: 600,
 };
 
-/// Where requests went.
+/// Results of a run.
 #[derive(Default)]
 struct FleetTally {
     by_engine: BTreeMap<String, u32>,
     by_contract: BTreeMap<u64, BTreeSet<String>>,
     requests: u32,
-    /// Requests whose first token came later than a second.
+    /// Requests with a first-token time of more than a second.
     late: u32,
 }
 
-/// The fleet with those engines that are `kept`.
-fn view(size: FleetSize, kept: impl Fn(usize) -> bool) -> Arc<PolicyView> {
+/// Returns the configuration with the engines selected by `is_listed`.
+fn view(size: FleetSize, is_listed: impl Fn(usize) -> bool) -> Arc<PolicyView> {
     let domain = |index: usize| format!("d{}", index % size.domains);
-    let servers = (0..size.engines).filter(|index| kept(*index)).map(|index| {
+    let servers = (0..size.engines).filter(|index| is_listed(*index)).map(|index| {
         let engine = ServerView {
             failure_domain: domain(index),
             kind: ServerKind::Engine,
@@ -118,7 +119,7 @@
     (0..size.entries).map(start).collect()
 }
 
-fn review(number: u64, size: FleetSize, contract: u64, now: Instant) -> RequestTicket {
+fn long_prompt(number: u64, size: FleetSize, contract: u64, now: Instant) -> RequestTicket {
     let hash = |text: String| xxh3_64(text.as_bytes());
     let first = PrefixLevel {
         hash: hash(format!("first {}", contract % size.first_levels)),
@@ -144,7 +145,7 @@
     }
 }
 
-/// Engines that read one prompt after the other, and keep all that they have read.
+/// Engines that prefill one prompt after another and never evict.
 #[derive(Default)]
 struct EngineFleet {
     held: BTreeSet<(String, u64)>,
@@ -152,7 +153,7 @@
 }
 
 impl EngineFleet {
-    /// When the first token of a prompt comes.
+    /// Returns when the first token of a prompt arrives.
     fn read(&mut self, now: Instant, server: &str, levels: &[PrefixLevel]) -> Instant {
         let missing =
             levels.iter().filter(|level| self.held.insert((server.to_owned(), level.hash)));
@@ -161,91 +162,91 @@
             SHARED_TOKENS => CONTRACT_TOKENS,
             _ => OWN_TOKENS,
         });
-        let taken = Duration::from_millis(u64::from(tokens.sum::<u32>() / READ_PER_MS));
+        let taken = Duration::from_millis(u64::from(tokens.sum::<u32>() / PREFILL_TOKENS_PER_MS));
         let busy_until = self.busy_until.entry(server.to_owned()).or_insert(now);
         *busy_until = (*busy_until).max(now) + taken;
         *busy_until
     }
 }
 
-/// What an engine tells an entry of an attempt.
-enum EngineNews {
+/// An event of an attempt at an engine.
+enum EngineEvent {
     FirstToken(AttemptId),
     Finished(AttemptId),
 }
 
-impl EngineNews {
+impl EngineEvent {
     fn into_input(self) -> PolicyInput {
         let cached_tokens = None;
         match self {
-            EngineNews::FirstToken(attempt) => PolicyInput::FirstToken { attempt, cached_tokens },
-            EngineNews::Finished(attempt) => {
+            EngineEvent::FirstToken(attempt) => PolicyInput::FirstToken { attempt, cached_tokens },
+            EngineEvent::Finished(attempt) => {
                 PolicyInput::Finished { attempt, cached_tokens, output_tokens: 5 }
             }
         }
     }
 }
 
-/// A fleet under its traffic.
-struct FleetPlay {
+/// A running fleet.
+struct FleetScenario {
     size: FleetSize,
     random: Xoshiro256PlusPlus,
     entries: Vec<Dispatcher>,
     engines: EngineFleet,
-    /// By moment, request, and whether it is the end of the answer.
-    news: BTreeMap<(Instant, u64, bool), (usize, EngineNews)>,
+    /// Pending events by time, request and whether the answer is complete.
+    events: BTreeMap<(Instant, u64, bool), (usize, EngineEvent)>,
     now: Instant,
     number: u64,
 }
 
-impl FleetPlay {
+impl FleetScenario {
     fn new(size: FleetSize, seed: u64) -> Self {
         let now = Instant::now();
-        FleetPlay {
+        FleetScenario {
             size,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             entries: entries(size, now),
             engines: EngineFleet::default(),
-            news: BTreeMap::new(),
+            events: BTreeMap::new(),
             now,
             number: 0,
         }
     }
 
-    /// Plays on for `span` and tells where requests went.
+    /// Runs the traffic for `span` and returns the results.
     fn run(&mut self, span: Duration) -> FleetTally {
         let mut tally = FleetTally::default();
         let gap = Duration::from_secs(1) / self.size.rate as u32;
         for _ in 0..span.as_secs() * self.size.rate {
             self.now += gap;
-            self.tell_news();
-            self.ask(&mut tally);
+            self.deliver_events();
+            self.send_request(&mut tally);
         }
         tally
     }
 
-    /// Tells all entries that only `kept` of the engines are listed from now on.
-    fn list(&mut self, kept: impl Fn(usize) -> bool) {
-        let view = view(self.size, kept);
+    /// Configures all daemons with the engines selected by `is_listed`.
+    fn configure(&mut self, is_listed: impl Fn(usize) -> bool) {
+        let view = view(self.size, is_listed);
         for entry in &mut self.entries {
             entry.handle(self.now, PolicyInput::Configure(Arc::clone(&view)));
         }
     }
 
-    fn tell_news(&mut self) {
-        while let Some(first) = self.news.first_entry()
+    fn deliver_events(&mut self) {
+        while let Some(first) = self.events.first_entry()
             && first.key().0 <= self.now
         {
-            let ((at, ..), (entry, told)) = first.remove_entry();
-            self.entries[entry].handle(at, told.into_input());
+            let ((at, ..), (entry, event)) = first.remove_entry();
+            self.entries[entry].handle(at, event.into_input());
         }
     }
 
-    fn ask(&mut self, tally: &mut FleetTally) {
+    fn send_request(&mut self, tally: &mut FleetTally) {
         let entry = (self.random.next_u64() % self.size.entries as u64) as usize;
         let contract = self.random.next_u64() % self.size.contracts;
         self.number += 1;
-        let ticket = review(self.number, self.size, contract, self.now);
+        let ticket = long_prompt(self.number, self.size, contract, self.now);
         let RequestWork::Model { levels, .. } = &ticket.work else { return };
         let levels = levels.clone();
         for action in self.entries[entry].handle(self.now, PolicyInput::Arrive(ticket)) {
@@ -255,24 +256,24 @@
             tally.late += u32::from(answered > self.now + Duration::from_secs(1));
             *tally.by_engine.entry(order.server.clone()).or_default() += 1;
             tally.by_contract.entry(contract).or_default().insert(order.server);
-            let told = EngineNews::FirstToken(order.attempt);
-            self.news.insert((answered, self.number, false), (entry, told));
-            let told = EngineNews::Finished(order.attempt);
-            self.news.insert((answered + DECODE, self.number, true), (entry, told));
+            let event = EngineEvent::FirstToken(order.attempt);
+            self.events.insert((answered, self.number, false), (entry, event));
+            let event = EngineEvent::Finished(order.attempt);
+            self.events.insert((answered + DECODE_TIME, self.number, true), (entry, event));
         }
     }
 }
 
-/// Shared by the tests, since a play takes seconds.
+/// Shared by the tests, since the scenario takes seconds.
 static WARM_FLEET: LazyLock<FleetTally> = LazyLock::new(|| {
-    let mut play = FleetPlay::new(LARGE, 1);
-    play.run(WARM_UP);
-    play.run(MEASURED)
+    let mut scenario = FleetScenario::new(LARGE, 1);
+    scenario.run(WARM_UP);
+    scenario.run(MEASURED)
 });
 
-// Guards against a number of homes that does not follow the size of the pool.
+// Guards against a number of affinity servers that does not scale with the pool.
 #[test]
-fn busiest_engine_has_a_fair_share() {
+fn busiest_engine_gets_fair_share() {
     let tally = &*WARM_FLEET;
     let most = tally.by_engine.values().max().copied().unwrap_or_default();
     let mean = f64::from(tally.requests) / LARGE.engines as f64;
@@ -281,19 +282,19 @@
     assert!(used >= LARGE.engines / 2, "{used} of {} engines have work", LARGE.engines);
 }
 
-// Guards against a count of one second that is taken for a whole span after a start.
+// Guards against a count of one second that is treated as a full time constant after a start.
 #[test]
-fn a_cold_start_spreads_as_well() {
-    let mut play = FleetPlay::new(LARGE, 3);
-    play.run(Duration::from_secs(1));
-    let tally = play.run(MEASURED);
+fn load_is_balanced_after_start() {
+    let mut scenario = FleetScenario::new(LARGE, 3);
+    scenario.run(Duration::from_secs(1));
+    let tally = scenario.run(MEASURED);
     let late = f64::from(tally.late) / f64::from(tally.requests);
     assert!(late <= 0.1, "{:.0}% of the first tokens came late", 100.0 * late);
 }
 
-// Guards against one request at one of hundreds of entries that makes a prefix hot.
+// Guards against a prefix that counts as hot after one request at one of hundreds of daemons.
 #[test]
-fn a_rare_contract_has_one_home() {
+fn rare_contract_uses_one_engine() {
     let tally = &*WARM_FLEET;
     let asked = tally.requests as usize;
     let pairs: usize = tally.by_contract.values().map(BTreeSet::len).sum();
@@ -303,22 +304,22 @@
     assert!(engines <= 1.5, "a contract is read by {engines:.2} engines");
 }
 
-// Guards against homes that move when other engines leave.
+// Guards against affinity servers that change when other engines are removed.
 #[test]
-fn homes_stay_when_others_leave() {
+fn affinity_survives_removal_of_others() {
     const LEAVING_ONE_IN: usize = 5;
-    let mut play = FleetPlay::new(LARGE, 4);
-    play.run(WARM_UP);
-    let before = play.run(MEASURED);
-    play.list(|engine| engine % LEAVING_ONE_IN != 0);
-    let after = play.run(MEASURED);
-    let gone = |engine: &String| !after.by_engine.contains_key(engine);
+    let mut scenario = FleetScenario::new(LARGE, 4);
+    scenario.run(WARM_UP);
+    let before = scenario.run(MEASURED);
+    scenario.configure(|engine| engine % LEAVING_ONE_IN != 0);
+    let after = scenario.run(MEASURED);
+    let has_left = |engine: &String| !after.by_engine.contains_key(engine);
     let (mut stayed, mut moved) = (0, 0);
-    for (contract, homes) in &before.by_contract {
+    for (contract, engines) in &before.by_contract {
         let Some(now) = after.by_contract.get(contract) else { continue };
-        // Contracts of engines that left have to move.
-        if homes.len() == 1 && !homes.iter().any(gone) {
-            let stays = homes.is_subset(now);
+        // Contracts of removed engines have to move.
+        if engines.len() == 1 && !engines.iter().any(has_left) {
+            let stays = engines.is_subset(now);
             (stayed, moved) = (stayed + u32::from(stays), moved + u32::from(!stays));
         }
     }
--- a/tests/hot_caller.rs
+++ b/tests/flooding_organisation.rs
@@ -1,4 +1,4 @@
-//! One organisation floods the site.
+//! One organisation sends more requests than a site can serve.
 
 #[path = "../examples/policy_report/harness.rs"]
 mod harness;
@@ -16,7 +16,7 @@
 
 const LENGTH: Duration = Duration::from_secs(28);
 
-/// What the others' callers have to get.
+/// Required goodput of the other organisations.
 const GOODPUT: f64 = 0.99;
 
 fn others(tally: &RunTally) -> f64 {
@@ -25,17 +25,18 @@
     CallerFigures::of(&callers).goodput()
 }
 
-/// A small organisation sends half as much again as the whole site can serve. The others' callers
-/// go on as before, since turns go by tokens served to each organisation; the flood waits and is
-/// refused. Without that, turns go by arrival, and the others stand behind the flood.
+/// A small organisation sends one and a half times the capacity of the site. The other
+/// organisations are unaffected, since requests are ordered by the tokens served to each
+/// organisation; the excess waits and is refused. In arrival order, the others would wait behind
+/// it.
 #[test]
-fn others_are_served_beside_flood() {
+fn other_organisations_are_unaffected() {
     for seed in [1, 2] {
         let scene = LoadName::HotCaller.scene(SiteName::Tuul, seed, LENGTH);
-        let (tally, bare) = with_and_without(scene, seed, PolicySafeguard::Fairness);
-        let (own, bare) = (others(&tally), others(&bare));
-        println!("seed {seed}: others' goodput {own}, by arrival {bare}");
+        let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::Fairness);
+        let (own, baseline) = (others(&tally), others(&baseline));
+        println!("seed {seed}: others' goodput {own}, by arrival {baseline}");
         assert!(own >= GOODPUT, "seed {seed}: others' goodput {own}");
-        assert!(bare < GOODPUT, "seed {seed}: the load proves nothing: {bare}");
+        assert!(baseline < GOODPUT, "seed {seed}: the baseline passes as well: {baseline}");
     }
 }
--- a/tests/hot_prefix.rs
+++ b/tests/hot_prefix.rs
@@ -1,4 +1,4 @@
-//! A prefix turns hot that nobody asked for before.
+//! A new prefix suddenly gets a high request rate.
 
 #[path = "../examples/policy_report/harness.rs"]
 mod harness;
@@ -13,25 +13,25 @@
 
 const LENGTH: Duration = Duration::from_secs(24);
 
-/// Requests a second for the hot prefix: more than the slots of six engines take.
+/// Requests per second for the hot prefix, more than the slots of six engines can take.
 const HOT_RATE: f64 = 48.0;
 
-/// The median first token that chat callers have to get.
+/// Maximum median first-token time of chat requests.
 const MEDIAN: Duration = Duration::from_millis(300);
 
-/// Beside the usual load, most callers suddenly ask for one client's standing order. They hardly
-/// notice, since a prefix gets more servers as it heats. Without that, it has one home, and each
-/// other engine computes it anew or callers wait for the home.
+/// In addition to the steady load, most callers suddenly request one prefix. First-token times stay
+/// low, since a prefix gets more servers as its request rate grows. With a single affinity server,
+/// the other engines would compute it again or callers would wait for that server.
 #[test]
-fn hot_prefix_spreads() {
+fn hot_prefix_gets_more_servers() {
     for seed in [1, 2] {
         let mut scene = LoadName::Steady.scene(SiteName::Abay, seed, LENGTH);
         scene.add_traffic(seed, HOT_RATE, LENGTH / 3, TrafficMix::HotClient(100));
-        let (tally, bare) = with_and_without(scene, seed, PolicySafeguard::PrefixReplication);
-        let own = tally.figures(INTERACTIVE).p50.expect("many are answered");
-        let bare = bare.figures(INTERACTIVE).p50.expect("many are answered");
-        println!("seed {seed}: median {own:?}, with one home {bare:?}");
+        let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::PrefixReplication);
+        let own = tally.figures(INTERACTIVE).p50.expect("most requests are answered");
+        let baseline = baseline.figures(INTERACTIVE).p50.expect("most requests are answered");
+        println!("seed {seed}: median {own:?}, with one server {baseline:?}");
         assert!(own <= MEDIAN, "seed {seed}: median {own:?}");
-        assert!(bare > MEDIAN, "seed {seed}: the load proves nothing: {bare:?}");
+        assert!(baseline > MEDIAN, "seed {seed}: the baseline passes as well: {baseline:?}");
     }
 }
--- a/tests/long_prefix.rs
+++ b/tests/long_prefix_affinity.rs
@@ -1,7 +1,8 @@
-//! Load pattern: a hundred prefixes of 13,000 tokens, each asked for every few seconds with 3,700 tokens
-//! of the prompt's own behind it, at eighteen engines that hold a dozen of them each. The only shared
-//! level is the first one. What callers see if the prompt's own part chooses the engine: nearly every
-//! prompt is computed whole, takes four times as long, and short questions wait behind it.
+//! Affinity of prompts with a long first level: a hundred prefixes of 13,000 tokens, each requested
+//! every few seconds and followed by 3,700 tokens of the prompt's own, at eighteen engines that
+//! hold a dozen of them each. Only the first level is shared. If the prompt's own part selected the
+//! engine, nearly every prompt would be computed completely, would take four times as long, and
+//! would delay short ones.
 
 use {
     oleandermount::{
@@ -68,13 +69,13 @@
     dispatcher
 }
 
-/// As evenly spread as the hashes of real prompts.
-fn spread(number: u64) -> u64 {
+/// Returns a hash distributed as evenly as those of real prompts.
+fn mix_hash(number: u64) -> u64 {
     xxh3_64(&number.to_le_bytes())
 }
 
-fn review(number: u64, prefix: u64, shared: u32, now: Instant) -> RequestTicket {
-    let own = PrefixLevel { hash: spread(PREFIXES + number), tokens: shared + 3_700 };
+fn long_prompt(number: u64, prefix: u64, shared: u32, now: Instant) -> RequestTicket {
+    let own = PrefixLevel { hash: mix_hash(PREFIXES + number), tokens: shared + 3_700 };
     RequestTicket {
         request: format!("r{number}"),
         organisation: "naran".to_owned(),
@@ -85,54 +86,58 @@
         work: RequestWork::Model {
             model: MODEL.to_owned(),
             adapter: None,
-            levels: vec![PrefixLevel { hash: spread(prefix), tokens: shared }, own],
+            levels: vec![PrefixLevel { hash: mix_hash(prefix), tokens: shared }, own],
             prompt_tokens: own.tokens,
             max_output_tokens: 30,
         },
     }
 }
 
-/// Where all daemons together send prompts with each prefix, one prompt at a time.
-fn places(shared: u32) -> BTreeMap<u64, BTreeMap<String, u32>> {
+/// Returns how many prompts of each prefix all daemons send to each server, one prompt at a time.
+fn servers_by_prefix(shared: u32) -> BTreeMap<u64, BTreeMap<String, u32>> {
     let mut now = Instant::now();
     let mut dispatchers: Vec<Dispatcher> =
         (0..DAEMONS).map(|daemon| dispatcher(now, daemon)).collect();
-    let mut places: BTreeMap<u64, BTreeMap<String, u32>> = BTreeMap::new();
+    let mut servers_by_prefix: BTreeMap<u64, BTreeMap<String, u32>> = BTreeMap::new();
     for number in 0..PREFIXES * 12 {
         now += Duration::from_millis(40);
         let prefix = number * 37 % PREFIXES;
         let dispatcher = &mut dispatchers[(number / 5 % DAEMONS) as usize];
-        let ticket = review(number, prefix, shared, now);
+        let ticket = long_prompt(number, prefix, shared, now);
         let actions = dispatcher.handle(now, PolicyInput::Arrive(ticket));
         let order = actions.into_iter().find_map(|action| match action {
             PolicyAction::Send(order) => Some(order),
             _ => None,
         });
-        let order = order.expect("an idle engine takes it");
-        *places.entry(prefix).or_default().entry(order.server).or_default() += 1;
+        let order = order.expect("an idle engine takes the request");
+        *servers_by_prefix.entry(prefix).or_default().entry(order.server).or_default() += 1;
         let (attempt, cached_tokens) = (order.attempt, None);
         now += Duration::from_millis(20);
         dispatcher.handle(now, PolicyInput::Finished { attempt, cached_tokens, output_tokens: 30 });
     }
-    places
+    servers_by_prefix
 }
 
 #[test]
-fn long_prefix_stays_home() {
-    let places = places(13_000);
-    let servers: usize = places.values().map(BTreeMap::len).sum();
+fn long_prefix_keeps_affinity() {
+    let servers_by_prefix = servers_by_prefix(13_000);
+    let servers: usize = servers_by_prefix.values().map(BTreeMap::len).sum();
     assert!(servers as u64 <= PREFIXES * 2, "{servers} servers for {PREFIXES} prefixes");
     let mut load: BTreeMap<&String, u32> = BTreeMap::new();
-    places.values().flatten().for_each(|(server, count)| *load.entry(server).or_default() += count);
+    servers_by_prefix
+        .values()
+        .flatten()
+        .for_each(|(server, count)| *load.entry(server).or_default() += count);
     let most = load.values().max().copied().unwrap_or_default() as usize;
     let mean = PREFIXES as usize * 12 / ENGINES;
     assert!(load.len() >= ENGINES - 1 && most <= mean * 3, "{load:?}");
 }
 
-/// What follows a short first level is worth more than it, and evens out over many engines.
+/// The part after a short first level is worth more than that level and is balanced over many
+/// engines.
 #[test]
-fn short_prefix_spreads() {
-    let places = places(200);
-    let servers: usize = places.values().map(BTreeMap::len).sum();
+fn short_prefix_uses_many_engines() {
+    let servers_by_prefix = servers_by_prefix(200);
+    let servers: usize = servers_by_prefix.values().map(BTreeMap::len).sum();
     assert!(servers as u64 >= PREFIXES * 3, "{servers} servers for {PREFIXES} prefixes");
 }
--- /dev/null
+++ b/tests/partitioned_domain.rs
@@ -0,0 +1,32 @@
+//! A network partition between a failure domain and the others.
+
+#[path = "../examples/policy_report/harness.rs"]
+mod harness;
+
+use {
+    harness::{loads::LoadName, site::SiteName, with_and_without},
+    oleandermount::policy::PolicySafeguard,
+    std::time::Duration,
+};
+
+const LENGTH: Duration = Duration::from_secs(30);
+
+/// Maximum sends per request.
+const MAX_SENT: f64 = 1.047;
+
+/// A network partition separates a failure domain; callers reach daemons on both sides. Each side
+/// keeps serving with its own engines. Without reachability reports, a daemon keeps sending across
+/// the partition, and callers wait for connections that fail.
+#[test]
+fn both_sides_keep_serving() {
+    for seed in [1, 2, 3] {
+        let scene = LoadName::CutDomain.scene(SiteName::Tuul, seed, LENGTH);
+        let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::Reachability);
+        let (answered, sent) = (tally.answered_part(), tally.sent_per_asked());
+        let baseline = baseline.sent_per_asked();
+        println!("seed {seed}: answered {answered}, sent {sent}, without reachability {baseline}");
+        assert!(answered >= 0.98, "seed {seed}: answered {answered}");
+        assert!(sent <= MAX_SENT, "seed {seed}: sent {sent}");
+        assert!(baseline > MAX_SENT, "seed {seed}: the baseline passes as well: {baseline}");
+    }
+}
--- a/tests/policy_switches.rs
+++ b/tests/policy_switches.rs
@@ -1,4 +1,4 @@
-//! Mechanisms of the policy are switched off by name, and a wrong name is refused.
+//! Mechanisms of the policy are disabled by name, and an unknown name is rejected.
 
 use {
     oleandermount::{
@@ -16,7 +16,7 @@
 };
 
 #[test]
-fn names_read_back() {
+fn names_round_trip() {
     let all: SafeguardSet = PolicySafeguard::ALL.into_iter().collect();
     assert_eq!(all.to_string().parse(), Ok(all));
     let some: SafeguardSet = " window, hot-homes,".parse().expect("both names are known");
@@ -24,13 +24,13 @@
         some.contains(PolicySafeguard::Window) && some.contains(PolicySafeguard::PrefixReplication)
     );
     assert!(!some.contains(PolicySafeguard::Admission));
-    assert!("".parse::<SafeguardSet>().expect("no name is no fault").is_empty());
+    assert!("".parse::<SafeguardSet>().expect("an empty list is valid").is_empty());
 }
 
-// Guards against a misspelt name that leaves everything on while the operator believes it off.
+// Guards against a misspelt name that leaves a mechanism enabled although the operator disabled it.
 #[test]
 fn unknown_names_are_refused() {
-    let fault = "window,hothomes".parse::<SafeguardSet>().expect_err("one name is wrong");
+    let fault = "window,hothomes".parse::<SafeguardSet>().expect_err("one name is unknown");
     let SafeguardError::Unknown { name, known } = &fault;
     assert_eq!(name, "hothomes");
     assert!(PolicySafeguard::ALL.into_iter().all(|one| known.contains(one.as_str())), "{fault}");
@@ -72,8 +72,9 @@
     }
 }
 
-/// A dispatcher before one engine, on which an attempt has just broken: its peers should hear of it soon.
-fn dispatcher_after_a_break(now: Instant, disabled: SafeguardSet) -> Dispatcher {
+/// Returns a dispatcher with one engine on which an attempt has just broken, so that a digest is
+/// due immediately.
+fn dispatcher_with_broken_attempt(now: Instant, disabled: SafeguardSet) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(DispatcherSettings {
         daemon: "vm-1".to_owned(),
         failure_domain: "d1".to_owned(),
@@ -86,42 +87,42 @@
         PolicyAction::Send(order) => Some(order.attempt),
         _ => None,
     });
-    let attempt = attempt.expect("an idle engine takes it");
+    let attempt = attempt.expect("an idle engine takes the request");
     let failure = AttemptFailure::Broken;
     let broken = PolicyInput::Failed { attempt, failure, relayed_tokens: 0, retry_after: None };
     dispatcher.handle(now, broken);
     dispatcher
 }
 
-/// Wakes a dispatcher as its driver does, and counts how often within a second.
-fn wakes_in_a_second(dispatcher: &mut Dispatcher, start: Instant) -> u32 {
+/// Wakes a dispatcher as the driver does, and counts the wakeups within a second.
+fn wakeups_in_one_second(dispatcher: &mut Dispatcher, start: Instant) -> u32 {
     let mut now = start;
-    let mut wakes = 0;
+    let mut wakeups = 0;
     while let Some(due) = dispatcher.next_wakeup()
         && due < start + Duration::from_secs(1)
-        && wakes < 1_000
+        && wakeups < 1_000
     {
         now = now.max(due);
         dispatcher.handle(now, PolicyInput::Wake);
-        wakes += 1;
+        wakeups += 1;
     }
-    wakes
+    wakeups
 }
 
-// Guards against a driver that never rests: digests that are switched off stayed due for ever.
+// Guards against a busy loop of the driver when digests are disabled but remain due.
 #[test]
-fn digests_that_are_off_wake_nobody() {
+fn disabled_digests_cause_no_busy_loop() {
     let now = Instant::now();
     let disabled = [PolicySafeguard::Digests].into_iter().collect();
-    let mut dispatcher = dispatcher_after_a_break(now, disabled);
-    assert!(wakes_in_a_second(&mut dispatcher, now) < 50);
+    let mut dispatcher = dispatcher_with_broken_attempt(now, disabled);
+    assert!(wakeups_in_one_second(&mut dispatcher, now) < 50);
 }
 
-// Guards against a driver that never rests once the last server has left the list.
+// Guards against a busy loop of the driver after the last server was removed.
 #[test]
-fn an_empty_list_wakes_nobody() {
+fn empty_server_list_causes_no_busy_loop() {
     let now = Instant::now();
-    let mut dispatcher = dispatcher_after_a_break(now, SafeguardSet::default());
+    let mut dispatcher = dispatcher_with_broken_attempt(now, SafeguardSet::default());
     dispatcher.handle(now, view(&[]));
-    assert!(wakes_in_a_second(&mut dispatcher, now) < 50);
+    assert!(wakeups_in_one_second(&mut dispatcher, now) < 50);
 }
--- a/tests/prefix_fetch.rs
+++ b/tests/prefix_fetch.rs
@@ -1,5 +1,5 @@
-//! Engines fetch what they lack of a prompt from a server that holds it under the same weights, and
-//! short prefixes do not tie a chat to a busy server.
+//! Engines fetch missing parts of a prompt from a server that holds them under the same weights,
+//! and short prefixes do not bind a chat to a busy server.
 
 use {
     oleandermount::{
@@ -19,16 +19,17 @@
 
 const MODEL: &str = "basket-llm";
 const ENGINES: [&str; 3] = ["engine-0", "engine-1", "engine-2"];
-/// Tokens a second over a link of 280 Gbit/s at 164 KB a token, halved for the way between domains.
+/// Tokens per second over a link of 280 Gbit/s at 164 KB per token, halved for transfers between
+/// failure domains.
 const FETCH_RATE: f64 = 107_000.0;
 
-struct FetchBench {
+struct FetchFixture {
     now: Instant,
     dispatcher: Dispatcher,
     count: u32,
 }
 
-impl FetchBench {
+impl FetchFixture {
     fn new(fetch: bool) -> Self {
         let settings = DispatcherSettings {
             daemon: "vm-0".to_owned(),
@@ -47,23 +48,23 @@
         let objective = DecisionObjective::FirstToken;
         let view = PolicyView { revision: 1, objective, servers, ..PolicyView::default() };
         let now = Instant::now();
-        let mut bench = FetchBench { now, dispatcher: Dispatcher::new(settings), count: 0 };
-        bench.tell(PolicyInput::Configure(Arc::new(view)));
+        let mut fixture = FetchFixture { now, dispatcher: Dispatcher::new(settings), count: 0 };
+        fixture.handle(PolicyInput::Configure(Arc::new(view)));
         let rate = fetch.then_some(FETCH_RATE);
-        bench.tell(PolicyInput::PeerFetch { rate, newest: BTreeMap::new() });
+        fixture.handle(PolicyInput::PeerFetch { rate, newest: BTreeMap::new() });
         for engine in ENGINES {
-            bench.weights(engine, "1");
+            fixture.report_weights(engine, "1");
         }
-        bench
+        fixture
     }
 
-    fn tell(&mut self, input: PolicyInput) -> Vec<PolicyAction> {
+    fn handle(&mut self, input: PolicyInput) -> Vec<PolicyAction> {
         self.now += Duration::from_millis(1);
         self.dispatcher.handle(self.now, input)
     }
 
-    fn weights(&mut self, engine: &str, version: &str) {
-        self.tell(PolicyInput::Load(LoadReport {
+    fn report_weights(&mut self, engine: &str, version: &str) {
+        self.handle(PolicyInput::Load(LoadReport {
             server: engine.to_owned(),
             incarnation: 1,
             weights: [(MODEL.to_owned(), version.to_owned())].into(),
@@ -75,16 +76,16 @@
         }));
     }
 
-    fn leaving(&mut self, engine: &str) {
+    fn set_leaving(&mut self, engine: &str) {
         let (server, health) = (engine.to_owned(), ServerHealth::Leaving);
-        self.tell(PolicyInput::Health { server, health });
+        self.handle(PolicyInput::Health { server, health });
     }
 
-    /// Sends a prompt of `shared` tokens and as many of its own again.
+    /// Sends a prompt of `shared` shared tokens and as many of its own.
     fn send(&mut self, shared: u32) -> SendOrder {
         self.count += 1;
         let request = format!("r{}", self.count);
-        let actions = self.tell(PolicyInput::Arrive(RequestTicket {
+        let actions = self.handle(PolicyInput::Arrive(RequestTicket {
             request,
             organisation: "naran".to_owned(),
             class: RequestClass::Interactive,
@@ -106,108 +107,110 @@
             PolicyAction::Send(order) => Some(order),
             _ => None,
         });
-        order.expect("an idle engine takes it")
+        order.expect("an idle engine takes the request")
     }
 
     fn finish(&mut self, order: &SendOrder) {
         let attempt = order.attempt;
         self.now += Duration::from_millis(300);
-        self.tell(PolicyInput::FirstToken { attempt, cached_tokens: None });
-        self.tell(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens: 10 });
+        self.handle(PolicyInput::FirstToken { attempt, cached_tokens: None });
+        self.handle(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens: 10 });
     }
 }
 
-/// Without fetching a server that stands in for the home computes thousands of tokens again. Order
-/// of events: a prefix is computed at its home; the home stops taking work for a moment and another
-/// server computes it, too; that one leaves, and the prefix's next server fetches it from the home.
+/// A server that substitutes for the affinity server fetches the prefix instead of computing
+/// thousands of tokens again. A prefix is computed at its affinity server, which then stops
+/// accepting requests, and a second server computes it. When the second server leaves in turn,
+/// spillover from the full affinity server fetches the prefix from it.
 #[test]
-fn stand_in_fetches() {
-    let mut bench = FetchBench::new(true);
-    let first = bench.send(6_000);
-    bench.finish(&first);
-    bench.leaving(&first.server);
-    let second = bench.send(6_000);
+fn spillover_fetches_from_holder() {
+    let mut fixture = FetchFixture::new(true);
+    let first = fixture.send(6_000);
+    fixture.finish(&first);
+    fixture.set_leaving(&first.server);
+    let second = fixture.send(6_000);
     assert_ne!(second.server, first.server);
     assert_eq!(second.source.as_ref().filter(|source| **source == first.server), None);
-    bench.finish(&second);
-    bench.tell(PolicyInput::Health {
+    fixture.finish(&second);
+    fixture.handle(PolicyInput::Health {
         server: first.server.clone(),
         health: ServerHealth::Alive { incarnation: 1 },
     });
-    bench.leaving(&second.server);
-    // The home is full for a moment: what strays from it fetches from it.
-    let mut stray = None;
+    fixture.set_leaving(&second.server);
+    // Requests that spill over from the full affinity server fetch from it.
+    let mut spillover = None;
     for _ in 0..40 {
-        let order = bench.send(6_000);
+        let order = fixture.send(6_000);
         if order.server != first.server {
-            stray = Some(order);
+            spillover = Some(order);
             break;
         }
     }
-    let stray = stray.expect("a full home lets some go");
-    assert_eq!(stray.source.as_ref(), Some(&first.server));
+    let spillover = spillover.expect("a full server causes spillover");
+    assert_eq!(spillover.source.as_ref(), Some(&first.server));
 }
 
-/// A source with other weights would hand over cache entries of those weights, and the caller would
-/// get an answer made on them.
+/// A source with other weights would provide cache entries of those weights, and the answer would
+/// be generated from them.
 #[test]
-fn weights_must_match() {
-    let mut bench = FetchBench::new(true);
-    let first = bench.send(6_000);
-    bench.finish(&first);
+fn source_needs_same_weights() {
+    let mut fixture = FetchFixture::new(true);
+    let first = fixture.send(6_000);
+    fixture.finish(&first);
     let others: Vec<&str> = ENGINES.into_iter().filter(|one| *one != first.server).collect();
-    bench.weights(others[0], "2");
-    bench.weights(others[1], "3");
-    bench.leaving(&first.server);
-    let second = bench.send(6_000);
+    fixture.report_weights(others[0], "2");
+    fixture.report_weights(others[1], "3");
+    fixture.set_leaving(&first.server);
+    let second = fixture.send(6_000);
     assert_eq!(second.source, None);
 }
 
 #[test]
-fn no_source_without_fetching() {
-    let mut bench = FetchBench::new(false);
-    let first = bench.send(6_000);
-    bench.finish(&first);
-    assert_eq!(bench.send(6_000).source, None);
+fn disabled_fetching_names_no_source() {
+    let mut fixture = FetchFixture::new(false);
+    let first = fixture.send(6_000);
+    fixture.finish(&first);
+    assert_eq!(fixture.send(6_000).source, None);
 }
 
-/// A chat that shares two hundred tokens waited for its home behind a longer prompt there. Order of
-/// events: a longer prompt is sent to the home of a chat's prefix, of which this daemon knows nothing
-/// yet; the chat goes to an idle server instead.
+/// A chat with a short shared prefix must not wait for its affinity server behind a longer prompt.
+/// The affinity server of the chat's prefix is busy with a longer prompt, and the chat goes to an
+/// idle server.
 #[test]
-fn chat_leaves_busy_home() {
-    let home = FetchBench::new(true).send(200).server;
-    let mut bench = FetchBench::new(true);
+fn short_prefix_leaves_busy_server() {
+    let affinity_server = FetchFixture::new(true).send(200).server;
+    let mut fixture = FetchFixture::new(true);
     for engine in ENGINES {
-        if engine != home {
-            bench.leaving(engine);
+        if engine != affinity_server {
+            fixture.set_leaving(engine);
         }
     }
-    assert_eq!(bench.send(600).server, home);
+    assert_eq!(fixture.send(600).server, affinity_server);
     for engine in ENGINES {
         let health = ServerHealth::Alive { incarnation: 1 };
-        bench.tell(PolicyInput::Health { server: engine.to_owned(), health });
+        fixture.handle(PolicyInput::Health { server: engine.to_owned(), health });
     }
-    assert_ne!(bench.send(200).server, home);
+    assert_ne!(fixture.send(200).server, affinity_server);
 }
 
-/// A request ran on cache entries that were made under other weights than its own. Order of events:
-/// version 2 is named, and the order to load it reaches a server seconds late, at a moment when
-/// nobody holds the server back; what the server is just reading is finished under version 2 and kept
-/// under version 1's salt; another server, still on version 1, fetches it.
+/// Guards against answers from cache entries of other weights. Version 2 is named, and the load
+/// order reaches a server seconds late, when it is no longer reserved. What the server is computing
+/// is completed under version 2 and cached under the salt of version 1; another server, still on
+/// version 1, would fetch it.
 #[test]
-fn due_server_is_no_source() {
-    let mut bench = FetchBench::new(true);
-    let first = bench.send(6_000);
-    bench.finish(&first);
-    let source = |bench: &mut FetchBench| {
-        let stray = (0..30).map(|_| bench.send(6_000)).find(|order| order.server != first.server);
-        stray.expect("a full home lets some go").source
+fn outdated_server_is_no_source() {
+    let mut fixture = FetchFixture::new(true);
+    let first = fixture.send(6_000);
+    fixture.finish(&first);
+    let source = |fixture: &mut FetchFixture| {
+        let spillover =
+            (0..30).map(|_| fixture.send(6_000)).find(|order| order.server != first.server);
+        spillover.expect("a full server causes spillover").source
     };
     let newest = BTreeMap::from([(MODEL.to_owned(), "2".to_owned())]);
-    bench.tell(PolicyInput::PeerFetch { rate: Some(FETCH_RATE), newest });
-    assert_eq!(source(&mut bench), None);
+    fixture.handle(PolicyInput::PeerFetch { rate: Some(FETCH_RATE), newest });
+    assert_eq!(source(&mut fixture), None);
     let newest = BTreeMap::from([(MODEL.to_owned(), "1".to_owned())]);
-    bench.tell(PolicyInput::PeerFetch { rate: Some(FETCH_RATE), newest });
-    assert!(source(&mut bench).is_some());
+    fixture.handle(PolicyInput::PeerFetch { rate: Some(FETCH_RATE), newest });
+    assert!(source(&mut fixture).is_some());
 }
--- a/tests/reserved_engine.rs
+++ b/tests/reserved_engine.rs
@@ -1,7 +1,6 @@
-//! Load pattern: a third of the engines is about to load new weights while another third crashes, and
-//! the rest is full or follows. What callers saw: dozens a second were refused at once as if there
-//! were no server, though those about to load could still take them; and requests that met a server
-//! which was just restarting were tried four times within 0.1 s and refused.
+//! Some engines are about to load new weights while others crash and the rest is full. Guards
+//! against requests that are refused for lack of a server although reserved engines could take
+//! them, and against requests whose four attempts fail within 0.1 s at a restarting engine.
 
 use {
     oleandermount::{
@@ -21,13 +20,13 @@
 const MODEL: &str = "basket-llm";
 const ENGINES: [&str; 2] = ["engine-0", "engine-1"];
 
-struct EngineBench {
+struct EngineFixture {
     now: Instant,
     dispatcher: Dispatcher,
     count: u32,
 }
 
-impl EngineBench {
+impl EngineFixture {
     fn new() -> Self {
         let settings = DispatcherSettings {
             daemon: "vm-0".to_owned(),
@@ -45,11 +44,11 @@
         let servers = ENGINES.map(|id| (id.to_owned(), engine.clone())).into();
         let objective = DecisionObjective::FirstToken;
         let view = PolicyView { revision: 1, objective, servers, ..PolicyView::default() };
-        let mut bench =
-            EngineBench { now: Instant::now(), dispatcher: Dispatcher::new(settings), count: 0 };
-        bench.tell(PolicyInput::Configure(Arc::new(view)));
+        let mut fixture =
+            EngineFixture { now: Instant::now(), dispatcher: Dispatcher::new(settings), count: 0 };
+        fixture.handle(PolicyInput::Configure(Arc::new(view)));
         for engine in ENGINES {
-            bench.tell(PolicyInput::Load(LoadReport {
+            fixture.handle(PolicyInput::Load(LoadReport {
                 server: engine.to_owned(),
                 incarnation: 1,
                 weights: [(MODEL.to_owned(), "1".to_owned())].into(),
@@ -60,21 +59,21 @@
                 leaving: false,
             }));
         }
-        bench
+        fixture
     }
 
-    fn tell(&mut self, input: PolicyInput) -> Vec<PolicyAction> {
+    fn handle(&mut self, input: PolicyInput) -> Vec<PolicyAction> {
         self.now += Duration::from_millis(1);
         self.dispatcher.handle(self.now, input)
     }
 
-    fn health(&mut self, engine: &str, health: ServerHealth) {
-        self.tell(PolicyInput::Health { server: engine.to_owned(), health });
+    fn set_health(&mut self, engine: &str, health: ServerHealth) {
+        self.handle(PolicyInput::Health { server: engine.to_owned(), health });
     }
 
-    fn ask(&mut self) -> Vec<PolicyAction> {
+    fn send_prompt(&mut self) -> Vec<PolicyAction> {
         self.count += 1;
-        self.tell(PolicyInput::Arrive(RequestTicket {
+        self.handle(PolicyInput::Arrive(RequestTicket {
             request: format!("r-{}", self.count),
             organisation: "naran".to_owned(),
             class: RequestClass::Interactive,
@@ -91,17 +90,17 @@
         }))
     }
 
-    /// Lets time pass until the dispatcher decides something for a request.
-    fn decide(&mut self, within: Duration) -> Vec<PolicyAction> {
+    /// Advances the time until the dispatcher sends or refuses a request.
+    fn wait_for_decision(&mut self, within: Duration) -> Vec<PolicyAction> {
         let end = self.now + within;
         while self.now < end {
             let due = self.dispatcher.next_wakeup().unwrap_or(end).clamp(self.now, end);
             self.now = due + Duration::from_millis(1);
             let actions = self.dispatcher.handle(self.now, PolicyInput::Wake);
-            let decides = |action: &PolicyAction| {
+            let is_decision = |action: &PolicyAction| {
                 matches!(action, PolicyAction::Send(_) | PolicyAction::Refuse { .. })
             };
-            if actions.iter().any(decides) {
+            if actions.iter().any(is_decision) {
                 return actions;
             }
         }
@@ -125,57 +124,58 @@
 
 const RESERVED: ServerHealth = ServerHealth::Reserved { incarnation: 1 };
 
-/// One that is about to load gets nothing while another takes work, and everything once none does.
+/// A reserved engine gets no requests while another accepts them, and all requests once no other
+/// does.
 #[test]
-fn reserve_comes_last() {
-    let mut bench = EngineBench::new();
-    bench.health("engine-1", RESERVED);
+fn reserved_engine_is_used_last() {
+    let mut fixture = EngineFixture::new();
+    fixture.set_health("engine-1", RESERVED);
     for _ in 0..8 {
-        let actions = bench.ask();
+        let actions = fixture.send_prompt();
         assert_eq!(sent(&actions).map(|order| order.server), Some("engine-0".to_owned()));
     }
-    bench.health("engine-0", ServerHealth::Leaving);
-    let actions = bench.ask();
+    fixture.set_health("engine-0", ServerHealth::Leaving);
+    let actions = fixture.send_prompt();
     assert_eq!(sent(&actions).map(|order| order.server), Some("engine-1".to_owned()));
-    bench.health("engine-1", ServerHealth::Leaving);
-    assert_eq!(refused(&bench.ask()), Some(RefusalReason::NoServer));
+    fixture.set_health("engine-1", ServerHealth::Leaving);
+    assert_eq!(refused(&fixture.send_prompt()), Some(RefusalReason::NoServer));
 }
 
-/// Order of events: the only engine crashes and refuses connections for 0.8 s. The request waits for
-/// it over its four tries and is served; without the pause it was refused 0.1 s after the crash.
+/// The only engine crashes and refuses connections for 0.8 s. The four attempts of the request
+/// extend over this time, so it is answered and not refused.
 #[test]
-fn waits_for_a_restart() {
-    let mut bench = EngineBench::new();
-    bench.health("engine-1", ServerHealth::Leaving);
-    let began = bench.now;
-    let mut order = sent(&bench.ask()).expect("the engine takes work");
-    while bench.now < began + Duration::from_millis(800) {
-        let mut actions = bench.tell(PolicyInput::Failed {
+fn request_waits_for_restart() {
+    let mut fixture = EngineFixture::new();
+    fixture.set_health("engine-1", ServerHealth::Leaving);
+    let start = fixture.now;
+    let mut order = sent(&fixture.send_prompt()).expect("the engine accepts requests");
+    while fixture.now < start + Duration::from_millis(800) {
+        let mut actions = fixture.handle(PolicyInput::Failed {
             attempt: order.attempt,
             failure: AttemptFailure::NotConnected,
             relayed_tokens: 0,
             retry_after: None,
         });
         if sent(&actions).is_none() && refused(&actions).is_none() {
-            actions = bench.decide(Duration::from_secs(2));
+            actions = fixture.wait_for_decision(Duration::from_secs(2));
         }
-        assert_eq!(refused(&actions), None, "after {:?}", bench.now - began);
-        order = sent(&actions).expect("it is tried again");
+        assert_eq!(refused(&actions), None, "after {:?}", fixture.now - start);
+        order = sent(&actions).expect("the request is retried");
     }
-    assert!(bench.now < began + Duration::from_secs(2), "it is not held for long");
+    assert!(fixture.now < start + Duration::from_secs(2), "the request is not delayed for long");
 }
 
-/// While another engine is sound, a connection that was not made costs no pause.
+/// A failed connection causes no delay while another engine is usable.
 #[test]
-fn goes_on_at_once() {
-    let mut bench = EngineBench::new();
-    let order = sent(&bench.ask()).expect("engines take work");
-    let actions = bench.tell(PolicyInput::Failed {
+fn other_engine_is_tried_immediately() {
+    let mut fixture = EngineFixture::new();
+    let order = sent(&fixture.send_prompt()).expect("an idle engine takes the request");
+    let actions = fixture.handle(PolicyInput::Failed {
         attempt: order.attempt,
         failure: AttemptFailure::NotConnected,
         relayed_tokens: 0,
         retry_after: None,
     });
-    let next = sent(&actions).expect("the other engine takes it at once");
+    let next = sent(&actions).expect("the other engine takes the request immediately");
     assert_ne!(next.server, order.server);
 }
--- a/tests/retry_storm.rs
+++ b/tests/retry_storm.rs
@@ -1,4 +1,4 @@
-//! All engines fail for a while.
+//! A temporary failure of all engines.
 
 #[path = "../examples/policy_report/harness.rs"]
 mod harness;
@@ -15,15 +15,15 @@
 
 const LENGTH: Duration = Duration::from_secs(24);
 
-/// Sendings for each ask, a caller's coming back included. Ten seconds of failure use up what the
-/// daemons had saved for retries; a long failure comes down to 1.1.
-const SENT: f64 = 1.5;
+/// Maximum sends per request, including resends by callers. Ten seconds of failure use up the
+/// daemons' retry reserves; a longer failure converges to 1.1.
+const MAX_SENT: f64 = 1.5;
 
-/// All engines answer with errors for ten seconds. Callers hear of it after few tries, since retries
-/// are paid from a budget that first sends fill. Without that, each request is sent again and again,
-/// and the engines get several times the load just when they come back.
+/// All engines answer with errors for ten seconds. Requests fail after few attempts, since retries
+/// are paid from a budget that first sends fill. Without budgets, each request is resent many
+/// times, and the engines get a multiple of the load when they recover.
 #[test]
-fn failures_do_not_multiply() {
+fn retries_are_bounded() {
     for seed in [1, 2, 3] {
         let mut scene = LoadName::Steady.scene(SiteName::Tuul, seed, LENGTH);
         for server in 0..scene.plan.engines() {
@@ -32,10 +32,10 @@
                 scene.faults.push((Duration::from_secs(at), fault));
             }
         }
-        let (tally, bare) = with_and_without(scene, seed, PolicySafeguard::RetryBudget);
-        let (sent, bare) = (tally.sent_per_ask(), bare.sent_per_ask());
-        println!("seed {seed}: sent {sent}, without budgets {bare}");
-        assert!(sent <= SENT, "seed {seed}: sent {sent}");
-        assert!(bare > SENT, "seed {seed}: the load proves nothing: {bare}");
+        let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::RetryBudget);
+        let (sent, baseline) = (tally.sent_per_ask(), baseline.sent_per_ask());
+        println!("seed {seed}: sent {sent}, without budgets {baseline}");
+        assert!(sent <= MAX_SENT, "seed {seed}: sent {sent}");
+        assert!(baseline > MAX_SENT, "seed {seed}: the baseline passes as well: {baseline}");
     }
 }
--- a/tests/slow_server.rs
+++ b/tests/slow_server.rs
@@ -1,4 +1,4 @@
-//! Two servers turn slow and stay alive.
+//! Two servers become slow without failing.
 
 #[path = "../examples/policy_report/harness.rs"]
 mod harness;
@@ -16,21 +16,21 @@
 
 const LENGTH: Duration = Duration::from_secs(30);
 
-/// Chat requests that may miss their deadline in three runs: those on the engines when they slow
-/// down, and few more.
-const MISSES: u64 = 40;
+/// Maximum chat requests that miss their deadline in three runs: those in flight on the engines
+/// when they slow down, and few more.
+const MAX_MISSES: u64 = 40;
 
 fn misses(tally: &RunTally) -> u64 {
     let figures = tally.figures(INTERACTIVE);
     figures.asked - figures.in_time
 }
 
-/// Two of nine engines turn ten times slower; they still answer and report. Callers are soon sent
-/// elsewhere, since answers that are overdue count against a server at once. Without that, only an
-/// answer that came tells how slow it was, and until then callers go on waiting there.
+/// Two of nine engines become ten times slower but still respond and report. Requests soon go
+/// elsewhere, since overdue answers immediately increase a server's predicted time. Without this,
+/// only received answers show that it is slow, and until then requests are still sent there.
 #[test]
-fn slow_servers_get_less() {
-    let (mut own, mut bare) = (0, 0);
+fn slow_servers_get_fewer_requests() {
+    let (mut own, mut baseline) = (0, 0);
     for seed in [1, 2, 3] {
         let mut scene = LoadName::Steady.scene(SiteName::Tuul, seed, LENGTH);
         for server in [1, 4] {
@@ -39,9 +39,9 @@
         }
         let (tally, other) = with_and_without(scene, seed, PolicySafeguard::Overdue);
         own += misses(&tally);
-        bare += misses(&other);
+        baseline += misses(&other);
     }
-    println!("missed {own}, by answers alone {bare}");
-    assert!(own <= MISSES, "{own} missed their deadline");
-    assert!(bare > MISSES, "the load proves nothing: {bare}");
+    println!("missed {own}, without overdue answers {baseline}");
+    assert!(own <= MAX_MISSES, "{own} missed their deadline");
+    assert!(baseline > MAX_MISSES, "the baseline passes as well: {baseline}");
 }
--- a/tests/stale_reports.rs
+++ b/tests/stale_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports that no longer come.
+//! Missing load reports.
 
 #[path = "../examples/policy_report/harness.rs"]
 mod harness;
@@ -16,12 +16,12 @@
 
 const LENGTH: Duration = Duration::from_secs(36);
 
-/// What chat callers have to get while a third of the engines hardly moves.
+/// Required goodput of chat requests while a third of the engines is stalled.
 const GOODPUT: f64 = 0.80;
 
-/// Three of nine engines stall, and no load report comes for the whole run, so nothing says so. Callers
-/// are soon sent elsewhere, since answers that are overdue count against a server. Without that, the
-/// last news of the engine stays good for as long as it answers nothing.
+/// Three of nine engines stall, and no load report arrives during the whole run. Requests soon go
+/// elsewhere, since overdue answers increase a server's predicted time. Without this, the last
+/// known state of a stalled engine stays valid.
 #[test]
 fn overdue_answers_outweigh_reports() {
     for seed in [1, 2, 3] {
@@ -31,11 +31,11 @@
             let fault = SiteFault::SetSpeed { server, speed: 0.02 };
             scene.faults.push((LENGTH / 6, fault));
         }
-        let (tally, bare) = with_and_without(scene, seed, PolicySafeguard::Overdue);
+        let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::Overdue);
         let own = tally.figures(INTERACTIVE).goodput();
-        let bare = bare.figures(INTERACTIVE).goodput();
-        println!("seed {seed}: goodput {own}, by reports alone {bare}");
+        let baseline = baseline.figures(INTERACTIVE).goodput();
+        println!("seed {seed}: goodput {own}, without overdue answers {baseline}");
         assert!(own >= GOODPUT, "seed {seed}: goodput {own}");
-        assert!(bare < GOODPUT, "seed {seed}: the load proves nothing: {bare}");
+        assert!(baseline < GOODPUT, "seed {seed}: the baseline passes as well: {baseline}");
     }
 }
--- a/tests/weight_rollout.rs
+++ b/tests/weight_rollout.rs
@@ -1,4 +1,4 @@
-//! New weights load a few at a time, while other servers go on serving.
+//! New weights are loaded by a few servers at a time while the others keep serving.
 
 use {
     oleandermount::policy::rollout::{RolloutServer, next_step},
@@ -16,10 +16,10 @@
     }
 }
 
-/// Callers go on being served. Nine busy servers have to change weights and the store takes two
-/// loads at a time: if more were ordered at once, each would take longer and nobody would serve.
+/// Nine busy servers have to change weights, and the store sustains two loads at a time. More loads
+/// at once would each take longer, and no server would be left to serve.
 #[test]
-fn busy_servers_take_turns() {
+fn busy_servers_load_in_turn() {
     let mut servers: BTreeMap<String, RolloutServer> =
         (0..9).map(|index| (format!("engine-{index}"), server(Some("w1"), 3))).collect();
     let mut rounds = 0;
@@ -35,11 +35,12 @@
             assert_eq!(server.in_flight, 0, "{id} is drained first");
             server.loading = true;
         }
-        let away = servers.values().filter(|server| server.loading || server.draining).count();
-        assert!(away <= 2, "{away} servers are away at once");
+        let unavailable =
+            servers.values().filter(|server| server.loading || server.draining).count();
+        assert!(unavailable <= 2, "{unavailable} servers are unavailable at once");
         for server in servers.values_mut() {
             if server.loading {
-                *server = server_done();
+                *server = loaded_server();
             } else if server.draining {
                 server.in_flight = server.in_flight.saturating_sub(1);
             }
@@ -47,14 +48,14 @@
     }
 }
 
-fn server_done() -> RolloutServer {
+fn loaded_server() -> RolloutServer {
     server(Some("w2"), 2)
 }
 
-/// A model's only server cannot be spared by draining it first: it loads at once. A dead server is
-/// given no order, and one that has no weights at all comes before those that serve.
+/// The only server of a model loads without being drained first. An unresponsive server gets no
+/// order, and a server without weights loads before those that serve.
 #[test]
-fn order_of_loads() {
+fn loads_are_ordered() {
     let alone = [("a".to_owned(), server(Some("w1"), 5))].into();
     assert_eq!(next_step(&alone, 2).load, ["a"]);
     let dead = [("a".to_owned(), RolloutServer { alive: false, ..server(Some("w1"), 0) })].into();
