--- a/examples/fakes/engine.rs
+++ b/examples/fakes/engine.rs
@@ -70,12 +70,12 @@
 
 /// What a test sees and changes while the stand-in runs.
 #[derive(Default)]
-pub struct EngineKnobs {
+pub struct EngineControls {
     /// Break each stream off after this many events; 0 never does.
     pub break_after: AtomicU64,
     /// Answer with another attempt's id; 0 does not.
-    pub cross_answers: AtomicU64,
-    /// Hold each stream before its first token until [`EngineKnobs::release`]; 0 does not.
+    pub mismatch_attempt: AtomicU64,
+    /// Hold each stream before its first token until [`EngineControls::release`]; 0 does not.
     pub hold: AtomicU64,
     /// Signalled to let held streams go on.
     pub released: Notify,
@@ -89,7 +89,7 @@
     pub leaving: AtomicU64,
 }
 
-impl EngineKnobs {
+impl EngineControls {
     /// Lets all held streams go on.
     pub fn release(&self) {
         self.hold.store(0, Ordering::SeqCst);
@@ -99,7 +99,7 @@
 
 struct EngineState {
     behaviour: EngineBehaviour,
-    knobs: Arc<EngineKnobs>,
+    controls: Arc<EngineControls>,
     incarnation: Incarnation,
     running: AtomicU64,
     cache: Mutex<BTreeSet<u64>>,
@@ -110,7 +110,7 @@
 pub struct FakeEngine {
     server: HttpServer,
     /// Its knobs.
-    pub knobs: Arc<EngineKnobs>,
+    pub controls: Arc<EngineControls>,
 }
 
 impl FakeEngine {
@@ -119,19 +119,19 @@
     /// # Errors
     /// When the address cannot be listened on.
     pub async fn start(behaviour: EngineBehaviour) -> io::Result<Self> {
-        let knobs = Arc::new(EngineKnobs::default());
+        let controls = Arc::new(EngineControls::default());
         let listen = behaviour.listen;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let state = Arc::new(EngineState {
             weights: Mutex::new((behaviour.weights.clone(), FencingNumber::default())),
             behaviour,
-            knobs: Arc::clone(&knobs),
+            controls: Arc::clone(&controls),
             incarnation: now.as_nanos() as u64,
             running: AtomicU64::new(0),
             cache: Mutex::default(),
         });
         let server = HttpServer::start(listen, router(state), RequestLimits::default()).await?;
-        Ok(FakeEngine { server, knobs })
+        Ok(FakeEngine { server, controls })
     }
 
     /// Where it listens.
@@ -162,7 +162,7 @@
         .post(
             "/v1/attempts/:id/cancel",
             on(|state, _| {
-                state.knobs.cancelled.fetch_add(1, Ordering::SeqCst);
+                state.controls.cancelled.fetch_add(1, Ordering::SeqCst);
                 Box::pin(async { Ok(json_response(200, &json!({}))) })
             }),
         )
@@ -185,7 +185,7 @@
             "weights": BTreeMap::from([(state.behaviour.model.clone(), weights)]),
             "running": state.running.load(Ordering::SeqCst),
             "waiting": 0,
-            "leaving": state.knobs.leaving.load(Ordering::SeqCst) != 0,
+            "leaving": state.controls.leaving.load(Ordering::SeqCst) != 0,
         }),
     )
 }
@@ -224,7 +224,7 @@
     fn drop(&mut self) {
         self.state.running.fetch_sub(1, Ordering::SeqCst);
         if !self.whole {
-            self.state.knobs.dropped.fetch_add(1, Ordering::SeqCst);
+            self.state.controls.dropped.fetch_add(1, Ordering::SeqCst);
         }
     }
 }
@@ -232,7 +232,7 @@
 async fn generate(state: Arc<EngineState>, mut request: Request) -> Result<Response> {
     let attempt = request.headers().get(ATTEMPT_HEADER).cloned();
     let body: Value = serde_json::from_slice(&request.bytes().await?).unwrap_or_default();
-    state.knobs.started.fetch_add(1, Ordering::SeqCst);
+    state.controls.started.fetch_add(1, Ordering::SeqCst);
     let (weights, _) = state.weights.lock().expect("no holder panics").clone();
     if body["weights"].as_str().is_some_and(|wanted| wanted != weights) {
         return Ok(json_response(409, &json!({ "error": "other weights are loaded" })));
@@ -252,7 +252,7 @@
     };
     let mut response = Response::new(Body::from_stream(stream::unfold(generation, step)));
     if let Some(attempt) = attempt {
-        let crossed = state.knobs.cross_answers.load(Ordering::SeqCst) != 0;
+        let crossed = state.controls.mismatch_attempt.load(Ordering::SeqCst) != 0;
         let echo = if crossed { "0".repeat(32).parse().expect("digits") } else { attempt };
         response.headers_mut().insert(ATTEMPT_HEADER, echo);
     }
@@ -287,16 +287,16 @@
     let state = Arc::clone(&generation.state);
     if generation.next == 1 {
         sleep(state.behaviour.prefill).await;
-        while state.knobs.hold.load(Ordering::SeqCst) != 0 {
-            let released = state.knobs.released.notified();
-            if state.knobs.hold.load(Ordering::SeqCst) != 0 {
+        while state.controls.hold.load(Ordering::SeqCst) != 0 {
+            let released = state.controls.released.notified();
+            if state.controls.hold.load(Ordering::SeqCst) != 0 {
                 released.await;
             }
         }
     } else {
         sleep(state.behaviour.token).await;
     }
-    let break_after = state.knobs.break_after.load(Ordering::SeqCst);
+    let break_after = state.controls.break_after.load(Ordering::SeqCst);
     if break_after != 0 && generation.next > break_after {
         return Some((Err(io::Error::other("the stand-in breaks off")), generation));
     }
--- a/examples/fakes/http_client.rs
+++ b/examples/fakes/http_client.rs
@@ -14,12 +14,12 @@
 };
 
 /// An answer whose body is still to be read; dropping it closes the connection.
-pub struct OpenAnswer {
+pub struct OpenResponse {
     pub response: Response<Incoming>,
     connection: JoinHandle<()>,
 }
 
-impl Drop for OpenAnswer {
+impl Drop for OpenResponse {
     fn drop(&mut self) {
         self.connection.abort();
     }
@@ -27,13 +27,13 @@
 
 /// An answer read whole.
 #[derive(Debug)]
-pub struct WholeAnswer {
+pub struct BufferedResponse {
     pub status: StatusCode,
     pub retry_after: Option<String>,
     pub body: Bytes,
 }
 
-impl WholeAnswer {
+impl BufferedResponse {
     /// The body as JSON; `Null` if it is none.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
@@ -55,7 +55,7 @@
     path: &str,
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
-) -> io::Result<OpenAnswer> {
+) -> io::Result<OpenResponse> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (mut sender, connection) =
@@ -69,7 +69,7 @@
         headers.iter().fold(builder, |builder, (name, value)| builder.header(*name, *value));
     let request = builder.body(Full::new(body.into())).map_err(io::Error::other)?;
     let response = sender.send_request(request).await.map_err(io::Error::other)?;
-    Ok(OpenAnswer { response, connection })
+    Ok(OpenResponse { response, connection })
 }
 
 /// Sends a request and reads the whole answer.
@@ -82,11 +82,11 @@
     path: &str,
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
-) -> io::Result<WholeAnswer> {
+) -> io::Result<BufferedResponse> {
     let mut open = open(address, method, path, headers, body).await?;
     let body = open.response.body_mut().collect().await.map_err(io::Error::other)?.to_bytes();
     let header = open.response.headers().get("retry-after");
-    Ok(WholeAnswer {
+    Ok(BufferedResponse {
         status: open.response.status(),
         retry_after: header.and_then(|value| value.to_str().ok()).map(str::to_owned),
         body,
--- a/examples/fakes/service.rs
+++ b/examples/fakes/service.rs
@@ -23,10 +23,10 @@
 
 /// What a test sees and changes while the stand-in runs.
 #[derive(Default)]
-pub struct ServiceKnobs {
+pub struct ServiceControls {
     /// Runs by idempotency key; bounded by the test that sends them.
     pub runs: Mutex<BTreeMap<String, u64>>,
-    /// Hold each answer after the run until [`ServiceKnobs::release`]; 0 does not.
+    /// Hold each answer after the run until [`ServiceControls::release`]; 0 does not.
     pub hold: AtomicU64,
     /// Signalled to let held answers go.
     pub released: Notify,
@@ -36,7 +36,7 @@
     pub break_off: AtomicU64,
 }
 
-impl ServiceKnobs {
+impl ServiceControls {
     /// Lets all held answers go.
     pub fn release(&self) {
         self.hold.store(0, Ordering::SeqCst);
@@ -53,7 +53,7 @@
 pub struct FakeService {
     server: HttpServer,
     /// Its knobs.
-    pub knobs: Arc<ServiceKnobs>,
+    pub controls: Arc<ServiceControls>,
 }
 
 impl FakeService {
@@ -62,11 +62,11 @@
     /// # Errors
     /// When the address cannot be listened on.
     pub async fn start(listen: SocketAddr) -> io::Result<Self> {
-        let knobs = Arc::new(ServiceKnobs::default());
+        let controls = Arc::new(ServiceControls::default());
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let router = router(Arc::clone(&knobs), now.as_nanos() as u64);
+        let router = router(Arc::clone(&controls), now.as_nanos() as u64);
         let server = HttpServer::start(listen, router, RequestLimits::default()).await?;
-        Ok(FakeService { server, knobs })
+        Ok(FakeService { server, controls })
     }
 
     /// Where it listens.
@@ -75,9 +75,9 @@
     }
 }
 
-fn router(knobs: Arc<ServiceKnobs>, incarnation: u64) -> Router {
-    let counted = Arc::clone(&knobs);
-    let switched = Arc::clone(&knobs);
+fn router(controls: Arc<ServiceControls>, incarnation: u64) -> Router {
+    let counted = Arc::clone(&controls);
+    let switched = Arc::clone(&controls);
     Router::new()
         .get("/v1/load", move |_: Request| async move {
             Ok::<_, viz::Error>(json_response(200, &json!({ "incarnation": incarnation })))
@@ -92,17 +92,17 @@
             let answer = turn_knob(&switched, &request);
             async move { Ok::<_, viz::Error>(answer) as Result<Response> }
         })
-        .any("/*", move |request: Request| run(Arc::clone(&knobs), request))
+        .any("/*", move |request: Request| run(Arc::clone(&controls), request))
 }
 
-fn turn_knob(knobs: &ServiceKnobs, request: &Request) -> Response {
+fn turn_knob(controls: &ServiceControls, request: &Request) -> Response {
     let name: String = request.param("name").unwrap_or_default();
     let value: u64 = request.param("value").unwrap_or_default();
     match name.as_str() {
-        "hold" if value == 0 => knobs.release(),
-        "hold" => knobs.hold.store(value, Ordering::SeqCst),
-        "status" => knobs.status.store(value, Ordering::SeqCst),
-        "break_off" => knobs.break_off.store(value, Ordering::SeqCst),
+        "hold" if value == 0 => controls.release(),
+        "hold" => controls.hold.store(value, Ordering::SeqCst),
+        "status" => controls.status.store(value, Ordering::SeqCst),
+        "break_off" => controls.break_off.store(value, Ordering::SeqCst),
         _ => return json_response(404, &json!({ "error": "no such knob" })),
     }
     json_response(200, &json!({ name: value }))
@@ -115,31 +115,31 @@
     response
 }
 
-async fn run(knobs: Arc<ServiceKnobs>, mut request: Request) -> Result<Response> {
+async fn run(controls: Arc<ServiceControls>, mut request: Request) -> Result<Response> {
     let attempt = request.headers().get(ATTEMPT_HEADER).cloned();
     let key: Option<String> = request.header("idempotency-key");
     let path = request.path().to_owned();
     let body = request.bytes().await.unwrap_or_default();
     let run = match key.clone() {
         Some(key) => {
-            let mut runs = knobs.runs.lock().expect("no holder panics");
+            let mut runs = controls.runs.lock().expect("no holder panics");
             let count = runs.entry(key).or_default();
             *count += 1;
             *count
         }
         None => 1,
     };
-    while knobs.hold.load(Ordering::SeqCst) != 0 {
-        let released = knobs.released.notified();
-        if knobs.hold.load(Ordering::SeqCst) != 0 {
+    while controls.hold.load(Ordering::SeqCst) != 0 {
+        let released = controls.released.notified();
+        if controls.hold.load(Ordering::SeqCst) != 0 {
             released.await;
         }
     }
-    if knobs.break_off.load(Ordering::SeqCst) != 0 {
+    if controls.break_off.load(Ordering::SeqCst) != 0 {
         let broken = futures::stream::iter([Err::<Bytes, _>(io::Error::other("broken off"))]);
         return Ok(Response::new(Body::from_stream(broken)));
     }
-    let status = match knobs.status.load(Ordering::SeqCst) {
+    let status = match controls.status.load(Ordering::SeqCst) {
         0 => 200,
         status => status as u16,
     };
--- a/examples/relay_load.rs
+++ b/examples/relay_load.rs
@@ -145,7 +145,7 @@
     Ok(())
 }
 
-async fn open_stream(address: SocketAddr, tokens: u64) -> io::Result<http_client::OpenAnswer> {
+async fn open_stream(address: SocketAddr, tokens: u64) -> io::Result<http_client::OpenResponse> {
     let body = json!({
         "model": MODEL, "stream": true, "max_tokens": tokens,
         "messages": [{ "role": "user", "content": "which slots are free on Monday?" }],
@@ -165,7 +165,7 @@
     }
 }
 
-async fn read_rest(mut open: http_client::OpenAnswer) -> io::Result<()> {
+async fn read_rest(mut open: http_client::OpenResponse) -> io::Result<()> {
     let rest = open.response.body_mut().collect().await.map_err(io::Error::other)?;
     match rest.to_bytes().ends_with(b"data: [DONE]\n\n") {
         true => Ok(()),
--- a/src/daemon/duties.rs
+++ b/src/daemon/duties.rs
@@ -5,7 +5,7 @@
     crate::{
         backend::{BackendError, engine},
         ids::{AttemptId, FailureDomainId, VmId},
-        pipeline::{PipelineCore, dispatch::DispatchDuty},
+        pipeline::{PipelineCore, dispatch::DispatchTask},
         policy::{DomainDigest, PolicyInput},
         transport::{PeerMessage, PeerNetwork},
     },
@@ -30,7 +30,7 @@
     core: Arc<PipelineCore>,
     network: PeerNetwork,
     watch: MembershipWatch,
-    mut duties: mpsc::Receiver<DispatchDuty>,
+    mut duties: mpsc::Receiver<DispatchTask>,
 ) {
     let mut running = JoinSet::new();
     while let Some(duty) = duties.recv().await {
@@ -39,19 +39,19 @@
         }
         while running.try_join_next().is_some() {}
         match duty {
-            DispatchDuty::Publish(mut digest) => {
+            DispatchTask::Publish(mut digest) => {
                 digest.findings = watch.findings();
                 publish(&core, &network, digest);
             }
-            DispatchDuty::Probe { server } => {
+            DispatchTask::Probe { server } => {
                 let core = Arc::clone(&core);
                 running.spawn(async move {
                     let Some(address) = core.address(&server) else { return };
                     let answered = probe_server(server.clone(), address).await.is_ok();
-                    core.port.tell(PolicyInput::Probed { server, answered });
+                    core.dispatcher.notify(PolicyInput::Probed { server, answered });
                 });
             }
-            DispatchDuty::Cancel { attempt, server } => {
+            DispatchTask::Cancel { attempt, server } => {
                 let Some(address) = core.address(&server) else { continue };
                 running.spawn(cancel_attempt(address, attempt));
             }
--- a/src/daemon/peer_desk.rs
+++ b/src/daemon/peer_desk.rs
@@ -65,7 +65,7 @@
             }
             PeerMessage::Digest(digest) => {
                 parts.watch.digest(&digest);
-                parts.core.port.tell(PolicyInput::Digest(*digest));
+                parts.core.dispatcher.notify(PolicyInput::Digest(*digest));
             }
             PeerMessage::DrainServer { server } => parts.news.hold(&server),
             PeerMessage::ConfigNotice { revision } => parts.spread.notice(from, revision),
@@ -95,7 +95,7 @@
             }
             PeerRequest::Status => self.status().reply(),
             PeerRequest::Drain => {
-                self.core.gate.begin();
+                self.core.gate.begin_drain();
                 PeerReply::Draining
             }
             PeerRequest::Follow(_) => {
--- a/src/daemon/running.rs
+++ b/src/daemon/running.rs
@@ -27,9 +27,9 @@
         observe::metrics::{self as measures, MetricsError},
         options::{DaemonOptions, DaemonRole},
         pipeline::{
-            CoreParts, DispatchPort, DrainGate, PipelineCore, TraceLog,
-            deduplicate::{announce_life, tell_floor},
-            dispatch::DispatchDuty,
+            CoreParts, DispatcherHandle, DrainGate, PipelineCore, TraceLog,
+            deduplicate::{announce_incarnation, report_attempt_floor},
+            dispatch::DispatchTask,
         },
         policy::{Dispatcher, DispatcherSettings},
         transport::{NetworkSettings, PeerMessage, PeerNetwork, TransportError},
@@ -205,9 +205,9 @@
             let (core, control) = (Arc::clone(&parts.core), Arc::clone(&parts.control));
             tasks.spawn(follow_voters(core, network.clone(), control));
         }
-        tasks.spawn(announce_life(Arc::clone(&parts.core)));
-        tasks.spawn(tell_floor(Arc::clone(&parts.core)));
-        let port = Arc::clone(&parts.core.port);
+        tasks.spawn(announce_incarnation(Arc::clone(&parts.core)));
+        tasks.spawn(report_attempt_floor(Arc::clone(&parts.core)));
+        let port = Arc::clone(&parts.core.dispatcher);
         tasks.spawn(async move { port.run_wakeups().await });
     }
 }
@@ -250,7 +250,7 @@
 
     /// Takes no new work from now on; `/readyz` answers 503.
     pub fn drain(self) -> Daemon<Draining> {
-        self.state.0.core.gate.begin();
+        self.state.0.core.gate.begin_drain();
         metrics::gauge!(measures::DRAINING).set(1.0);
         log::info!(in_flight = self.state.0.core.gate.in_flight(); "draining");
         Daemon { options: self.options, state: Draining(self.state.0) }
@@ -325,7 +325,7 @@
 fn start_core(
     options: &DaemonOptions,
     control: Arc<RemoteControl>,
-    duties: mpsc::Sender<DispatchDuty>,
+    duties: mpsc::Sender<DispatchTask>,
 ) -> Arc<PipelineCore> {
     let trace = Arc::new(TraceLog::default());
     let dispatcher = Dispatcher::new(DispatcherSettings {
@@ -337,7 +337,7 @@
     PipelineCore::new(CoreParts {
         vm: options.identity.vm.clone(),
         incarnation: fresh_incarnation(),
-        port: DispatchPort::new(dispatcher, duties, Arc::clone(&trace)),
+        dispatcher: DispatcherHandle::new(dispatcher, duties, Arc::clone(&trace)),
         control,
         gate: DrainGate::default(),
         trace,
--- a/src/daemon/server_news.rs
+++ b/src/daemon/server_news.rs
@@ -57,7 +57,7 @@
             ServerHold { since: Instant::now(), weights: report.map(|report| report.weights) };
         self.holds().insert(server.clone(), hold);
         let health = ServerHealth::Leaving;
-        self.core.port.tell(PolicyInput::Health { server: server.clone(), health });
+        self.core.dispatcher.notify(PolicyInput::Health { server: server.clone(), health });
     }
 
     /// Passes on what comes through `findings` until the watch ends.
@@ -82,7 +82,7 @@
         match &finding {
             PolicyInput::Health { server, health: ServerHealth::Alive { .. } }
                 if self.holds().contains_key(server) => {}
-            _ => self.core.port.tell(finding),
+            _ => self.core.dispatcher.notify(finding),
         }
     }
 
@@ -94,7 +94,7 @@
         let same = ServerHealth::Alive { incarnation: report.incarnation };
         if health == Some(same) && !self.holds().contains_key(server) {
             let server = server.clone();
-            self.core.port.tell(PolicyInput::Health { server, health: same });
+            self.core.dispatcher.notify(PolicyInput::Health { server, health: same });
         }
     }
 
@@ -119,7 +119,7 @@
         ended.into_iter().for_each(|server| {
             let health = board.get(&server).and_then(|entry| entry.health);
             health.into_iter().for_each(|health| {
-                self.core.port.tell(PolicyInput::Health { server: server.clone(), health });
+                self.core.dispatcher.notify(PolicyInput::Health { server: server.clone(), health });
             });
         });
     }
--- a/src/daemon/status_desk.rs
+++ b/src/daemon/status_desk.rs
@@ -93,7 +93,7 @@
     }
 
     fn organisations(&self, limit: usize) -> Vec<OrganisationStatus> {
-        let heaviest = self.parts.core.usage.heaviest(limit);
+        let heaviest = self.parts.core.usage.busiest_organisations(limit);
         heaviest
             .into_iter()
             .map(|(id, usage)| OrganisationStatus {
@@ -165,7 +165,7 @@
     fn drain(&self, vm: VmId) -> BoxFuture<'_, Result<(), SourceError>> {
         Box::pin(async move {
             if vm == self.identity.vm {
-                self.parts.core.gate.begin();
+                self.parts.core.gate.begin_drain();
                 return Ok(());
             }
             let known =
--- a/src/gateway/answer.rs
+++ b/src/gateway/answer.rs
@@ -6,8 +6,8 @@
         pipeline::{
             CallerRefusal,
             drain::OpenRequest,
-            prompt::AnswerDelivery,
-            relay::{AnswerPart, TokenUsage, broken_stream},
+            prompt::ResponseDelivery,
+            relay::{ResponsePart, TokenUsage, truncated_stream},
         },
     },
     bytes::Bytes,
@@ -66,8 +66,8 @@
 /// An event stream that begins with `first` and goes on with `parts`.
 pub fn stream_answer(
     first: Value,
-    parts: mpsc::Receiver<AnswerPart>,
-    delivery: AnswerDelivery,
+    parts: mpsc::Receiver<ResponsePart>,
+    delivery: ResponseDelivery,
     request: RequestId,
     open: OpenRequest,
 ) -> Response {
@@ -80,8 +80,8 @@
 
 struct StreamState {
     first: Option<Value>,
-    parts: mpsc::Receiver<AnswerPart>,
-    delivery: AnswerDelivery,
+    parts: mpsc::Receiver<ResponsePart>,
+    delivery: ResponseDelivery,
     request: RequestId,
     /// Held until the last event is made; `None` ends the stream.
     open: Option<OpenRequest>,
@@ -91,22 +91,22 @@
     stream::unfold(state, |mut state| async move {
         state.open.as_ref()?;
         let part = match state.first.take() {
-            Some(first) => Some(AnswerPart::Chunk(first)),
+            Some(first) => Some(ResponsePart::Chunk(first)),
             None => state.parts.recv().await,
         };
         let text = match part {
-            Some(AnswerPart::Chunk(chunk)) => data_event(&chunk),
-            Some(AnswerPart::Whole(usage)) => {
+            Some(ResponsePart::Chunk(chunk)) => data_event(&chunk),
+            Some(ResponsePart::Complete(usage)) => {
                 state.open = None;
                 last_events(state.delivery, usage, &state.request)
             }
-            Some(AnswerPart::Refused(refusal)) => {
+            Some(ResponsePart::Refused(refusal)) => {
                 state.open = None;
                 error_event(&refusal)
             }
-            Some(AnswerPart::CallerError { .. }) | None => {
+            Some(ResponsePart::CallerError { .. }) | None => {
                 state.open = None;
-                error_event(&broken_stream())
+                error_event(&truncated_stream())
             }
         };
         Some((Ok(Bytes::from(text)), state))
@@ -122,13 +122,13 @@
     format!("event: error\ndata: {}\n\n", refusal.body())
 }
 
-fn last_events(delivery: AnswerDelivery, usage: TokenUsage, request: &RequestId) -> String {
+fn last_events(delivery: ResponseDelivery, usage: TokenUsage, request: &RequestId) -> String {
     match delivery {
-        AnswerDelivery::StreamedWithUsage => {
+        ResponseDelivery::StreamedWithUsage => {
             let chunk = json!({ "id": request, "choices": [], "usage": usage_body(usage) });
             data_event(&chunk) + DONE_EVENT
         }
-        AnswerDelivery::Streamed | AnswerDelivery::Whole => DONE_EVENT.to_owned(),
+        ResponseDelivery::Streamed | ResponseDelivery::Buffered => DONE_EVENT.to_owned(),
     }
 }
 
--- a/src/gateway/caller.rs
+++ b/src/gateway/caller.rs
@@ -15,13 +15,13 @@
             counters::count_request,
             drain::{GateClosed, OpenRequest},
             limit::{
-                CLASS_HEADER, CallerTerms, CallerWishes, DEADLINE_HEADER, check_model,
-                check_service, is_repeatable, settle_terms,
+                CLASS_HEADER, CallerContext, CallerHeaders, DEADLINE_HEADER, check_model,
+                check_service, is_repeatable, resolve_caller,
             },
-            prompt::{AnswerDelivery, ParsedPrompt, PromptForm},
-            relay::{AnswerPart, ModelRequest, PART_BOUND, run_model},
-            send_fuse::SendFuse,
-            service_call::{ServiceCall, not_in_time, run_once, run_repeatable},
+            prompt::{ParsedPrompt, PromptFormat, ResponseDelivery},
+            relay::{ModelRequest, PART_CAPACITY, ResponsePart, run_model},
+            send_state::SendState,
+            service_call::{ServiceCall, deadline_refusal, run_once, run_repeatable},
         },
         policy::DidRun,
     },
@@ -111,14 +111,14 @@
         request.uri().path()
     );
     let refusal = CallerRefusal::before_run(404, refusal::NOT_FOUND, message);
-    refusal_answer(&refusal, &gate.core.next_request())
+    refusal_answer(&refusal, &gate.core.next_request_id())
 }
 
 async fn models(gate: CallerGate, request: Request) -> Response {
-    let id = gate.core.next_request();
+    let id = gate.core.next_request_id();
     let serving = gate.core.serving();
     let wishes = wishes(request.headers());
-    match settle_terms(&serving, wishes, Instant::now()) {
+    match resolve_caller(&serving, wishes, Instant::now()) {
         Err(refusal) => refusal_answer(&refusal, &id),
         Ok(terms) => {
             let allowed = serving
@@ -137,15 +137,15 @@
 
 fn check_allowed(
     serving: &crate::pipeline::ServingConfig,
-    terms: &CallerTerms,
+    terms: &CallerContext,
     model: &str,
 ) -> bool {
     serving.rules.get(&terms.organisation).is_some_and(|rule| rule.allows_model(model))
 }
 
-fn wishes(headers: &HeaderMap) -> CallerWishes<'_> {
+fn wishes(headers: &HeaderMap) -> CallerHeaders<'_> {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
-    CallerWishes {
+    CallerHeaders {
         authorization: text(header::AUTHORIZATION.as_str()),
         deadline: text(DEADLINE_HEADER),
         class: text(CLASS_HEADER),
@@ -153,15 +153,15 @@
 }
 
 async fn chat(gate: CallerGate, request: Request) -> Response {
-    model_answer(gate, request, PromptForm::Chat).await
+    model_answer(gate, request, PromptFormat::Chat).await
 }
 
 async fn text(gate: CallerGate, request: Request) -> Response {
-    model_answer(gate, request, PromptForm::Text).await
+    model_answer(gate, request, PromptFormat::Text).await
 }
 
-async fn model_answer(gate: CallerGate, request: Request, form: PromptForm) -> Response {
-    let id = gate.core.next_request();
+async fn model_answer(gate: CallerGate, request: Request, form: PromptFormat) -> Response {
+    let id = gate.core.next_request_id();
     let started = Instant::now();
     let response = match admit_model(&gate, request, form, &id).await {
         Ok((request, open)) => run_model_request(&gate, request, open).await,
@@ -180,13 +180,13 @@
 async fn admit_model(
     gate: &CallerGate,
     request: Request,
-    form: PromptForm,
+    form: PromptFormat,
     id: &RequestId,
 ) -> Result<(ModelRequest, OpenRequest), CallerRefusal> {
     let arrived = Instant::now();
     check_head(&gate.limits, request.headers())?;
     let serving = gate.core.serving();
-    let terms = settle_terms(&serving, wishes(request.headers()), arrived)?;
+    let terms = resolve_caller(&serving, wishes(request.headers()), arrived)?;
     let open = enter(&gate.core)?;
     let body = read_body(&gate.limits, request).await?;
     let prompt = ParsedPrompt::parse(form, &body)?;
@@ -200,8 +200,8 @@
         prompt.prompt_tokens,
         terms.class.as_str()
     );
-    gate.core.trace.note(id, line);
-    Ok((ModelRequest { request: id.clone(), terms, prompt }, open))
+    gate.core.trace.record(id, line);
+    Ok((ModelRequest { request: id.clone(), caller: terms, prompt }, open))
 }
 
 fn enter(core: &PipelineCore) -> Result<OpenRequest, CallerRefusal> {
@@ -254,24 +254,24 @@
     open: OpenRequest,
 ) -> Response {
     let (id, form, delivery) =
-        (request.request.clone(), request.prompt.form, request.prompt.delivery);
-    let (sender, mut parts) = mpsc::channel(PART_BOUND);
+        (request.request.clone(), request.prompt.format, request.prompt.delivery);
+    let (sender, mut parts) = mpsc::channel(PART_CAPACITY);
     tokio::spawn(run_model(Arc::clone(&gate.core), request, sender));
     let first = match parts.recv().await {
-        Some(AnswerPart::Chunk(first)) => first,
-        Some(AnswerPart::Whole(usage)) => {
+        Some(ResponsePart::Chunk(first)) => first,
+        Some(ResponsePart::Complete(usage)) => {
             let body =
                 json!({ "id": id, "choices": [], "usage": super::answer::usage_body(usage) });
             return json_answer(200, &body, &id);
         }
         Some(part) => return end_answer(part, &id),
-        None => return refusal_answer(&crate::pipeline::relay::broken_stream(), &id),
+        None => return refusal_answer(&crate::pipeline::relay::truncated_stream(), &id),
     };
     match delivery {
-        AnswerDelivery::Streamed | AnswerDelivery::StreamedWithUsage => {
+        ResponseDelivery::Streamed | ResponseDelivery::StreamedWithUsage => {
             stream_answer(first, parts, delivery, id, open)
         }
-        AnswerDelivery::Whole => match collect_answer(form, first, parts).await {
+        ResponseDelivery::Buffered => match collect_answer(form, first, parts).await {
             Ok(answer) => json_answer(200, &answer, &id),
             Err(part) => end_answer(part, &id),
         },
@@ -279,20 +279,20 @@
 }
 
 /// The answer of a request that ended without a whole one.
-fn end_answer(part: AnswerPart, id: &RequestId) -> Response {
+fn end_answer(part: ResponsePart, id: &RequestId) -> Response {
     match part {
-        AnswerPart::Refused(refusal) => refusal_answer(&refusal, id),
-        AnswerPart::CallerError { status, body } => {
+        ResponsePart::Refused(refusal) => refusal_answer(&refusal, id),
+        ResponsePart::CallerError { status, body } => {
             body_answer(status, "application/json", body, id)
         }
-        AnswerPart::Chunk(_) | AnswerPart::Whole(_) => {
-            refusal_answer(&crate::pipeline::relay::broken_stream(), id)
+        ResponsePart::Chunk(_) | ResponsePart::Complete(_) => {
+            refusal_answer(&crate::pipeline::relay::truncated_stream(), id)
         }
     }
 }
 
 async fn service(gate: CallerGate, request: Request) -> Response {
-    let id = gate.core.next_request();
+    let id = gate.core.next_request_id();
     let started = Instant::now();
     let response = match admit_service(&gate, request, &id).await {
         Ok(admitted) => run_service_call(&gate, admitted).await,
@@ -318,7 +318,7 @@
     let arrived = Instant::now();
     check_head(&gate.limits, request.headers())?;
     let serving = gate.core.serving();
-    let terms = settle_terms(&serving, wishes(request.headers()), arrived)?;
+    let terms = resolve_caller(&serving, wishes(request.headers()), arrived)?;
     let service: String = request.param("service").map_err(|_| {
         CallerRefusal::before_run(404, refusal::NOT_FOUND, "the path must be /services/NAME/PATH")
     })?;
@@ -335,9 +335,9 @@
     let body = read_body(&gate.limits, request).await?;
     count_request(terms.class);
     let kind = if key.is_some() { "once" } else { "repeatable" };
-    gate.core.trace.note(id, format!("{method} {service} of {}, {kind}", terms.organisation));
+    gate.core.trace.record(id, format!("{method} {service} of {}, {kind}", terms.organisation));
     let outgoing = ServiceRequest { method, path, headers, body };
-    let call = ServiceCall { request: id.clone(), terms, service, outgoing };
+    let call = ServiceCall { request: id.clone(), caller: terms, service, outgoing };
     Ok(AdmittedCall { call, key, open })
 }
 
@@ -368,7 +368,7 @@
 }
 
 /// The headers that a service sees: a few of the caller's, and whose call it is.
-fn passed_headers(headers: &HeaderMap, terms: &CallerTerms) -> HeaderMap {
+fn passed_headers(headers: &HeaderMap, terms: &CallerContext) -> HeaderMap {
     let mut passed: HeaderMap = PASSED_HEADERS
         .iter()
         .filter_map(|name| {
@@ -413,8 +413,8 @@
     key: String,
     open: OpenRequest,
 ) -> Result<crate::backend::ServiceAnswer, CallerRefusal> {
-    let deadline = call.terms.deadline;
-    let fuse = Arc::new(SendFuse::default());
+    let deadline = call.caller.deadline;
+    let fuse = Arc::new(SendState::default());
     let burning = Arc::clone(&fuse);
     let running = tokio::spawn(async move {
         let result = run_once(core, call, key, &burning).await;
@@ -423,7 +423,7 @@
     });
     match tokio::time::timeout_at(deadline.into(), running).await {
         Ok(Ok(result)) => result,
-        Err(_) if fuse.give_up() => Err(not_in_time()),
+        Err(_) if fuse.try_give_up() => Err(deadline_refusal()),
         Ok(Err(_)) | Err(_) => {
             let message = "the call did not end within the deadline and may run; \
                            ask again with the same key";
--- a/src/gateway/whole_answer.rs
+++ b/src/gateway/whole_answer.rs
@@ -3,8 +3,8 @@
 use {
     super::answer::usage_body,
     crate::pipeline::{
-        prompt::PromptForm,
-        relay::{AnswerPart, TokenUsage, broken_stream},
+        prompt::PromptFormat,
+        relay::{ResponsePart, TokenUsage, truncated_stream},
     },
     serde_json::{Map, Value, json},
     tokio::sync::mpsc,
@@ -18,24 +18,24 @@
 /// # Errors
 /// The part that ended the answer early: a refusal or the engine's own caller error.
 pub async fn collect_answer(
-    form: PromptForm,
+    form: PromptFormat,
     first: Value,
-    mut parts: mpsc::Receiver<AnswerPart>,
-) -> Result<Value, AnswerPart> {
+    mut parts: mpsc::Receiver<ResponsePart>,
+) -> Result<Value, ResponsePart> {
     let mut answer = Value::Object(Map::new());
     merge(&mut answer, "", first);
     loop {
         match parts.recv().await {
-            Some(AnswerPart::Chunk(chunk)) => merge(&mut answer, "", chunk),
-            Some(AnswerPart::Whole(usage)) => return Ok(finish(form, answer, usage)),
+            Some(ResponsePart::Chunk(chunk)) => merge(&mut answer, "", chunk),
+            Some(ResponsePart::Complete(usage)) => return Ok(finish(form, answer, usage)),
             Some(other) => return Err(other),
             // The relay ended without a word; a short answer must not pass for a whole one.
-            None => return Err(AnswerPart::Refused(Box::new(broken_stream()))),
+            None => return Err(ResponsePart::Refused(Box::new(truncated_stream()))),
         }
     }
 }
 
-fn finish(form: PromptForm, mut answer: Value, usage: TokenUsage) -> Value {
+fn finish(form: PromptFormat, mut answer: Value, usage: TokenUsage) -> Value {
     let choices = answer.get_mut("choices").and_then(Value::as_array_mut);
     choices.into_iter().flatten().filter_map(Value::as_object_mut).for_each(|choice| {
         if let Some(message) = choice.remove("delta") {
@@ -43,8 +43,8 @@
         }
     });
     let object = match form {
-        PromptForm::Chat => "chat.completion",
-        PromptForm::Text => "text_completion",
+        PromptFormat::Chat => "chat.completion",
+        PromptFormat::Text => "text_completion",
     };
     if let Value::Object(fields) = &mut answer {
         fields.insert("object".into(), json!(object));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,6 @@
 pub mod backend;
 pub mod control;
 pub mod daemon;
-pub mod edge;
 pub mod fleet;
 pub mod follow;
 pub mod gateway;
@@ -18,6 +17,7 @@
 pub mod options;
 pub mod pipeline;
 pub mod policy;
+pub mod reverse_proxy;
 pub mod routing;
 pub mod storage;
 pub mod transport;
--- a/src/node.rs
+++ b/src/node.rs
@@ -2,7 +2,7 @@
 //! serve callers by route, and control VMs, which keep the state that all share.
 //!
 //! What such an installation's messages look like comes in through small traits; see
-//! [`crate::edge::dialect`], [`crate::fleet::watch::FleetSource`] and [`control::EngineOrders`].
+//! [`crate::reverse_proxy::dialect`], [`crate::fleet::watch::FleetSource`] and [`control::EngineOrders`].
 
 pub mod control;
 pub mod control_book;
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -6,10 +6,6 @@
         random_seed,
     },
     crate::{
-        edge::{
-            CallerPort, EdgeCore, WireDialect, core::EdgeParts, keep_watch::watch_keep,
-            view::EdgeView,
-        },
         fleet::watch::ListNotice,
         follow::{
             FollowReply, FollowerKind, SharedState,
@@ -19,8 +15,12 @@
         ids::{DocumentNumber, FailureDomainId, VmId},
         inventory::DecisionObjective,
         observe::events,
-        pipeline::{DispatchPort, TraceLog, dispatch::DispatchDuty},
+        pipeline::{DispatcherHandle, TraceLog, dispatch::DispatchTask},
         policy::{Dispatcher, DispatcherSettings, PolicyInput, SafeguardSet},
+        reverse_proxy::{
+            CallerListener, ProxyCore, WireDialect, core::ProxyParts,
+            store_monitor::monitor_cache_store, view::ProxyView,
+        },
         routing::{RouteFault, RouteIndex, RouteTable},
         transport::{OpenNetworkSettings, PeerNetwork},
     },
@@ -119,8 +119,8 @@
 pub struct EntryNode {
     settings: EntrySettings,
     retry_reserve: watch::Sender<f64>,
-    core: Arc<EdgeCore>,
-    port: CallerPort,
+    core: Arc<ProxyCore>,
+    port: CallerListener,
     leaving: Arc<AtomicBool>,
     candidates: Arc<ControlBook>,
     _tasks: JoinSet<()>,
@@ -165,7 +165,7 @@
         tasks.spawn(apply_states(Arc::clone(&core), states, reader, reserve_watch));
         let leaving = Arc::new(AtomicBool::new(false));
         tasks.spawn(serve_readiness(&settings, Arc::clone(&core), Arc::clone(&leaving)).await?);
-        let port = CallerPort::start(settings.callers, Arc::clone(&core), settings.connections)
+        let port = CallerListener::start(settings.callers, Arc::clone(&core), settings.connections)
             .await
             .map_err(|reason| NodeError::Listen {
                 purpose: "callers",
@@ -189,12 +189,12 @@
     pub async fn stop(self) {
         let began = Instant::now();
         self.leaving.store(true, Ordering::SeqCst);
-        self.port.begin_closing();
+        self.port.close_after_response();
         log::info!(in_flight = self.core.gate.in_flight(); "stopping: not ready any more");
         sleep(LEAVING_TIME).await;
-        self.port.end_idle();
+        self.port.close_idle();
         sleep(REFUSING_AFTER - LEAVING_TIME).await;
-        self.core.gate.begin();
+        self.core.gate.begin_drain();
         let left = self.settings.grace.saturating_sub(began.elapsed() + LAST_BYTES);
         if timeout(left, self.core.gate.wait_empty()).await.is_err() {
             log::error!(cut = self.core.gate.in_flight(); "requests are cut off: the grace is over");
@@ -236,7 +236,7 @@
     settings: CoreSettings,
     dialect: Arc<dyn WireDialect>,
     tasks: &mut JoinSet<()>,
-) -> Arc<EdgeCore> {
+) -> Arc<ProxyCore> {
     let CoreSettings { vm, failure_domain, objective, disabled } = settings;
     let dispatcher = Dispatcher::new(DispatcherSettings {
         daemon: vm.clone(),
@@ -245,19 +245,19 @@
         disabled,
     });
     let (duties, duty_queue) = mpsc::channel(DUTY_BOUND);
-    let port = DispatchPort::new(dispatcher, duties, Arc::new(TraceLog::default()));
-    let core = EdgeCore::new(EdgeParts { vm, objective, dialect, port: Arc::clone(&port) });
+    let port = DispatcherHandle::new(dispatcher, duties, Arc::new(TraceLog::default()));
+    let core = ProxyCore::new(ProxyParts { vm, objective, dialect, dispatcher: Arc::clone(&port) });
     tasks.spawn(async move { port.run_wakeups().await });
     tasks.spawn(run_duties(Arc::clone(&core), duty_queue));
-    tasks.spawn(watch_keep(Arc::clone(&core)));
+    tasks.spawn(monitor_cache_store(Arc::clone(&core)));
     core
 }
 
 /// Carries out what the dispatcher asks for beside requests. A cancelled attempt's connection is
 /// closed already, which its server takes as the cancel.
-async fn run_duties(core: Arc<EdgeCore>, mut duties: mpsc::Receiver<DispatchDuty>) {
+async fn run_duties(core: Arc<ProxyCore>, mut duties: mpsc::Receiver<DispatchTask>) {
     while let Some(duty) = duties.recv().await {
-        if let DispatchDuty::Probe { server } = duty {
+        if let DispatchTask::Probe { server } = duty {
             let core = Arc::clone(&core);
             tokio::spawn(async move { core.probe(server).await });
         }
@@ -266,7 +266,7 @@
 
 /// Puts what was learned in force.
 async fn apply_states(
-    core: Arc<EdgeCore>,
+    core: Arc<ProxyCore>,
     mut states: watch::Receiver<SharedState>,
     reader: Arc<dyn TableReader>,
     mut retry_reserve: watch::Receiver<f64>,
@@ -286,8 +286,8 @@
         let fleet = state.fleet.unwrap_or_default();
         let entries = state.entries.max(1);
         let retries = (*retry_reserve.borrow_and_update() / f64::from(entries)).max(1.0);
-        core.port.tell(PolicyInput::RetryReserve { retries });
-        core.apply(EdgeView::new(index, &fleet, &state.weights, &required, entries));
+        core.dispatcher.notify(PolicyInput::RetryReserve { retries });
+        core.apply(ProxyView::new(index, &fleet, &state.weights, &required, entries));
     }
 }
 
@@ -324,7 +324,7 @@
 
 async fn serve_readiness(
     settings: &EntrySettings,
-    core: Arc<EdgeCore>,
+    core: Arc<ProxyCore>,
     leaving: Arc<AtomicBool>,
 ) -> Result<impl Future<Output = ()> + use<>, NodeError> {
     let path = settings.readiness_path.clone();
--- a/src/node/health.rs
+++ b/src/node/health.rs
@@ -1,7 +1,7 @@
 //! Answers the balancer's question whether this node takes callers.
 
 use {
-    crate::edge::accept::accept_one,
+    crate::reverse_proxy::accept::accept_connection,
     bytes::Bytes,
     http::{Request, Response, StatusCode},
     http_body_util::Full,
@@ -26,7 +26,7 @@
     let page = Arc::new(page);
     Ok(tokio::spawn(async move {
         loop {
-            let stream = accept_one(&listener).await;
+            let stream = accept_connection(&listener).await;
             let page = Arc::clone(&page);
             let service = service_fn(move |request| {
                 let (status, text) = page(&request);
--- a/src/pipeline.rs
+++ b/src/pipeline.rs
@@ -13,16 +13,16 @@
 pub mod prompt;
 pub mod refusal;
 pub mod relay;
-pub mod send_fuse;
+pub mod send_state;
 pub mod service_call;
 pub mod trace;
 pub mod usage;
 
 pub use self::{
     core::{CoreParts, PipelineCore, ServingConfig},
-    dispatch::{Directive, DispatchPort},
+    dispatch::{DispatchDirective, DispatcherHandle},
     drain::DrainGate,
     refusal::CallerRefusal,
     trace::TraceLog,
-    usage::UsageBoard,
+    usage::UsageTracker,
 };
--- a/src/pipeline/core.rs
+++ b/src/pipeline/core.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        DispatchPort, DrainGate, TraceLog, UsageBoard, deduplicate::ActiveClaims,
+        DispatcherHandle, DrainGate, TraceLog, UsageTracker, deduplicate::ActiveClaims,
         identify::KeyIndex,
     },
     crate::{
@@ -94,7 +94,7 @@
     /// This life of the daemon.
     pub incarnation: Incarnation,
     /// The dispatcher.
-    pub port: Arc<DispatchPort>,
+    pub dispatcher: Arc<DispatcherHandle>,
     /// The replicated state.
     pub control: Arc<dyn ControlPort>,
     /// Requests in flight.
@@ -110,7 +110,7 @@
     /// This life of the daemon; a restart is another holder of claims.
     pub incarnation: Incarnation,
     /// The dispatcher.
-    pub port: Arc<DispatchPort>,
+    pub dispatcher: Arc<DispatcherHandle>,
     /// The replicated state.
     pub control: Arc<dyn ControlPort>,
     /// Requests in flight.
@@ -118,7 +118,7 @@
     /// Recent requests.
     pub trace: Arc<TraceLog>,
     /// Who uses this daemon.
-    pub usage: Arc<UsageBoard>,
+    pub usage: Arc<UsageTracker>,
     /// Non-repeatable calls that this daemon runs now.
     pub claims: ActiveClaims,
     serving: ArcSwap<ServingConfig>,
@@ -128,11 +128,11 @@
 impl PipelineCore {
     /// A core without a configuration.
     pub fn new(parts: CoreParts) -> Arc<Self> {
-        let CoreParts { vm, incarnation, port, control, gate, trace } = parts;
+        let CoreParts { vm, incarnation, dispatcher, control, gate, trace } = parts;
         Arc::new(PipelineCore {
             vm,
             incarnation,
-            port,
+            dispatcher,
             control,
             gate,
             trace,
@@ -151,7 +151,7 @@
         let serving = ServingConfig::new(config);
         let view = Arc::clone(&serving.view);
         self.serving.store(Arc::new(serving));
-        self.port.tell(PolicyInput::Configure(view));
+        self.dispatcher.notify(PolicyInput::Configure(view));
     }
 
     /// The configuration in force.
@@ -165,7 +165,7 @@
     }
 
     /// An id for a new request: the VM's name, then its life, then a count.
-    pub fn next_request(&self) -> RequestId {
+    pub fn next_request_id(&self) -> RequestId {
         let count = self.requests.fetch_add(1, Ordering::Relaxed);
         format!("{}.{:x}.{count}", self.vm, self.incarnation)
     }
--- a/src/pipeline/counters.rs
+++ b/src/pipeline/counters.rs
@@ -24,7 +24,7 @@
 }
 
 /// Counts an answer that arrived for another attempt and was dropped.
-pub fn count_crossed() {
+pub fn count_mismatched_response() {
     counter!(CROSSED_ANSWERS).increment(1);
 }
 
@@ -40,7 +40,7 @@
 }
 
 /// Records the time from a request's arrival to the end of its answer.
-pub fn record_answer(class: RequestClass, time: Duration) {
+pub fn record_response_time(class: RequestClass, time: Duration) {
     histogram!(ANSWER_TIME, "class" => class.as_str()).record(time.as_secs_f64());
 }
 
@@ -68,6 +68,6 @@
 }
 
 /// Counts a request answered whole.
-pub fn count_answer(class: RequestClass) {
+pub fn count_response(class: RequestClass) {
     counter!(ANSWERS, "class" => class.as_str()).increment(1);
 }
--- a/src/pipeline/deduplicate.rs
+++ b/src/pipeline/deduplicate.rs
@@ -9,7 +9,9 @@
 pub use self::active_claims::ActiveClaims;
 
 use {
-    super::{core::PipelineCore, limit::CallerTerms, refusal::CallerRefusal, send_fuse::SendFuse},
+    super::{
+        core::PipelineCore, limit::CallerContext, refusal::CallerRefusal, send_state::SendState,
+    },
     crate::{
         control::{Command, CommandOutcome, KeptAnswer, ProposeError, ledger::LedgerKey},
         ids::{AttemptId, DigestHex, IdempotencyKey, Incarnation, VmId},
@@ -78,7 +80,7 @@
 
 /// Tells the ledger that this life of the daemon has begun, until it knows: calls that a former life
 /// held are then answered as unknown at once, not only when this daemon next claims one.
-pub async fn announce_life(core: Arc<PipelineCore>) {
+pub async fn announce_incarnation(core: Arc<PipelineCore>) {
     let (vm, incarnation) = (core.vm.clone(), core.incarnation);
     let command = Command::NoteLife { vm, incarnation, now_ms: now_ms() };
     while core.control.propose(command.clone()).await.is_err() {
@@ -90,7 +92,7 @@
 ///
 /// A reservation whose proposal was given up here may still arrive and claim its call for nobody;
 /// the floor refuses it, or frees the call.
-pub async fn tell_floor(core: Arc<PipelineCore>) {
+pub async fn report_attempt_floor(core: Arc<PipelineCore>) {
     let mut told = core.claims.floor();
     loop {
         sleep(FLOOR_PERIOD).await;
@@ -120,16 +122,16 @@
 /// does not end in time, 502 if its outcome will not be known.
 pub async fn claim(
     core: &Arc<PipelineCore>,
-    terms: &CallerTerms,
+    caller: &CallerContext,
     key: IdempotencyKey,
     fingerprint: DigestHex,
-    fuse: &SendFuse,
+    fuse: &SendState,
 ) -> Result<ClaimResult, CallerRefusal> {
-    let key = (terms.organisation.clone(), key);
+    let key = (caller.organisation.clone(), key);
     let mut pause = FIRST_POLL;
     let mut may_have_run = DidRun::No;
     let mut waits_for = None;
-    while Instant::now() < terms.deadline {
+    while Instant::now() < caller.deadline {
         if let Some(claim) = CallClaim::enter(core, &key) {
             let standing = ask(claim, &fingerprint).await;
             match standing.map_err(|refusal| doubted(refusal, may_have_run))? {
@@ -149,8 +151,8 @@
         }
         // Another call under this key runs, here or elsewhere.
         may_have_run = DidRun::Unknown;
-        fuse.doubt();
-        sleep(pause.min(terms.deadline.saturating_duration_since(Instant::now()))).await;
+        fuse.mark_uncertain();
+        sleep(pause.min(caller.deadline.saturating_duration_since(Instant::now()))).await;
         pause = (pause * 2).min(LONGEST_POLL);
     }
     let message = "another call under this key still runs; ask again with the same key";
--- a/src/pipeline/dispatch.rs
+++ b/src/pipeline/dispatch.rs
@@ -25,7 +25,7 @@
 
 /// What a request's task has to do next.
 #[derive(Clone, Debug)]
-pub enum Directive {
+pub enum DispatchDirective {
     /// Try once. Boxed, since a channel holds room for 32 of these for each open stream.
     Send(Box<SendOrder>),
     /// Stop an attempt.
@@ -43,7 +43,7 @@
 
 /// Work that belongs to no request.
 #[derive(Clone, Debug)]
-pub enum DispatchDuty {
+pub enum DispatchTask {
     /// Tell an engine to stop an attempt.
     Cancel {
         /// The attempt.
@@ -61,9 +61,9 @@
 }
 
 /// The daemon's one dispatcher with the routes of decisions.
-pub struct DispatchPort {
+pub struct DispatcherHandle {
     state: Mutex<DispatchState>,
-    duties: mpsc::Sender<DispatchDuty>,
+    duties: mpsc::Sender<DispatchTask>,
     trace: Arc<TraceLog>,
     /// Signalled when the next wakeup may have moved.
     moved: Notify,
@@ -78,12 +78,12 @@
 }
 
 struct RouteEntry {
-    sender: mpsc::Sender<Directive>,
+    sender: mpsc::Sender<DispatchDirective>,
     attempts: Vec<AttemptId>,
 }
 
 impl DispatchState {
-    fn direct(&mut self, request: &RequestId, directive: Directive) {
+    fn direct(&mut self, request: &RequestId, directive: DispatchDirective) {
         let entry = self.routes.get(request);
         if entry.is_none_or(|entry| entry.sender.try_send(directive).is_err()) {
             log::debug!(request_id = request.as_str(); "a decision came for a request that is over");
@@ -106,17 +106,17 @@
 }
 
 /// The route of one request; dropping it ends the request for the dispatcher.
-pub struct RequestRoute {
-    port: Arc<DispatchPort>,
+pub struct RequestHandle {
+    dispatcher: Arc<DispatcherHandle>,
     request: RequestId,
-    directives: mpsc::Receiver<Directive>,
+    directives: mpsc::Receiver<DispatchDirective>,
 }
 
-impl DispatchPort {
+impl DispatcherHandle {
     /// A port around `dispatcher`; work that belongs to no request goes to `duties`.
     pub fn new(
         dispatcher: Dispatcher,
-        duties: mpsc::Sender<DispatchDuty>,
+        duties: mpsc::Sender<DispatchTask>,
         trace: Arc<TraceLog>,
     ) -> Arc<Self> {
         let state = Mutex::new(DispatchState {
@@ -124,27 +124,27 @@
             routes: BTreeMap::new(),
             owners: BTreeMap::new(),
         });
-        Arc::new(DispatchPort { state, duties, trace, moved: Notify::new() })
+        Arc::new(DispatcherHandle { state, duties, trace, moved: Notify::new() })
     }
 
     /// Hands in a request and returns the route on which its decisions come.
-    pub fn submit(self: &Arc<Self>, ticket: RequestTicket) -> RequestRoute {
+    pub fn submit(self: &Arc<Self>, ticket: RequestTicket) -> RequestHandle {
         let (sender, directives) = mpsc::channel(DIRECTIVE_BOUND);
         let request = ticket.request.clone();
         let entry = RouteEntry { sender, attempts: Vec::new() };
         self.lock().routes.insert(request.clone(), entry);
-        let route = RequestRoute { port: Arc::clone(self), request, directives };
-        self.tell(PolicyInput::Arrive(ticket));
+        let route = RequestHandle { dispatcher: Arc::clone(self), request, directives };
+        self.notify(PolicyInput::Arrive(ticket));
         route
     }
 
     /// Tells the dispatcher something and carries out what it decides.
-    pub fn tell(&self, input: PolicyInput) {
-        self.tell_all([input]);
+    pub fn notify(&self, input: PolicyInput) {
+        self.notify_all([input]);
     }
 
     /// Tells the dispatcher what belongs together, and then carries out what it decides.
-    pub fn tell_all(&self, inputs: impl IntoIterator<Item = PolicyInput>) {
+    pub fn notify_all(&self, inputs: impl IntoIterator<Item = PolicyInput>) {
         let mut state = self.lock();
         let actions = state.dispatcher.handle_all(Instant::now(), inputs);
         actions.into_iter().for_each(|action| self.carry_out(&mut state, action));
@@ -158,7 +158,7 @@
             let due = self.lock().dispatcher.next_wakeup();
             let due = due.unwrap_or_else(|| Instant::now() + IDLE_WAKEUP);
             tokio::select! {
-                () = tokio::time::sleep_until(due.into()) => self.tell(PolicyInput::Wake),
+                () = tokio::time::sleep_until(due.into()) => self.notify(PolicyInput::Wake),
                 () = self.moved.notified() => {}
             }
         }
@@ -175,30 +175,30 @@
                     "send to {} as attempt {:032x}, expected hit {} tokens",
                     order.server, order.attempt, order.expected_hit
                 );
-                self.trace.note(&order.request, line);
+                self.trace.record(&order.request, line);
                 state.own(&order);
-                state.direct(&order.request.clone(), Directive::Send(Box::new(order)));
+                state.direct(&order.request.clone(), DispatchDirective::Send(Box::new(order)));
             }
             PolicyAction::Refuse { request, reason, retry_after, did_run } => {
-                self.trace.note(&request, format!("refuse: {}", reason.as_str()));
-                state.direct(&request, Directive::Refuse { reason, retry_after, did_run });
+                self.trace.record(&request, format!("refuse: {}", reason.as_str()));
+                state.direct(&request, DispatchDirective::Refuse { reason, retry_after, did_run });
             }
             PolicyAction::CountRetry { request, reason } => {
                 count_retry(reason);
-                self.trace.note(&request, format!("retry: {}", reason.as_str()));
+                self.trace.record(&request, format!("retry: {}", reason.as_str()));
             }
             PolicyAction::Cancel { attempt, server } => {
                 if let Some(request) = state.owners.get(&attempt).cloned() {
-                    state.direct(&request, Directive::Cancel(attempt));
+                    state.direct(&request, DispatchDirective::Cancel(attempt));
                 }
-                self.perform(DispatchDuty::Cancel { attempt, server });
+                self.perform(DispatchTask::Cancel { attempt, server });
             }
-            PolicyAction::Probe { server } => self.perform(DispatchDuty::Probe { server }),
-            PolicyAction::Publish(digest) => self.perform(DispatchDuty::Publish(digest)),
+            PolicyAction::Probe { server } => self.perform(DispatchTask::Probe { server }),
+            PolicyAction::Publish(digest) => self.perform(DispatchTask::Publish(digest)),
         }
     }
 
-    fn perform(&self, duty: DispatchDuty) {
+    fn perform(&self, duty: DispatchTask) {
         if self.duties.try_send(duty).is_err() {
             // Each duty is a hint or is given again: probes and digests by the clock, and an
             // engine notices a closed connection even without the cancel call.
@@ -207,24 +207,24 @@
     }
 }
 
-impl RequestRoute {
+impl RequestHandle {
     /// Waits for the next decision. Cancel safe.
-    pub async fn next(&mut self) -> Directive {
+    pub async fn next(&mut self) -> DispatchDirective {
         // The sender stays in the port until this route is dropped.
         self.directives.recv().await.expect("the route is registered while it lives")
     }
 
     /// Tells the dispatcher something about this request.
-    pub fn tell(&self, input: PolicyInput) {
-        self.port.tell(input);
+    pub fn notify(&self, input: PolicyInput) {
+        self.dispatcher.notify(input);
     }
 }
 
-impl Drop for RequestRoute {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
-        self.port.lock().forget(&self.request);
+        self.dispatcher.lock().forget(&self.request);
         // A task that was dropped half way, because its caller left, must free its place in the
         // queue and at the server. For a request that is over this says nothing new.
-        self.port.tell(PolicyInput::CallerGone { request: self.request.clone() });
+        self.dispatcher.notify(PolicyInput::CallerGone { request: self.request.clone() });
     }
 }
--- a/src/pipeline/drain.rs
+++ b/src/pipeline/drain.rs
@@ -57,7 +57,7 @@
     }
 
     /// Lets no further request in.
-    pub fn begin(&self) {
+    pub fn begin_drain(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
--- a/src/pipeline/limit.rs
+++ b/src/pipeline/limit.rs
@@ -19,7 +19,7 @@
 
 /// Who asks, how urgently and until when.
 #[derive(Clone, Debug)]
-pub struct CallerTerms {
+pub struct CallerContext {
     /// The organisation.
     pub organisation: OrganisationId,
     /// The class.
@@ -32,7 +32,7 @@
 
 /// The caller's wishes as its headers state them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct CallerWishes<'a> {
+pub struct CallerHeaders<'a> {
     /// The value of `Authorization`.
     pub authorization: Option<&'a str>,
     /// The value of [`DEADLINE_HEADER`].
@@ -45,11 +45,11 @@
 ///
 /// # Errors
 /// 401 for an unknown caller, 400 for a class or deadline that does not parse.
-pub fn settle_terms(
+pub fn resolve_caller(
     serving: &ServingConfig,
-    wishes: CallerWishes<'_>,
+    wishes: CallerHeaders<'_>,
     arrived: Instant,
-) -> Result<CallerTerms, CallerRefusal> {
+) -> Result<CallerContext, CallerRefusal> {
     let organisation = serving.keys.identify(wishes.authorization)?;
     let rules = &serving.config.rules;
     let usual = serving.rules.get(&organisation).and_then(|rule| rule.class);
@@ -68,7 +68,7 @@
             .map_err(|_| bad_header(DEADLINE_HEADER, "a whole number of milliseconds"))?,
     };
     let deadline = arrived + wait.min(LONGEST_DEADLINE);
-    Ok(CallerTerms { organisation, class, arrived, deadline })
+    Ok(CallerContext { organisation, class, arrived, deadline })
 }
 
 fn bad_header(name: &str, form: &str) -> CallerRefusal {
--- a/src/pipeline/prompt.rs
+++ b/src/pipeline/prompt.rs
@@ -24,19 +24,19 @@
 
 /// Which of the two OpenAI forms a request has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PromptForm {
+pub enum PromptFormat {
     /// `POST /v1/chat/completions`.
     Chat,
     /// `POST /v1/completions`.
     Text,
 }
 
-impl PromptForm {
+impl PromptFormat {
     /// The path of the form, the same at engines.
     pub fn path(self) -> &'static str {
         match self {
-            PromptForm::Chat => "/v1/chat/completions",
-            PromptForm::Text => "/v1/completions",
+            PromptFormat::Chat => "/v1/chat/completions",
+            PromptFormat::Text => "/v1/completions",
         }
     }
 }
@@ -45,13 +45,13 @@
 #[derive(Clone, Debug)]
 pub struct ParsedPrompt {
     /// Which form it has.
-    pub form: PromptForm,
+    pub format: PromptFormat,
     /// The model without the adapter.
     pub model: ModelId,
     /// The adapter, from `model:adapter`.
     pub adapter: Option<AdapterId>,
     /// How the caller wants the answer.
-    pub delivery: AnswerDelivery,
+    pub delivery: ResponseDelivery,
     /// Prompt pieces in order.
     pub pieces: Vec<Vec<u8>>,
     /// Tokens of the whole prompt, estimated.
@@ -66,9 +66,9 @@
 
 /// How the caller wants the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerDelivery {
+pub enum ResponseDelivery {
     /// As one JSON body.
-    Whole,
+    Buffered,
     /// As server-sent events.
     Streamed,
     /// As server-sent events with a last chunk that counts tokens.
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     /// 400 that names the field and what it must hold.
-    pub fn parse(form: PromptForm, bytes: &[u8]) -> Result<Self, CallerRefusal> {
+    pub fn parse(format: PromptFormat, bytes: &[u8]) -> Result<Self, CallerRefusal> {
         let body: Value = serde_json::from_slice(bytes)
             .map_err(|error| malformed(format!("the body is not valid JSON: {error}")))?;
         if !body.is_object() {
@@ -95,13 +95,13 @@
             Some((model, adapter)) => (model.to_owned(), Some(adapter.to_owned())),
             None => (name.to_owned(), None),
         };
-        let pieces = match form {
-            PromptForm::Chat => chat_pieces(&body)?,
-            PromptForm::Text => text_pieces(&body)?,
+        let pieces = match format {
+            PromptFormat::Chat => chat_pieces(&body)?,
+            PromptFormat::Text => text_pieces(&body)?,
         };
         let bytes_in_all: usize = pieces.iter().map(Vec::len).sum();
         Ok(ParsedPrompt {
-            form,
+            format,
             model,
             adapter,
             delivery: delivery(&body)?,
@@ -132,12 +132,12 @@
     u32::try_from(bytes.div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
 }
 
-fn delivery(body: &Value) -> Result<AnswerDelivery, CallerRefusal> {
+fn delivery(body: &Value) -> Result<ResponseDelivery, CallerRefusal> {
     let usage = body.pointer("/stream_options/include_usage").and_then(Value::as_bool);
     match body.get("stream") {
-        None | Some(Value::Null | Value::Bool(false)) => Ok(AnswerDelivery::Whole),
-        Some(Value::Bool(true)) if usage == Some(true) => Ok(AnswerDelivery::StreamedWithUsage),
-        Some(Value::Bool(true)) => Ok(AnswerDelivery::Streamed),
+        None | Some(Value::Null | Value::Bool(false)) => Ok(ResponseDelivery::Buffered),
+        Some(Value::Bool(true)) if usage == Some(true) => Ok(ResponseDelivery::StreamedWithUsage),
+        Some(Value::Bool(true)) => Ok(ResponseDelivery::Streamed),
         Some(_) => Err(malformed("`stream` must be true or false")),
     }
 }
--- a/src/pipeline/relay.rs
+++ b/src/pipeline/relay.rs
@@ -4,14 +4,14 @@
     super::{
         core::PipelineCore,
         counters::{
-            count_answer, count_crossed, count_prompt, count_recomputed, record_first_token,
-            record_inter_token,
+            count_mismatched_response, count_prompt, count_recomputed, count_response,
+            record_first_token, record_inter_token,
         },
-        dispatch::{Directive, RequestRoute},
-        limit::CallerTerms,
+        dispatch::{DispatchDirective, RequestHandle},
+        limit::CallerContext,
         prompt::ParsedPrompt,
         refusal::CallerRefusal,
-        usage::UsageCount,
+        usage::UsageGuard,
     },
     crate::{
         backend::{
@@ -31,7 +31,7 @@
 };
 
 /// Parts that wait for a slow reader; beyond it the engine's connection is not read.
-pub const PART_BOUND: usize = 16;
+pub const PART_CAPACITY: usize = 16;
 /// Tokens are reported to the dispatcher in groups of this many: it needs the rate, not each.
 const PROGRESS_GROUP: u32 = 16;
 /// Generated text kept for a resume; a longer answer is not resumable.
@@ -39,11 +39,11 @@
 
 /// What the caller's side of a request is given.
 #[derive(Debug)]
-pub enum AnswerPart {
+pub enum ResponsePart {
     /// The next chunk of the answer, in the OpenAI form.
     Chunk(Value),
     /// The answer is whole.
-    Whole(TokenUsage),
+    Complete(TokenUsage),
     /// The answer ends here without being whole, or never began.
     /// Boxed, since a channel holds room for 32 parts for each open stream.
     Refused(Box<CallerRefusal>),
@@ -72,14 +72,14 @@
     /// Its id.
     pub request: RequestId,
     /// Who asks and until when.
-    pub terms: CallerTerms,
+    pub caller: CallerContext,
     /// What is asked.
     pub prompt: ParsedPrompt,
 }
 
 /// How one attempt ended.
 enum AttemptEnd {
-    Whole(TokenUsage),
+    Complete(TokenUsage),
     Failed(BackendError),
     CallerGone,
     Cancelled,
@@ -89,9 +89,9 @@
 /// A request with what the caller has of its answer.
 struct RelayTask {
     core: Arc<PipelineCore>,
-    usage: UsageCount,
+    usage: UsageGuard,
     request: ModelRequest,
-    answer: mpsc::Sender<AnswerPart>,
+    answer: mpsc::Sender<ResponsePart>,
     /// Chunks the caller has, and their text; the text is cut off for good at its bound.
     relayed: ResumePoint,
     /// The weights that the relayed chunks come from.
@@ -104,12 +104,12 @@
 pub async fn run_model(
     core: Arc<PipelineCore>,
     mut request: ModelRequest,
-    answer: mpsc::Sender<AnswerPart>,
+    answer: mpsc::Sender<ResponsePart>,
 ) {
-    let mut route = core.port.submit(ticket(&request));
+    let mut route = core.dispatcher.submit(ticket(&request));
     // Only the levels needed them; a long prompt should not be held twice while it streams.
     request.prompt.pieces = Vec::new();
-    let usage = core.usage.enter(&request.terms.organisation);
+    let usage = core.usage.track_request(&request.caller.organisation);
     let mut task = RelayTask {
         core,
         usage,
@@ -123,18 +123,18 @@
         let directive = tokio::select! {
             directive = route.next() => directive,
             () = task.answer.closed() => {
-                route.tell(PolicyInput::CallerGone { request: task.request.request.clone() });
+                route.notify(PolicyInput::CallerGone { request: task.request.request.clone() });
                 return;
             }
         };
         match directive {
-            Directive::Cancel(_) => {}
-            Directive::Refuse { reason, retry_after, did_run } => {
+            DispatchDirective::Cancel(_) => {}
+            DispatchDirective::Refuse { reason, retry_after, did_run } => {
                 let refusal = CallerRefusal::from_policy(reason, did_run, retry_after);
-                task.give(AnswerPart::Refused(Box::new(refusal))).await;
+                task.give(ResponsePart::Refused(Box::new(refusal))).await;
                 return;
             }
-            Directive::Send(order) => {
+            DispatchDirective::Send(order) => {
                 if task.attempt(&mut route, *order).await.is_some() {
                     return;
                 }
@@ -147,18 +147,18 @@
 struct RequestOver;
 
 fn ticket(request: &ModelRequest) -> RequestTicket {
-    let ModelRequest { request, terms, prompt } = request;
+    let ModelRequest { request, caller, prompt } = request;
     RequestTicket {
         request: request.clone(),
-        organisation: terms.organisation.clone(),
-        class: terms.class,
-        deadline: terms.deadline,
+        organisation: caller.organisation.clone(),
+        class: caller.class,
+        deadline: caller.deadline,
         repeatable: true,
         fingerprint: prompt.fingerprint,
         work: RequestWork::Model {
             model: prompt.model.clone(),
             adapter: prompt.adapter.clone(),
-            levels: prompt.levels(&terms.organisation),
+            levels: prompt.levels(&caller.organisation),
             prompt_tokens: prompt.prompt_tokens,
             max_output_tokens: prompt.max_output_tokens,
         },
@@ -166,19 +166,23 @@
 }
 
 impl RelayTask {
-    async fn give(&self, part: AnswerPart) {
+    async fn give(&self, part: ResponsePart) {
         // A closed channel means that the caller is gone; there is nobody to tell.
         let _ = self.answer.send(part).await;
     }
 
     /// Carries out one order and reports its end.
-    async fn attempt(&mut self, route: &mut RequestRoute, order: SendOrder) -> Option<RequestOver> {
+    async fn attempt(
+        &mut self,
+        route: &mut RequestHandle,
+        order: SendOrder,
+    ) -> Option<RequestOver> {
         let attempt = order.attempt;
         let Some(address) = self.core.address(&order.server) else {
             self.report_failure(route, attempt, AttemptFailure::NotConnected, None);
             return None;
         };
-        let flight = self.core.usage.fly(&order.server);
+        let flight = self.core.usage.track_attempt(&order.server);
         let end = match self.open(route, address, &order).await {
             Ok(stream) => self.follow(route, stream, &order).await,
             Err(end) => end,
@@ -186,25 +190,25 @@
         drop(flight);
         let request = &self.request.request;
         match end {
-            AttemptEnd::Whole(usage) => {
-                self.core.trace.note(request, "answered whole");
+            AttemptEnd::Complete(usage) => {
+                self.core.trace.record(request, "answered whole");
                 self.record_usage(&order, usage);
-                route.tell(PolicyInput::Finished {
+                route.notify(PolicyInput::Finished {
                     attempt,
                     cached_tokens: usage.cached_tokens,
                     output_tokens: usage.completion_tokens,
                 });
-                self.give(AnswerPart::Whole(usage)).await;
+                self.give(ResponsePart::Complete(usage)).await;
                 Some(RequestOver)
             }
             AttemptEnd::CallerGone => {
-                self.core.trace.note(request, "the caller went away");
-                route.tell(PolicyInput::CallerGone { request: request.clone() });
+                self.core.trace.record(request, "the caller went away");
+                route.notify(PolicyInput::CallerGone { request: request.clone() });
                 Some(RequestOver)
             }
             AttemptEnd::Cancelled => None,
             AttemptEnd::Refused(refusal) => {
-                self.give(AnswerPart::Refused(Box::new(refusal))).await;
+                self.give(ResponsePart::Refused(Box::new(refusal))).await;
                 Some(RequestOver)
             }
             AttemptEnd::Failed(error) => self.fail(route, attempt, error).await,
@@ -213,20 +217,22 @@
 
     async fn fail(
         &mut self,
-        route: &RequestRoute,
+        route: &RequestHandle,
         attempt: AttemptId,
         error: BackendError,
     ) -> Option<RequestOver> {
         let request = &self.request.request;
-        self.core.trace.note(request, format!("attempt {} failed: {error}", attempt_text(attempt)));
+        self.core
+            .trace
+            .record(request, format!("attempt {} failed: {error}", attempt_text(attempt)));
         if error == BackendError::Crossed {
-            count_crossed();
+            count_mismatched_response();
         }
         let failure = error.failure();
         self.report_failure(route, attempt, failure, error.retry_after());
         match error {
             BackendError::Status { status, body, .. } if failure == AttemptFailure::CallerError => {
-                self.give(AnswerPart::CallerError { status, body }).await;
+                self.give(ResponsePart::CallerError { status, body }).await;
                 Some(RequestOver)
             }
             _ => None,
@@ -235,19 +241,19 @@
 
     fn report_failure(
         &self,
-        route: &RequestRoute,
+        route: &RequestHandle,
         attempt: AttemptId,
         failure: AttemptFailure,
         retry_after: Option<std::time::Duration>,
     ) {
         let relayed_tokens = u32::try_from(self.relayed.after).unwrap_or(u32::MAX);
-        route.tell(PolicyInput::Failed { attempt, failure, relayed_tokens, retry_after });
+        route.notify(PolicyInput::Failed { attempt, failure, relayed_tokens, retry_after });
     }
 
     /// Opens the engine's stream, unless the caller leaves or the decision is withdrawn first.
     async fn open(
         &self,
-        route: &mut RequestRoute,
+        route: &mut RequestHandle,
         address: SocketAddr,
         order: &SendOrder,
     ) -> Result<EngineStream, AttemptEnd> {
@@ -261,7 +267,7 @@
         }
         let limits = ExchangeLimits {
             send_before: order.send_before.into(),
-            head_before: self.request.terms.deadline.into(),
+            head_before: self.request.caller.deadline.into(),
         };
         // Boxed: an open stream should not carry the room that its opening needed.
         let mut opening = Box::pin(engine::generate(address, self.engine_call(order), limits));
@@ -277,17 +283,17 @@
     }
 
     fn engine_call(&self, order: &SendOrder) -> EngineCall {
-        let ModelRequest { terms, prompt, .. } = &self.request;
+        let ModelRequest { caller, prompt, .. } = &self.request;
         let salt = match &order.weights {
             Some(weights) => {
-                cache_salt(&terms.organisation, &prompt.model, prompt.adapter.as_deref(), weights)
+                cache_salt(&caller.organisation, &prompt.model, prompt.adapter.as_deref(), weights)
             }
             // Weights in doubt: a salt of its own, so that no cached block can be of older ones.
             None => format!("attempt-{}", attempt_text(order.attempt)),
         };
         EngineCall {
             attempt: order.attempt,
-            path: prompt.form.path().to_owned(),
+            path: prompt.format.path().to_owned(),
             body: prompt.body.clone(),
             cache_salt: salt,
             priority: order.priority,
@@ -300,7 +306,7 @@
     /// Relays a stream until it ends one way or another.
     async fn follow(
         &mut self,
-        route: &mut RequestRoute,
+        route: &mut RequestHandle,
         mut stream: EngineStream,
         order: &SendOrder,
     ) -> AttemptEnd {
@@ -319,7 +325,7 @@
             };
             match event {
                 Err(error) => return AttemptEnd::Failed(error),
-                Ok(EngineEvent::Done) => return AttemptEnd::Whole(usage),
+                Ok(EngineEvent::Done) => return AttemptEnd::Complete(usage),
                 Ok(EngineEvent::Usage { prompt_tokens, cached_tokens, completion_tokens }) => {
                     usage = TokenUsage { prompt_tokens, cached_tokens, completion_tokens };
                 }
@@ -328,12 +334,12 @@
                         first = false;
                         let cached_tokens = usage.cached_tokens;
                         let attempt = order.attempt;
-                        route.tell(PolicyInput::FirstToken { attempt, cached_tokens });
+                        route.notify(PolicyInput::FirstToken { attempt, cached_tokens });
                     }
                     unreported += 1;
                     if unreported == PROGRESS_GROUP {
                         let (attempt, tokens) = (order.attempt, unreported);
-                        route.tell(PolicyInput::Progress { attempt, tokens });
+                        route.notify(PolicyInput::Progress { attempt, tokens });
                         unreported = 0;
                     }
                     if !self.relay(number, body).await {
@@ -346,11 +352,11 @@
 
     /// Passes one chunk on; false if the caller is gone.
     async fn relay(&mut self, number: u64, mut body: Value) -> bool {
-        let ModelRequest { request, terms, prompt } = &self.request;
+        let ModelRequest { request, caller, prompt } = &self.request;
         let now = Instant::now();
         match self.last_chunk.replace(now) {
-            None => record_first_token(&prompt.model, terms.class, now - terms.arrived),
-            Some(last) => record_inter_token(&prompt.model, terms.class, now - last),
+            None => record_first_token(&prompt.model, caller.class, now - caller.arrived),
+            Some(last) => record_inter_token(&prompt.model, caller.class, now - last),
         }
         if self.relayed.text.len() < RESUME_TEXT_BYTES {
             self.relayed.text.push_str(chunk_text(&body));
@@ -361,7 +367,7 @@
             fields.insert("id".into(), json!(request));
             fields.remove("usage");
         }
-        self.answer.send(AnswerPart::Chunk(body)).await.is_ok()
+        self.answer.send(ResponsePart::Chunk(body)).await.is_ok()
     }
 
     fn record_usage(&self, order: &SendOrder, usage: TokenUsage) {
@@ -369,7 +375,7 @@
         let hit = usage.cached_tokens.unwrap_or(0);
         count_prompt(model, usage.prompt_tokens, hit);
         count_recomputed(model, order.expected_hit.saturating_sub(hit));
-        count_answer(self.request.terms.class);
+        count_response(self.request.caller.class);
         self.usage.answered(usage.prompt_tokens.saturating_add(usage.completion_tokens));
     }
 }
@@ -383,14 +389,16 @@
 }
 
 /// The end that a directive puts to the attempt that runs, if it does.
-fn withdrawn(directive: Directive, attempt: AttemptId) -> Option<AttemptEnd> {
+fn withdrawn(directive: DispatchDirective, attempt: AttemptId) -> Option<AttemptEnd> {
     match directive {
-        Directive::Cancel(cancelled) => (cancelled == attempt).then_some(AttemptEnd::Cancelled),
-        Directive::Refuse { reason, retry_after, did_run } => {
+        DispatchDirective::Cancel(cancelled) => {
+            (cancelled == attempt).then_some(AttemptEnd::Cancelled)
+        }
+        DispatchDirective::Refuse { reason, retry_after, did_run } => {
             let refusal = CallerRefusal::from_policy(reason, did_run, retry_after);
             Some(AttemptEnd::Refused(refusal))
         }
-        Directive::Send(order) => {
+        DispatchDirective::Send(order) => {
             log::error!(request_id = order.request.as_str(); "an order came while another runs");
             None
         }
@@ -398,7 +406,7 @@
 }
 
 /// The refusal for a stream that broke after its head was sent.
-pub fn broken_stream() -> CallerRefusal {
+pub fn truncated_stream() -> CallerRefusal {
     let message = "the stream ended before it was whole; send the request again";
     CallerRefusal::after_send(502, refusal::BACKEND_FAILED, message)
 }
--- a/src/pipeline/service_call.rs
+++ b/src/pipeline/service_call.rs
@@ -3,12 +3,12 @@
 use {
     super::{
         core::PipelineCore,
-        counters::count_answer,
+        counters::count_response,
         deduplicate::{CallClaim, ClaimResult, Claimed, claim},
-        dispatch::{Directive, RequestRoute},
-        limit::CallerTerms,
+        dispatch::{DispatchDirective, RequestHandle},
+        limit::CallerContext,
         refusal::CallerRefusal,
-        send_fuse::SendFuse,
+        send_state::SendState,
     },
     crate::{
         backend::{
@@ -36,7 +36,7 @@
     /// Its id.
     pub request: RequestId,
     /// Who asks and until when.
-    pub terms: CallerTerms,
+    pub caller: CallerContext,
     /// The service.
     pub service: ServiceId,
     /// What is sent.
@@ -51,17 +51,17 @@
     core: Arc<PipelineCore>,
     call: ServiceCall,
 ) -> Result<ServiceAnswer, CallerRefusal> {
-    let mut route = core.port.submit(ticket(&call, Repeat::Allowed));
+    let mut route = core.dispatcher.submit(ticket(&call, Repeat::Allowed));
     loop {
         match route.next().await {
-            Directive::Cancel(_) => {}
-            Directive::Refuse { reason, retry_after, did_run } => {
+            DispatchDirective::Cancel(_) => {}
+            DispatchDirective::Refuse { reason, retry_after, did_run } => {
                 return Err(CallerRefusal::from_policy(reason, did_run, retry_after));
             }
-            Directive::Send(order) => {
+            DispatchDirective::Send(order) => {
                 let limits = ExchangeLimits {
                     send_before: order.send_before.into(),
-                    head_before: call.terms.deadline.into(),
+                    head_before: call.caller.deadline.into(),
                 };
                 match send(&core, &call, &order, limits).await {
                     Ok(answer) if may_try_elsewhere(answer.status) => {
@@ -74,7 +74,7 @@
                     }
                     Ok(answer) => return Ok(whole(&core, &call, &route, order.attempt, answer)),
                     Err(error) => {
-                        core.trace.note(&call.request, format!("attempt failed: {error}"));
+                        core.trace.record(&call.request, format!("attempt failed: {error}"));
                         report_failure(&route, order.attempt, error.failure(), None);
                     }
                 }
@@ -92,12 +92,12 @@
     core: Arc<PipelineCore>,
     call: ServiceCall,
     key: IdempotencyKey,
-    fuse: &SendFuse,
+    fuse: &SendState,
 ) -> Result<ServiceAnswer, CallerRefusal> {
     let fingerprint = call_digest(&call);
-    match claim(&core, &call.terms, key, fingerprint, fuse).await? {
+    match claim(&core, &call.caller, key, fingerprint, fuse).await? {
         ClaimResult::Answered(kept) => {
-            core.trace.note(&call.request, "answered from the ledger");
+            core.trace.record(&call.request, "answered from the ledger");
             Ok(ServiceAnswer {
                 status: kept.status,
                 content_type: kept.content_type,
@@ -113,26 +113,26 @@
     core: Arc<PipelineCore>,
     call: ServiceCall,
     mut claim: CallClaim<Claimed>,
-    fuse: &SendFuse,
+    fuse: &SendState,
 ) -> Result<ServiceAnswer, CallerRefusal> {
-    let mut route = core.port.submit(ticket(&call, Repeat::Forbidden));
+    let mut route = core.dispatcher.submit(ticket(&call, Repeat::Forbidden));
     loop {
         let order = match route.next().await {
-            Directive::Cancel(_) => continue,
-            Directive::Refuse { reason, retry_after, .. } => {
+            DispatchDirective::Cancel(_) => continue,
+            DispatchDirective::Refuse { reason, retry_after, .. } => {
                 // The claim is still unused here, so this is certain whatever the policy knows.
                 claim.release();
                 return Err(CallerRefusal::from_policy(reason, DidRun::No, retry_after));
             }
-            Directive::Send(order) => order,
+            DispatchDirective::Send(order) => order,
         };
         // A daemon frozen after its decision must not book for a caller who has long been told
         // that nothing came of it: nothing is sent after the deadline.
-        let send_before = Instant::from(order.send_before.min(call.terms.deadline));
+        let send_before = Instant::from(order.send_before.min(call.caller.deadline));
         let head_before = Instant::now() + LATE_ANSWER_WAIT;
-        if !fuse.burn() {
+        if !fuse.try_send() {
             claim.release();
-            return Err(not_in_time());
+            return Err(deadline_refusal());
         }
         let sent = claim.send();
         match send(&core, &call, &order, ExchangeLimits { send_before, head_before }).await {
@@ -147,13 +147,13 @@
             }
             Err(error) if error.nothing_sent() => {
                 claim = sent.nothing_sent();
-                fuse.renew();
-                core.trace.note(&call.request, format!("nothing was sent: {error}"));
+                fuse.reset();
+                core.trace.record(&call.request, format!("nothing was sent: {error}"));
                 report_failure(&route, order.attempt, error.failure(), None);
             }
             Err(error) => {
                 sent.mark_unknown();
-                core.trace.note(&call.request, format!("outcome unknown: {error}"));
+                core.trace.record(&call.request, format!("outcome unknown: {error}"));
                 report_failure(&route, order.attempt, error.failure(), None);
                 return Err(lost_answer());
             }
@@ -162,7 +162,7 @@
 }
 
 /// The refusal of a call whose deadline came before its sending.
-pub fn not_in_time() -> CallerRefusal {
+pub fn deadline_refusal() -> CallerRefusal {
     let message = "the deadline passed before the call was sent; send it again with the same key";
     CallerRefusal::before_run(504, RefusalReason::DeadlinePassed.as_str(), message)
 }
@@ -181,21 +181,21 @@
 ) -> Result<ServiceAnswer, BackendError> {
     // A server that left the register is as good as one that cannot be connected to.
     let address = core.address(&order.server).ok_or(BackendError::Stale)?;
-    let _flight = core.usage.fly(&order.server);
+    let _flight = core.usage.track_attempt(&order.server);
     service::call(address, order.attempt, call.outgoing.clone(), limits).await
 }
 
 fn whole(
     core: &PipelineCore,
     call: &ServiceCall,
-    route: &RequestRoute,
+    route: &RequestHandle,
     attempt: AttemptId,
     answer: ServiceAnswer,
 ) -> ServiceAnswer {
-    core.trace.note(&call.request, format!("answered with status {}", answer.status));
-    route.tell(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens: 0 });
-    count_answer(call.terms.class);
-    core.usage.enter(&call.terms.organisation).answered(0);
+    core.trace.record(&call.request, format!("answered with status {}", answer.status));
+    route.notify(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens: 0 });
+    count_response(call.caller.class);
+    core.usage.track_request(&call.caller.organisation).answered(0);
     answer
 }
 
@@ -211,12 +211,12 @@
 }
 
 fn report_failure(
-    route: &RequestRoute,
+    route: &RequestHandle,
     attempt: AttemptId,
     failure: AttemptFailure,
     retry_after: Option<Duration>,
 ) {
-    route.tell(PolicyInput::Failed { attempt, failure, relayed_tokens: 0, retry_after });
+    route.notify(PolicyInput::Failed { attempt, failure, relayed_tokens: 0, retry_after });
 }
 
 /// Whether a call may run more than once.
@@ -229,9 +229,9 @@
 fn ticket(call: &ServiceCall, repeat: Repeat) -> RequestTicket {
     RequestTicket {
         request: call.request.clone(),
-        organisation: call.terms.organisation.clone(),
-        class: call.terms.class,
-        deadline: call.terms.deadline,
+        organisation: call.caller.organisation.clone(),
+        class: call.caller.class,
+        deadline: call.caller.deadline,
         repeatable: repeat == Repeat::Allowed,
         fingerprint: xxh3_64(call_digest(call).as_bytes()),
         work: RequestWork::Service { service: call.service.clone() },
--- a/src/pipeline/trace.rs
+++ b/src/pipeline/trace.rs
@@ -29,7 +29,7 @@
 
 impl TraceLog {
     /// Notes one line. It must hold no prompt text and no key.
-    pub fn note(&self, request: &RequestId, line: impl Into<String>) {
+    pub fn record(&self, request: &RequestId, line: impl Into<String>) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         if !entries.lines.contains_key(request) {
             if entries.order.len() == TRACED_REQUESTS
--- a/src/pipeline/usage.rs
+++ b/src/pipeline/usage.rs
@@ -30,36 +30,36 @@
 
 /// Counts by organisation and by backend server.
 #[derive(Default)]
-pub struct UsageBoard {
+pub struct UsageTracker {
     organisations: Mutex<BTreeMap<OrganisationId, OrganisationUsage>>,
     /// Servers of the register; those without requests in flight are dropped.
     servers: Mutex<BTreeMap<ServerId, u64>>,
 }
 
 /// An attempt in flight at a server; dropping it ends the count.
-pub struct FlightCount {
-    board: Arc<UsageBoard>,
+pub struct InFlightGuard {
+    board: Arc<UsageTracker>,
     server: ServerId,
 }
 
 /// A request of an organisation in flight; dropping it ends the count.
-pub struct UsageCount {
-    board: Arc<UsageBoard>,
+pub struct UsageGuard {
+    board: Arc<UsageTracker>,
     organisation: OrganisationId,
 }
 
-impl UsageBoard {
+impl UsageTracker {
     /// Counts an attempt at `server` until the result is dropped.
-    pub fn fly(self: &Arc<Self>, server: &ServerId) -> FlightCount {
+    pub fn track_attempt(self: &Arc<Self>, server: &ServerId) -> InFlightGuard {
         let mut servers = lock(&self.servers);
         let count = servers.entry(server.clone()).or_default();
         *count += 1;
         gauge!(IN_FLIGHT, "server" => server.clone()).set(*count as f64);
-        FlightCount { board: Arc::clone(self), server: server.clone() }
+        InFlightGuard { board: Arc::clone(self), server: server.clone() }
     }
 
     /// Counts a request of `organisation` until the result is dropped.
-    pub fn enter(self: &Arc<Self>, organisation: &OrganisationId) -> UsageCount {
+    pub fn track_request(self: &Arc<Self>, organisation: &OrganisationId) -> UsageGuard {
         let mut organisations = lock(&self.organisations);
         if organisations.len() >= COUNTED_ORGANISATIONS && !organisations.contains_key(organisation)
         {
@@ -72,7 +72,7 @@
         let usage = organisations.entry(organisation.clone()).or_default();
         usage.requests += 1;
         usage.in_flight += 1;
-        UsageCount { board: Arc::clone(self), organisation: organisation.clone() }
+        UsageGuard { board: Arc::clone(self), organisation: organisation.clone() }
     }
 
     /// Requests in flight by server.
@@ -81,7 +81,7 @@
     }
 
     /// The organisations with the most tokens; at most `limit`.
-    pub fn heaviest(&self, limit: usize) -> Vec<(OrganisationId, OrganisationUsage)> {
+    pub fn busiest_organisations(&self, limit: usize) -> Vec<(OrganisationId, OrganisationUsage)> {
         let mut all: Vec<_> = lock(&self.organisations).clone().into_iter().collect();
         all.sort_by_key(|(_, usage)| std::cmp::Reverse((usage.tokens, usage.requests)));
         all.truncate(limit);
@@ -89,7 +89,7 @@
     }
 }
 
-impl UsageCount {
+impl UsageGuard {
     /// Counts the request as answered whole with so many tokens.
     pub fn answered(&self, tokens: u32) {
         self.change(|usage| {
@@ -105,13 +105,13 @@
     }
 }
 
-impl Drop for UsageCount {
+impl Drop for UsageGuard {
     fn drop(&mut self) {
         self.change(|usage| usage.in_flight = usage.in_flight.saturating_sub(1));
     }
 }
 
-impl Drop for FlightCount {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut servers = lock(&self.board.servers);
         let left = servers.get(&self.server).map_or(0, |count| count.saturating_sub(1));
--- a/src/edge.rs
+++ b/src/reverse_proxy.rs
@@ -5,23 +5,23 @@
 //! [`dialect::WireDialect`] knows.
 
 pub mod accept;
-pub mod answer;
 pub mod core;
 pub mod dialect;
 pub mod exchange;
-pub mod guard;
 pub mod headers;
-pub mod keep_watch;
+pub mod listener;
 pub mod pool;
-pub mod port;
 pub mod raw_head;
 pub mod recheck;
 pub mod relay;
 pub mod request;
+pub mod response;
+pub mod store_monitor;
+pub mod timeout_stream;
 pub mod view;
 
 pub use self::{
-    core::EdgeCore,
-    dialect::{AnswerVerdict, BackendCall, CallerRequest, EdgeRefusal, PromptWork, WireDialect},
-    port::CallerPort,
+    core::ProxyCore,
+    dialect::{BackendCall, CallerRequest, PromptWork, ProxyRefusal, ResponseVerdict, WireDialect},
+    listener::CallerListener,
 };
--- a/src/edge/accept.rs
+++ b/src/reverse_proxy/accept.rs
@@ -13,7 +13,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// The next connection.
-pub async fn accept_one(listener: &TcpListener) -> TcpStream {
+pub async fn accept_connection(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _peer)) => return stream,
--- a/src/edge/core.rs
+++ b/src/reverse_proxy/core.rs
@@ -2,15 +2,15 @@
 
 use {
     super::{
-        dialect::{AnswerHead, WireDialect},
+        dialect::{ResponseHead, WireDialect},
         pool::ConnectionPool,
         recheck::RecheckList,
-        view::{EdgeView, pool_model},
+        view::{ProxyView, qualified_model},
     },
     crate::{
         ids::{ModelId, ServerId, ServiceId, VmId, WeightsNumber},
         inventory::DecisionObjective,
-        pipeline::{DispatchPort, DrainGate},
+        pipeline::{DispatcherHandle, DrainGate},
         policy::{LoadReport, PolicyInput},
     },
     arc_swap::ArcSwap,
@@ -29,7 +29,7 @@
 const GOLDEN_PART: f64 = 0.618_033_988_749_894_9;
 
 /// What a core is made of.
-pub struct EdgeParts {
+pub struct ProxyParts {
     /// The VM.
     pub vm: VmId,
     /// What placement optimises.
@@ -37,17 +37,17 @@
     /// The installation's wire.
     pub dialect: Arc<dyn WireDialect>,
     /// The dispatcher.
-    pub port: Arc<DispatchPort>,
+    pub dispatcher: Arc<DispatcherHandle>,
 }
 
 /// What all requests of one entry share.
-pub struct EdgeCore {
+pub struct ProxyCore {
     /// The VM.
     pub vm: VmId,
     /// The installation's wire.
     pub dialect: Arc<dyn WireDialect>,
     /// The dispatcher.
-    pub port: Arc<DispatchPort>,
+    pub dispatcher: Arc<DispatcherHandle>,
     /// Connections to backend servers.
     pub pool: ConnectionPool,
     /// Requests in flight.
@@ -57,20 +57,20 @@
     /// Whether the engines' common store can be reached.
     keep_up: AtomicBool,
     objective: DecisionObjective,
-    view: ArcSwap<EdgeView>,
+    view: ArcSwap<ProxyView>,
     /// Weights that answers showed, by server and life; only of servers in the view.
     seen_weights: Mutex<BTreeMap<ServerId, (u64, WeightsNumber)>>,
     turns: AtomicU64,
 }
 
-impl EdgeCore {
+impl ProxyCore {
     /// A core that knows no routes and no servers.
-    pub fn new(parts: EdgeParts) -> Arc<Self> {
-        let EdgeParts { vm, objective, dialect, port } = parts;
-        Arc::new(EdgeCore {
+    pub fn new(parts: ProxyParts) -> Arc<Self> {
+        let ProxyParts { vm, objective, dialect, dispatcher } = parts;
+        Arc::new(ProxyCore {
             vm,
             dialect,
-            port,
+            dispatcher,
             pool: ConnectionPool::default(),
             gate: DrainGate::default(),
             recheck: RecheckList::default(),
@@ -83,37 +83,37 @@
     }
 
     /// The view in force.
-    pub fn view(&self) -> Arc<EdgeView> {
+    pub fn view(&self) -> Arc<ProxyView> {
         self.view.load_full()
     }
 
     /// Puts a view in force.
-    pub fn apply(&self, view: EdgeView) {
+    pub fn apply(&self, view: ProxyView) {
         let former = self.view();
         let inputs = view.inputs(&self.vm, self.objective, &former);
         let used: BTreeSet<_> = view.servers.values().map(|server| server.address).collect();
         self.lock_weights().retain(|server, _| view.servers.contains_key(server));
         self.view.store(Arc::new(view));
-        self.port.tell_all(inputs);
+        self.dispatcher.notify_all(inputs);
         self.tell_keep();
-        self.pool.sweep(&used);
+        self.pool.close_unused(&used);
     }
 
     /// Notes whether the engines' common store can be reached.
-    pub fn note_keep(&self, reachable: bool) {
+    pub fn set_store_reachable(&self, reachable: bool) {
         self.keep_up.store(reachable, Ordering::Relaxed);
         self.tell_keep();
     }
 
     /// Where the engines' common store is, while it can be reached.
-    pub fn keep_address(&self) -> Option<SocketAddr> {
-        let keep = self.view().keep().filter(|_| self.keep_up.load(Ordering::Relaxed))?;
+    pub fn store_address(&self) -> Option<SocketAddr> {
+        let keep = self.view().cache_store().filter(|_| self.keep_up.load(Ordering::Relaxed))?;
         Some(keep.0)
     }
 
     fn tell_keep(&self) {
-        let keep = self.view().keep().filter(|_| self.keep_up.load(Ordering::Relaxed));
-        self.port.tell(PolicyInput::KeepLink { rate: keep.map(|(_, rate)| rate) });
+        let keep = self.view().cache_store().filter(|_| self.keep_up.load(Ordering::Relaxed));
+        self.dispatcher.notify(PolicyInput::KeepLink { rate: keep.map(|(_, rate)| rate) });
     }
 
     /// Where a server listens.
@@ -122,25 +122,25 @@
     }
 
     /// A number in 0 to 1 that spreads requests evenly.
-    pub fn turn(&self) -> f64 {
+    pub fn next_split_value(&self) -> f64 {
         let turn = self.turns.fetch_add(1, Ordering::Relaxed);
         (turn as f64 * GOLDEN_PART).fract()
     }
 
     /// Takes in what the head of an answer tells of its server.
-    pub fn note_answer(&self, server: &ServerId, model: Option<&ModelId>, head: &AnswerHead) {
+    pub fn record_response(&self, server: &ServerId, model: Option<&ModelId>, head: &ResponseHead) {
         let view = self.view();
         let Some(listed) = view.servers.get(server) else { return };
         if let Some(version) = head.weights {
             self.lock_weights().insert(server.clone(), (listed.life, version));
         }
         let Some((running, waiting)) = head.load else { return };
-        let version = self.weights_of(server, &listed.service, model);
+        let version = self.server_weights(server, &listed.service, model);
         let weights = listed.weights.iter().map(|(listed_model, told)| {
             let seen = version.filter(|_| model == Some(listed_model));
-            (pool_model(&listed.service, listed_model), seen.unwrap_or(*told).to_string())
+            (qualified_model(&listed.service, listed_model), seen.unwrap_or(*told).to_string())
         });
-        self.port.tell(PolicyInput::Load(LoadReport {
+        self.dispatcher.notify(PolicyInput::Load(LoadReport {
             server: server.clone(),
             incarnation: listed.life,
             weights: weights.collect(),
@@ -154,7 +154,7 @@
 
     /// The weights that a server has, as far as the list and its answers tell: the later of both,
     /// since a server goes back to older ones in no life.
-    pub fn weights_of(
+    pub fn server_weights(
         &self,
         server: &ServerId,
         service: &ServiceId,
--- a/src/edge/dialect.rs
+++ b/src/reverse_proxy/dialect.rs
@@ -42,14 +42,14 @@
     /// How long the caller waits for the whole answer.
     pub time_left: Option<Duration>,
     /// How long it waits for the beginning of an answer.
-    pub first_answer_within: Duration,
+    pub response_start_timeout: Duration,
     /// Set for requests to model engines.
     pub work: Option<PromptWork>,
 }
 
 /// Why a request is not served, as the caller is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EdgeRefusal {
+pub struct ProxyRefusal {
     /// HTTP status. 408, 421, 429 and 503 promise that the request has not run and never will.
     pub status: StatusCode,
     /// The reason's name, as in the measures.
@@ -58,15 +58,15 @@
     pub retry_after: Option<Duration>,
 }
 
-impl EdgeRefusal {
+impl ProxyRefusal {
     /// A refusal without a time to come back.
     pub fn new(status: StatusCode, code: &'static str) -> Self {
-        EdgeRefusal { status, code, retry_after: None }
+        ProxyRefusal { status, code, retry_after: None }
     }
 
     /// The same with a time to come back.
     pub fn after(self, pause: Duration) -> Self {
-        EdgeRefusal { retry_after: Some(pause), ..self }
+        ProxyRefusal { retry_after: Some(pause), ..self }
     }
 }
 
@@ -82,9 +82,9 @@
     /// Keeps cached prompts apart: equal salts share.
     pub cache_salt: Option<String>,
     /// A server or store that likely holds more of the prompt, under the same weights and salt.
-    pub fetch_from: Option<SocketAddr>,
+    pub import_from: Option<SocketAddr>,
     /// A store that gets what the engine had to compute of the prompt.
-    pub bring_to: Option<SocketAddr>,
+    pub export_to: Option<SocketAddr>,
     /// Lower is served first inside an engine.
     pub priority: u32,
     /// The id of the last event that the caller has, where a stream goes on.
@@ -95,22 +95,22 @@
 
 /// What the head of an answer says of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerVerdict {
+pub enum ResponseVerdict {
     /// The server ran the request; this is its answer.
-    Ran,
+    Executed,
     /// The server did not run it and never will.
-    NotRun,
+    NotExecuted,
     /// The server is not the one that was meant, and did not run it.
-    OtherServer,
+    WrongServer,
     /// The answer belongs to another request.
-    Foreign,
+    OtherRequest,
 }
 
 /// The head of an answer, decoded.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// What became of the request.
-    pub verdict: AnswerVerdict,
+    pub verdict: ResponseVerdict,
     /// Requests that run there and that wait there.
     pub load: Option<(u32, u32)>,
     /// The weights that the answer is made with.
@@ -134,16 +134,16 @@
         &self,
         head: &request::Parts,
         index: &RouteIndex,
-    ) -> Result<CallerRequest, EdgeRefusal>;
+    ) -> Result<CallerRequest, ProxyRefusal>;
 
     /// The headers for a backend server, made from the caller's.
     fn backend_headers(&self, caller: &HeaderMap, call: &BackendCall<'_>) -> HeaderMap;
 
     /// Reads the head of a backend server's answer to the request with this id.
-    fn read_answer(&self, head: &response::Parts, id: &RequestId) -> AnswerHead;
+    fn read_response(&self, head: &response::Parts, id: &RequestId) -> ResponseHead;
 
     /// The answer for a request that is not served.
-    fn refusal(&self, refusal: &EdgeRefusal) -> Response<String>;
+    fn refusal(&self, refusal: &ProxyRefusal) -> Response<String>;
 
     /// The id of an event of a stream, and the weights from that event on if it names them.
     fn read_event(&self, event: &[u8]) -> (Option<String>, Option<WeightsNumber>);
--- a/src/edge/exchange.rs
+++ b/src/reverse_proxy/exchange.rs
@@ -1,25 +1,27 @@
 //! Runs one request: follows the dispatcher's decisions until there is an answer.
 
-mod told;
+mod logging;
 
 use {
     super::{
-        answer::{AnswerBody, Outcome, refusal_of},
-        core::EdgeCore,
-        dialect::{AnswerHead, AnswerVerdict, BackendCall, EdgeRefusal},
-        guard::ConnectionPhase,
+        core::ProxyCore,
+        dialect::{BackendCall, ProxyRefusal, ResponseHead, ResponseVerdict},
         headers::strip_connection,
         pool::{LeasedConnection, PoolError},
         relay::{RelayedStream, StreamStart},
-        request::WholeRequest,
+        request::BufferedRequest,
+        response::{ProxyResult, ResponseBody, dispatch_refusal},
+        timeout_stream::ConnectionPhase,
     },
     crate::{
         ids::AttemptId,
         observe::{events, metrics::refusal},
         pipeline::{
-            Directive,
-            counters::{count_crossed, count_refusal, count_request, record_queue_wait},
-            dispatch::RequestRoute,
+            DispatchDirective,
+            counters::{
+                count_mismatched_response, count_refusal, count_request, record_queue_wait,
+            },
+            dispatch::RequestHandle,
             drain::OpenRequest,
         },
         policy::{
@@ -49,10 +51,10 @@
 const FULL_PAUSE: Duration = Duration::from_millis(30);
 
 /// One request on its way.
-pub struct Exchange {
-    pub(super) core: Arc<EdgeCore>,
-    pub(super) request: WholeRequest,
-    pub(super) route: RequestRoute,
+pub struct HttpExchange {
+    pub(super) core: Arc<ProxyCore>,
+    pub(super) request: BufferedRequest,
+    pub(super) route: RequestHandle,
     /// Servers that may have begun to run it.
     pub(super) runs: u32,
     /// A server's own failure, passed on if nobody does better.
@@ -60,13 +62,13 @@
     /// Whether it was sent at least once.
     is_sent: bool,
     /// Whether how it ended is in the log; if not when it is dropped, its caller has left.
-    is_told: bool,
+    is_logged: bool,
 }
 
 /// An answer whose head has arrived.
-pub(super) struct BegunAnswer {
+pub(super) struct StartedResponse {
     pub parts: response::Parts,
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     pub body: Incoming,
     pub leased: LeasedConnection,
 }
@@ -81,23 +83,30 @@
 
 /// What one step came to.
 enum Step {
-    Answer(Box<Response<AnswerBody>>),
+    Answer(Box<Response<ResponseBody>>),
     Stream(Box<StreamStart>),
     Again,
-    Refused(EdgeRefusal),
+    Refused(ProxyRefusal),
 }
 
 /// Runs a request to the beginning of its answer; a stream goes on in the answer's body.
 pub async fn run(
-    core: Arc<EdgeCore>,
-    request: WholeRequest,
+    core: Arc<ProxyCore>,
+    request: BufferedRequest,
     phase: ConnectionPhase,
     open: OpenRequest,
-) -> Outcome {
+) -> ProxyResult {
     count_request(request.caller.class);
-    let route = core.port.submit(request.ticket());
-    let mut exchange =
-        Exchange { core, request, route, runs: 0, failure: None, is_sent: false, is_told: false };
+    let route = core.dispatcher.submit(request.ticket());
+    let mut exchange = HttpExchange {
+        core,
+        request,
+        route,
+        runs: 0,
+        failure: None,
+        is_sent: false,
+        is_logged: false,
+    };
     loop {
         let ends = exchange.request.ends;
         let directive = tokio::select! {
@@ -105,11 +114,11 @@
             () = sleep_until(ends.into()) => return exchange.give_up(phase, open),
         };
         let step = match directive {
-            Directive::Cancel(_) => Step::Again,
-            Directive::Refuse { reason, retry_after, did_run } => {
+            DispatchDirective::Cancel(_) => Step::Again,
+            DispatchDirective::Refuse { reason, retry_after, did_run } => {
                 return exchange.refused(reason, retry_after, did_run, phase, open);
             }
-            Directive::Send(order) => exchange.attempt(*order).await,
+            DispatchDirective::Send(order) => exchange.attempt(*order).await,
         };
         match step {
             Step::Again => {}
@@ -124,16 +133,16 @@
                 let pieces = RelayedStream::new(exchange, *start).into_pieces();
                 return Ok(Response::from_parts(
                     parts,
-                    AnswerBody::stream(pieces, phase, Some(open)),
+                    ResponseBody::stream(pieces, phase, Some(open)),
                 ));
             }
         }
     }
 }
 
-impl Exchange {
+impl HttpExchange {
     /// The time for the request is over.
-    fn give_up(self, phase: ConnectionPhase, open: OpenRequest) -> Outcome {
+    fn give_up(self, phase: ConnectionPhase, open: OpenRequest) -> ProxyResult {
         let did_run = if self.runs == 0 { DidRun::No } else { DidRun::Unknown };
         self.refused(RefusalReason::DeadlinePassed, None, did_run, phase, open)
     }
@@ -145,15 +154,15 @@
         did_run: DidRun,
         phase: ConnectionPhase,
         open: OpenRequest,
-    ) -> Outcome {
+    ) -> ProxyResult {
         if let Some((parts, body)) = self.failure.take() {
-            self.tell_passed_on(parts.status);
-            return Ok(Response::from_parts(parts, AnswerBody::whole(body, phase, Some(open))));
+            self.log_passed_failure(parts.status);
+            return Ok(Response::from_parts(parts, ResponseBody::whole(body, phase, Some(open))));
         }
         // Whatever the dispatcher was told, a request that may have run is never said not to have.
         let did_run = if self.runs > 0 { DidRun::Unknown } else { did_run };
-        self.tell_refused(reason.as_str(), retry_after);
-        Err(refusal_of(reason, retry_after, did_run))
+        self.log_refusal(reason.as_str(), retry_after);
+        Err(dispatch_refusal(reason, retry_after, did_run))
     }
 
     async fn attempt(&mut self, order: SendOrder) -> Step {
@@ -168,7 +177,7 @@
         &mut self,
         order: &SendOrder,
         from: &ResumeFrom,
-    ) -> Result<BegunAnswer, AttemptFailure> {
+    ) -> Result<StartedResponse, AttemptFailure> {
         let view = self.core.view();
         let Some(listed) = view.servers.get(&order.server) else {
             return Err(self.report(order, AttemptFailure::Stale, from, None));
@@ -180,7 +189,7 @@
         if !std::mem::replace(&mut self.is_sent, true) {
             record_queue_wait(self.request.caller.class, self.request.arrived.elapsed());
         }
-        self.tell_sending(order);
+        self.log_send(order);
         let request = self.backend_request(order, from);
         let once = !self.request.caller.route.kind.is_repeatable();
         let most = view.connections(&listed.service);
@@ -228,19 +237,19 @@
         from: &ResumeFrom,
         response: Response<Incoming>,
         leased: LeasedConnection,
-    ) -> Result<BegunAnswer, AttemptFailure> {
+    ) -> Result<StartedResponse, AttemptFailure> {
         let (mut parts, body) = response.into_parts();
-        let head = self.core.dialect.read_answer(&parts, &self.request.caller.id);
+        let head = self.core.dialect.read_response(&parts, &self.request.caller.id);
         let model = self.request.caller.work.as_ref().map(|work| &work.model);
         match head.verdict {
-            AnswerVerdict::Ran => {
+            ResponseVerdict::Executed => {
                 self.runs += 1;
-                self.core.note_answer(&order.server, model, &head);
+                self.core.record_response(&order.server, model, &head);
                 strip_connection(&mut parts.headers);
-                Ok(BegunAnswer { parts, head, body, leased })
+                Ok(StartedResponse { parts, head, body, leased })
             }
-            AnswerVerdict::NotRun => {
-                self.core.note_answer(&order.server, model, &head);
+            ResponseVerdict::NotExecuted => {
+                self.core.record_response(&order.server, model, &head);
                 let rest = Limited::new(body, REFUSAL_BYTES).collect();
                 // A server that hangs after the head must not hold up the request with it.
                 if matches!(timeout(REFUSAL_WAIT, rest).await, Ok(Ok(_))) {
@@ -248,16 +257,16 @@
                 }
                 Err(self.report(order, AttemptFailure::Declined, from, head.retry_after))
             }
-            AnswerVerdict::OtherServer => {
+            ResponseVerdict::WrongServer => {
                 log::warn!(server = order.server.as_str(), weights = order.weights.as_deref();
                     "{}", events::SERVER_MISLISTED);
                 let (server, health) = (order.server.clone(), ServerHealth::Dead);
-                self.route.tell(PolicyInput::Health { server, health });
+                self.route.notify(PolicyInput::Health { server, health });
                 self.core.recheck_later(&order.server);
                 Err(self.report(order, AttemptFailure::Declined, from, None))
             }
-            AnswerVerdict::Foreign => {
-                count_crossed();
+            ResponseVerdict::OtherRequest => {
+                count_mismatched_response();
                 self.runs += 1;
                 self.core.recheck(&order.server);
                 Err(self.report(order, AttemptFailure::Broken, from, None))
@@ -266,16 +275,16 @@
     }
 
     fn backend_request(&self, order: &SendOrder, from: &ResumeFrom) -> Request<Full<Bytes>> {
-        let WholeRequest { caller, head, body, service, ends, .. } = &self.request;
+        let BufferedRequest { caller, head, body, service, ends, .. } = &self.request;
         let model = caller.work.as_ref().map(|work| &work.model);
         let decided = order.weights.as_ref().and_then(|version| version.parse().ok());
-        let believed = self.core.weights_of(&order.server, service, model).or(decided);
+        let believed = self.core.server_weights(&order.server, service, model).or(decided);
         // One version for all: a stream that went on under new weights resumes on those, and with
         // the salt of the former ones it would be given cache entries of the former ones.
         let weights = from.weights.or(believed);
         let source = order.source.as_ref().filter(|_| weights.is_some() && weights == decided);
         let keep = order.keep.filter(|_| weights.is_some() && weights == decided);
-        let keep = keep.zip(self.core.keep_address());
+        let keep = keep.zip(self.core.store_address());
         let salt = model.map(|model| {
             let weights = weights.map(|version| version.to_string()).unwrap_or_default();
             cache_salt(self.request.cache_owner(), model, None, &weights)
@@ -285,11 +294,11 @@
             server: &order.server,
             time_left: ends.saturating_duration_since(Instant::now()),
             cache_salt: salt,
-            fetch_from: match keep {
+            import_from: match keep {
                 Some((_, address)) => Some(address),
                 None => source.and_then(|source| self.core.address(source)),
             },
-            bring_to: keep.filter(|keep| keep.0 == KeepUse::TakeAndBring).map(|keep| keep.1),
+            export_to: keep.filter(|keep| keep.0 == KeepUse::TakeAndBring).map(|keep| keep.1),
             priority: order.priority,
             resume_after: from.event.clone(),
             weights,
@@ -313,8 +322,8 @@
         from: &ResumeFrom,
         retry_after: Option<Duration>,
     ) -> AttemptFailure {
-        self.tell_failed(order, failure, from.events);
-        self.route.tell(PolicyInput::Failed {
+        self.log_attempt_failure(order, failure, from.events);
+        self.route.notify(PolicyInput::Failed {
             attempt: order.attempt,
             failure,
             relayed_tokens: from.events,
@@ -340,20 +349,20 @@
             return Step::Again;
         }
         if let Some((parts, body)) = self.failure.take() {
-            self.tell_passed_on(parts.status);
-            let body = AnswerBody::whole(body, ConnectionPhase::default(), None);
+            self.log_passed_failure(parts.status);
+            let body = ResponseBody::whole(body, ConnectionPhase::default(), None);
             return Step::Answer(Box::new(Response::from_parts(parts, body)));
         }
         count_refusal(refusal::BACKEND_FAILED);
-        self.tell_refused(refusal::BACKEND_FAILED, None);
-        Step::Refused(EdgeRefusal::new(StatusCode::BAD_GATEWAY, refusal::BACKEND_FAILED))
+        self.log_refusal(refusal::BACKEND_FAILED, None);
+        Step::Refused(ProxyRefusal::new(StatusCode::BAD_GATEWAY, refusal::BACKEND_FAILED))
     }
 
-    async fn take_answer(&mut self, order: &SendOrder, answer: BegunAnswer) -> Step {
+    async fn take_answer(&mut self, order: &SendOrder, answer: StartedResponse) -> Step {
         if self.request.caller.route.kind.is_stream() && answer.parts.status.is_success() {
             return self.take_stream(order, answer).await;
         }
-        let BegunAnswer { mut parts, head, body, leased } = answer;
+        let StartedResponse { mut parts, head, body, leased } = answer;
         let none = ResumeFrom::default();
         let collected = tokio::select! {
             collected = Limited::new(body, WHOLE_ANSWER_BYTES).collect() => collected,
@@ -373,15 +382,15 @@
             return self.after_failure(failure);
         }
         self.finish(order.attempt, 0);
-        self.tell_answered(&order.server, parts.status);
+        self.log_completed(&order.server, parts.status);
         // The library frames the answer anew.
         parts.headers.remove(http::header::CONTENT_LENGTH);
-        let body = AnswerBody::whole(body, ConnectionPhase::default(), None);
+        let body = ResponseBody::whole(body, ConnectionPhase::default(), None);
         Step::Answer(Box::new(Response::from_parts(parts, body)))
     }
 
     /// A stream's answer begins with its first bytes: until then another server can still serve it.
-    async fn take_stream(&mut self, order: &SendOrder, mut answer: BegunAnswer) -> Step {
+    async fn take_stream(&mut self, order: &SendOrder, mut answer: StartedResponse) -> Step {
         let none = ResumeFrom::default();
         let first = tokio::select! {
             first = answer.body.frame() => first,
@@ -392,7 +401,7 @@
             Some(Ok(frame)) => {
                 answer.parts.headers.remove(http::header::CONTENT_LENGTH);
                 let first = frame.into_data().unwrap_or_default();
-                let BegunAnswer { parts, head, body, leased } = answer;
+                let StartedResponse { parts, head, body, leased } = answer;
                 let order = order.clone();
                 Step::Stream(Box::new(StreamStart { parts, head, body, leased, first, order }))
             }
@@ -403,9 +412,9 @@
             }
             None => {
                 self.finish(order.attempt, 0);
-                self.tell_answered(&order.server, answer.parts.status);
+                self.log_completed(&order.server, answer.parts.status);
                 answer.leased.keep(answer.head.idle_limit);
-                let body = AnswerBody::whole(Bytes::new(), ConnectionPhase::default(), None);
+                let body = ResponseBody::whole(Bytes::new(), ConnectionPhase::default(), None);
                 Step::Answer(Box::new(Response::from_parts(answer.parts, body)))
             }
         }
@@ -413,14 +422,14 @@
 
     /// Tells the dispatcher that an attempt ended whole.
     pub(super) fn finish(&self, attempt: AttemptId, output_tokens: u32) {
-        self.route.tell(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens });
+        self.route.notify(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens });
     }
 }
 
 /// Ends when the dispatcher withdraws an attempt.
-async fn withdrawn(route: &mut RequestRoute, attempt: AttemptId) {
+async fn withdrawn(route: &mut RequestHandle, attempt: AttemptId) {
     loop {
-        if let Directive::Cancel(cancelled) = route.next().await
+        if let DispatchDirective::Cancel(cancelled) = route.next().await
             && cancelled == attempt
         {
             return;
--- a/src/edge/exchange/told.rs
+++ b/src/reverse_proxy/exchange/logging.rs
@@ -1,20 +1,20 @@
 //! What the log is told of a request: each sending that failed, and how the request ended.
 
 use {
-    super::Exchange,
+    super::HttpExchange,
     crate::{
         ids::ServerId,
         observe::events,
-        pipeline::counters::{count_answer, record_answer},
+        pipeline::counters::{count_response, record_response_time},
         policy::{AttemptFailure, RefusalReason, SendOrder},
     },
     http::StatusCode,
     std::time::Duration,
 };
 
-impl Drop for Exchange {
+impl Drop for HttpExchange {
     fn drop(&mut self) {
-        if !self.is_told {
+        if !self.is_logged {
             log::info!(
                 request_id = self.request.caller.id.as_str(),
                 route = self.request.caller.route.name.as_str(),
@@ -26,14 +26,14 @@
     }
 }
 
-impl Exchange {
+impl HttpExchange {
     /// Milliseconds since the request arrived.
-    pub(in crate::edge) fn waited_ms(&self) -> u64 {
+    pub(in crate::reverse_proxy) fn waited_ms(&self) -> u64 {
         self.request.arrived.elapsed().as_millis() as u64
     }
 
     /// What a sending was decided by; at debug level, since each request has at least one.
-    pub(super) fn tell_sending(&self, order: &SendOrder) {
+    pub(super) fn log_send(&self, order: &SendOrder) {
         let work = self.request.caller.work.as_ref();
         let parts = work.map(|work| work.parts.iter().map(|(id, tokens)| format!("{id}:{tokens}")));
         log::debug!(
@@ -50,7 +50,12 @@
     }
 
     /// A sending failed after `events` were passed on.
-    pub(super) fn tell_failed(&self, order: &SendOrder, failure: AttemptFailure, events: u32) {
+    pub(super) fn log_attempt_failure(
+        &self,
+        order: &SendOrder,
+        failure: AttemptFailure,
+        events: u32,
+    ) {
         log::warn!(
             request_id = self.request.caller.id.as_str(),
             server = order.server.as_str(),
@@ -65,8 +70,8 @@
     }
 
     /// The request is refused.
-    pub(super) fn tell_refused(&mut self, reason: &str, retry_after: Option<Duration>) {
-        self.is_told = true;
+    pub(super) fn log_refusal(&mut self, reason: &str, retry_after: Option<Duration>) {
+        self.is_logged = true;
         log::warn!(
             request_id = self.request.caller.id.as_str(),
             reason = reason,
@@ -81,8 +86,8 @@
     }
 
     /// A server's own failure is passed on.
-    pub(super) fn tell_passed_on(&mut self, status: StatusCode) {
-        self.is_told = true;
+    pub(super) fn log_passed_failure(&mut self, status: StatusCode) {
+        self.is_logged = true;
         log::warn!(
             request_id = self.request.caller.id.as_str(),
             route = self.request.caller.route.name.as_str(),
@@ -94,8 +99,8 @@
     }
 
     /// A whole answer is passed on.
-    pub(super) fn tell_answered(&mut self, server: &ServerId, status: StatusCode) {
-        self.count_whole();
+    pub(super) fn log_completed(&mut self, server: &ServerId, status: StatusCode) {
+        self.count_completed();
         log::info!(
             request_id = self.request.caller.id.as_str(),
             route = self.request.caller.route.name.as_str(),
@@ -109,21 +114,21 @@
     }
 
     /// Counts an answer whose end the log is told of.
-    pub(in crate::edge) fn count_whole(&mut self) {
-        self.is_told = true;
+    pub(in crate::reverse_proxy) fn count_completed(&mut self) {
+        self.is_logged = true;
         let (class, elapsed) = (self.request.caller.class, self.request.arrived.elapsed());
-        count_answer(class);
-        record_answer(class, elapsed);
+        count_response(class);
+        record_response_time(class, elapsed);
     }
 
     /// A stream that has begun is not finished.
-    pub(in crate::edge) fn tell_cut(
+    pub(in crate::reverse_proxy) fn log_truncated(
         &mut self,
         order: &SendOrder,
         reason: RefusalReason,
         events: u32,
     ) {
-        self.is_told = true;
+        self.is_logged = true;
         log::warn!(
             request_id = self.request.caller.id.as_str(),
             route = self.request.caller.route.name.as_str(),
--- a/src/edge/port.rs
+++ b/src/reverse_proxy/listener.rs
@@ -2,14 +2,14 @@
 
 use {
     super::{
-        accept::accept_one,
-        answer::AnswerBody,
-        core::EdgeCore,
-        dialect::EdgeRefusal,
+        accept::accept_connection,
+        core::ProxyCore,
+        dialect::ProxyRefusal,
         exchange,
-        guard::{ConnectionPhase, GuardLimits, GuardedStream},
         raw_head::{BodyFraming, RawHead},
-        request::{WholeRequest, read_whole},
+        request::{BufferedRequest, read_request},
+        response::ResponseBody,
+        timeout_stream::{ConnectionPhase, StreamTimeouts, TimeoutStream},
     },
     crate::{
         observe::{
@@ -52,20 +52,20 @@
 }
 
 /// The port for callers.
-pub struct CallerPort {
+pub struct CallerListener {
     address: SocketAddr,
     phase: watch::Sender<PortPhase>,
     task: JoinHandle<()>,
 }
 
-impl CallerPort {
+impl CallerListener {
     /// Listens on `address`; at most `connections` are open at a time.
     ///
     /// # Errors
     /// When the address cannot be listened on.
     pub async fn start(
         address: SocketAddr,
-        core: Arc<EdgeCore>,
+        core: Arc<ProxyCore>,
         connections: usize,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
@@ -73,7 +73,7 @@
         let (phase, phases) = watch::channel(PortPhase::Serving);
         let task =
             tokio::spawn(accept(listener, core, phases, Arc::new(Semaphore::new(connections))));
-        Ok(CallerPort { address, phase, task })
+        Ok(CallerListener { address, phase, task })
     }
 
     /// Where it listens, with the port that the kernel gave.
@@ -83,12 +83,12 @@
 
     /// Ends each connection with its next answer. New ones are still taken: whoever sends callers
     /// here learns only after a while that it should not.
-    pub fn begin_closing(&self) {
+    pub fn close_after_response(&self) {
         self.phase.send_replace(PortPhase::Closing);
     }
 
     /// Ends idle connections.
-    pub fn end_idle(&self) {
+    pub fn close_idle(&self) {
         self.phase.send_replace(PortPhase::Ending);
     }
 
@@ -100,20 +100,20 @@
 
 async fn accept(
     listener: TcpListener,
-    core: Arc<EdgeCore>,
+    core: Arc<ProxyCore>,
     phase: watch::Receiver<PortPhase>,
     permits: Arc<Semaphore>,
 ) {
     loop {
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
-        let stream = accept_one(&listener).await;
+        let stream = accept_connection(&listener).await;
         tokio::spawn(serve(stream, Arc::clone(&core), phase.clone(), permit));
     }
 }
 
 async fn serve(
     stream: TcpStream,
-    core: Arc<EdgeCore>,
+    core: Arc<ProxyCore>,
     mut phase: watch::Receiver<PortPhase>,
     _permit: OwnedSemaphorePermit,
 ) {
@@ -122,14 +122,14 @@
     let limits = core.view().index.as_ref().map(|index| index.table.limits).unwrap_or_default();
     let between = ConnectionPhase::default();
     let head_bytes = limits.head_bytes.max(LEAST_HEAD_BYTES);
-    let guard = GuardLimits { head: limits.head_time, idle: limits.idle_time, head_bytes };
+    let guard = StreamTimeouts { head: limits.head_time, idle: limits.idle_time, head_bytes };
     let raw = RawHead::default();
-    let guarded = GuardedStream::wrap(stream, between.clone(), raw.clone(), guard);
+    let guarded = TimeoutStream::wrap(stream, between.clone(), raw.clone(), guard);
     let phases = phase.clone();
     let service = service_fn(move |request: Request<Incoming>| {
         between.begin_request();
         let (head, body) = request.into_parts();
-        let framing = raw.judge(&head);
+        let framing = raw.body_framing(&head);
         let arrived = ArrivedRequest { head, body, framing };
         answer(Arc::clone(&core), arrived, limits, between.clone(), phases.clone())
     });
@@ -178,12 +178,12 @@
 }
 
 async fn answer(
-    core: Arc<EdgeCore>,
+    core: Arc<ProxyCore>,
     arrived: ArrivedRequest,
     limits: CallerLimits,
     between: ConnectionPhase,
     phase: watch::Receiver<PortPhase>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let ArrivedRequest { head, body, framing } = arrived;
     let id = core.dialect.request_id(&head.headers).to_owned();
     let outcome = async {
@@ -208,36 +208,36 @@
 
 /// Lets a request in and reads it whole; nothing was sent to a backend server.
 async fn admit(
-    core: &EdgeCore,
+    core: &ProxyCore,
     head: request::Parts,
     body: Incoming,
     framing: BodyFraming,
     limits: CallerLimits,
-) -> Result<(WholeRequest, OpenRequest), EdgeRefusal> {
-    if framing == BodyFraming::Doubled {
-        return Err(EdgeRefusal::new(StatusCode::BAD_REQUEST, refusal::BAD_REQUEST));
+) -> Result<(BufferedRequest, OpenRequest), ProxyRefusal> {
+    if framing == BodyFraming::Conflicting {
+        return Err(ProxyRefusal::new(StatusCode::BAD_REQUEST, refusal::BAD_REQUEST));
     }
     let open = core.gate.enter().map_err(|closed| match closed {
         GateClosed::Draining => stopping(refusal::DRAINING),
         GateClosed::Full => stopping(refusal::TOO_MANY_OPEN),
     })?;
-    Ok((read_whole(core, head, body, limits).await?, open))
+    Ok((read_request(core, head, body, limits).await?, open))
 }
 
-fn stopping(code: &'static str) -> EdgeRefusal {
-    EdgeRefusal::new(StatusCode::SERVICE_UNAVAILABLE, code).after(STOPPING_PAUSE)
+fn stopping(code: &'static str) -> ProxyRefusal {
+    ProxyRefusal::new(StatusCode::SERVICE_UNAVAILABLE, code).after(STOPPING_PAUSE)
 }
 
 fn refused(
-    core: &EdgeCore,
-    refusal: &EdgeRefusal,
+    core: &ProxyCore,
+    refusal: &ProxyRefusal,
     between: ConnectionPhase,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let response = core.dialect.refusal(refusal);
     let (mut parts, text) = response.into_parts();
     if matches!(refusal.status.as_u16(), 400 | 408 | 413) {
         // What is left of the request must not be taken for the next one.
         parts.headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    Response::from_parts(parts, AnswerBody::whole(Bytes::from(text), between, None))
+    Response::from_parts(parts, ResponseBody::whole(Bytes::from(text), between, None))
 }
--- a/src/edge/pool.rs
+++ b/src/reverse_proxy/pool.rs
@@ -165,7 +165,7 @@
     }
 
     /// Opens a connection and keeps it, to see whether a server is there.
-    pub async fn reaches(&self, address: SocketAddr) -> bool {
+    pub async fn probe(&self, address: SocketAddr) -> bool {
         match self.connect(address, u32::MAX).await {
             Ok(leased) => {
                 leased.keep(None);
@@ -176,7 +176,7 @@
     }
 
     /// Closes idle connections that are past their time or whose address is not in use.
-    pub fn sweep(&self, used: &BTreeSet<SocketAddr>) {
+    pub fn close_unused(&self, used: &BTreeSet<SocketAddr>) {
         let now = Instant::now();
         let mut dropped = Vec::new();
         let mut addresses = self.lock();
--- a/src/edge/raw_head.rs
+++ b/src/reverse_proxy/raw_head.rs
@@ -16,7 +16,7 @@
     /// One length, or none.
     Single,
     /// Both a length and chunks: whoever reads the one sees other requests than who reads the other.
-    Doubled,
+    Conflicting,
     /// Chunks, and the bytes of the head were not kept: they came while an earlier request of the
     /// connection was served. Whether there was a length as well cannot be told.
     Unknown,
@@ -35,13 +35,13 @@
     }
 
     /// Judges the request that the library made of these bytes, and forgets them.
-    pub fn judge(&self, head: &request::Parts) -> BodyFraming {
+    pub fn body_framing(&self, head: &request::Parts) -> BodyFraming {
         let bytes = std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner));
         if !head.headers.contains_key(header::TRANSFER_ENCODING) {
             return BodyFraming::Single;
         }
         if head.headers.contains_key(header::CONTENT_LENGTH) {
-            return BodyFraming::Doubled;
+            return BodyFraming::Conflicting;
         }
         let text = String::from_utf8_lossy(&bytes);
         let begin = format!("{} {} ", head.method, head.uri);
@@ -56,6 +56,6 @@
         let sized = names
             .into_iter()
             .any(|(name, _)| name.trim().eq_ignore_ascii_case(header::CONTENT_LENGTH.as_str()));
-        if sized { BodyFraming::Doubled } else { BodyFraming::Single }
+        if sized { BodyFraming::Conflicting } else { BodyFraming::Single }
     }
 }
--- a/src/edge/recheck.rs
+++ b/src/reverse_proxy/recheck.rs
@@ -5,7 +5,7 @@
 //! connection is, and it costs less than a request that fails.
 
 use {
-    super::core::EdgeCore,
+    super::core::ProxyCore,
     crate::{ids::ServerId, observe::events, policy::PolicyInput},
     std::{
         collections::BTreeSet,
@@ -28,7 +28,7 @@
 #[derive(Default)]
 pub struct RecheckList(Mutex<BTreeSet<ServerId>>);
 
-impl EdgeCore {
+impl ProxyCore {
     /// Looks after a server whose connection broke until it answers or leaves the list.
     pub fn recheck(self: &Arc<Self>, server: &ServerId) {
         self.recheck_after(server, FIRST_PAUSE);
@@ -54,10 +54,10 @@
         for _ in 0..MOST_LOOKS {
             let view = self.view();
             let Some(listed) = view.servers.get(&server) else { break };
-            if self.pool.reaches(listed.address).await {
+            if self.pool.probe(listed.address).await {
                 log::info!(server = server.as_str(), away_ms = since.elapsed().as_millis() as u64;
                     "{}", events::SERVER_BACK);
-                self.port.tell(view.health_of(listed));
+                self.dispatcher.notify(view.health_input(listed));
                 break;
             }
             sleep(NEXT_PAUSE).await;
@@ -69,9 +69,9 @@
     pub async fn probe(&self, server: ServerId) {
         let address = self.view().servers.get(&server).map(|listed| listed.address);
         let answered = match address {
-            Some(address) => self.pool.reaches(address).await,
+            Some(address) => self.pool.probe(address).await,
             None => false,
         };
-        self.port.tell(PolicyInput::Probed { server, answered });
+        self.dispatcher.notify(PolicyInput::Probed { server, answered });
     }
 }
--- a/src/edge/relay.rs
+++ b/src/reverse_proxy/relay.rs
@@ -5,14 +5,14 @@
 
 use {
     super::{
-        answer::AnswerCut,
-        dialect::AnswerHead,
-        exchange::{Exchange, ResumeFrom},
+        dialect::ResponseHead,
+        exchange::{HttpExchange, ResumeFrom},
         pool::LeasedConnection,
+        response::TruncatedResponse,
     },
     crate::{
         observe::events,
-        pipeline::{Directive, counters::record_first_token},
+        pipeline::{DispatchDirective, counters::record_first_token},
         policy::{AttemptFailure, PolicyInput, RefusalReason, SendOrder},
     },
     bytes::{Bytes, BytesMut},
@@ -30,7 +30,7 @@
 /// A stream whose first bytes have arrived.
 pub(super) struct StreamStart {
     pub parts: response::Parts,
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     pub body: Incoming,
     pub leased: LeasedConnection,
     pub first: Bytes,
@@ -39,11 +39,11 @@
 
 /// A stream on its way to the caller.
 pub(super) struct RelayedStream {
-    exchange: Exchange,
+    exchange: HttpExchange,
     order: SendOrder,
     /// The server's answer; `None` once it has ended.
     source: Option<(Incoming, LeasedConnection)>,
-    head: AnswerHead,
+    head: ResponseHead,
     /// Bytes that wait to be passed on.
     arrived: Option<Bytes>,
     /// An event that has not ended; only where the stream can be resumed, and within bounds.
@@ -75,11 +75,11 @@
 }
 
 impl RelayedStream {
-    pub(super) fn new(exchange: Exchange, start: StreamStart) -> Self {
+    pub(super) fn new(exchange: HttpExchange, start: StreamStart) -> Self {
         let StreamStart { head, body, leased, first, order, .. } = start;
         exchange
             .route
-            .tell(PolicyInput::FirstToken { attempt: order.attempt, cached_tokens: None });
+            .notify(PolicyInput::FirstToken { attempt: order.attempt, cached_tokens: None });
         let pace = StreamPace::begin(exchange.request.arrived);
         let caller = &exchange.request.caller;
         if let Some(work) = &caller.work {
@@ -100,7 +100,7 @@
     }
 
     /// The stream in the form of a body. Dropping it ends the request: the caller has left.
-    pub(super) fn into_pieces(self) -> BoxStream<'static, Result<Bytes, AnswerCut>> {
+    pub(super) fn into_pieces(self) -> BoxStream<'static, Result<Bytes, TruncatedResponse>> {
         stream::unfold(self, |mut relay| async move {
             let piece = relay.next().await?;
             Some((piece, relay))
@@ -108,7 +108,7 @@
         .boxed()
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, AnswerCut>> {
+    async fn next(&mut self) -> Option<Result<Bytes, TruncatedResponse>> {
         loop {
             if self.is_over {
                 return None;
@@ -135,14 +135,14 @@
     }
 
     /// The next bytes of the present server, or of the one that goes on for it.
-    async fn read(&mut self) -> Result<Option<Bytes>, AnswerCut> {
+    async fn read(&mut self) -> Result<Option<Bytes>, TruncatedResponse> {
         let ends = self.exchange.request.ends;
         let Some((body, _)) = &mut self.source else { return Ok(None) };
         let frame = tokio::select! {
             frame = body.frame() => frame,
             () = sleep_until(ends.into()) => {
-                self.exchange.tell_cut(&self.order, RefusalReason::DeadlinePassed, self.from.events);
-                return Err(AnswerCut::TimeOver);
+                self.exchange.log_truncated(&self.order, RefusalReason::DeadlinePassed, self.from.events);
+                return Err(TruncatedResponse::TimeOver);
             }
         };
         match frame {
@@ -152,7 +152,7 @@
             }
             None => {
                 let ended = self.source.take();
-                self.exchange.count_whole();
+                self.exchange.count_completed();
                 self.log_end();
                 self.exchange.finish(self.order.attempt, self.from.events);
                 ended.into_iter().for_each(|(_, leased)| leased.keep(self.head.idle_limit));
@@ -187,28 +187,28 @@
     }
 
     /// Lets another server go on after the last event that was passed on.
-    async fn go_on(&mut self) -> Result<Bytes, AnswerCut> {
+    async fn go_on(&mut self) -> Result<Bytes, TruncatedResponse> {
         let exchange = &mut self.exchange;
         exchange.core.recheck(&self.order.server);
         exchange.report(&self.order, AttemptFailure::Broken, &self.from, None);
         if !self.resumable || !exchange.may_run_again() || self.from.event.is_none() {
-            exchange.tell_cut(&self.order, RefusalReason::ServerFailed, self.from.events);
-            return Err(AnswerCut::BackendFailed);
+            exchange.log_truncated(&self.order, RefusalReason::ServerFailed, self.from.events);
+            return Err(TruncatedResponse::BackendFailed);
         }
         loop {
             let directive = tokio::select! {
                 directive = exchange.route.next() => directive,
                 () = sleep_until(exchange.request.ends.into()) => {
-                    exchange.tell_cut(&self.order, RefusalReason::DeadlinePassed, self.from.events);
-                    return Err(AnswerCut::TimeOver);
+                    exchange.log_truncated(&self.order, RefusalReason::DeadlinePassed, self.from.events);
+                    return Err(TruncatedResponse::TimeOver);
                 }
             };
             let order = match directive {
-                Directive::Send(order) => *order,
-                Directive::Cancel(_) => continue,
-                Directive::Refuse { reason, .. } => {
-                    exchange.tell_cut(&self.order, reason, self.from.events);
-                    return Err(AnswerCut::BackendFailed);
+                DispatchDirective::Send(order) => *order,
+                DispatchDirective::Cancel(_) => continue,
+                DispatchDirective::Refuse { reason, .. } => {
+                    exchange.log_truncated(&self.order, reason, self.from.events);
+                    return Err(TruncatedResponse::BackendFailed);
                 }
             };
             let begun = exchange.begin(&order, &self.from).await;
@@ -216,8 +216,8 @@
                 Ok(answer) if answer.parts.status.is_success() => answer,
                 Ok(_) => {
                     exchange.report(&order, AttemptFailure::ServerError, &self.from, None);
-                    exchange.tell_cut(&order, RefusalReason::ServerFailed, self.from.events);
-                    return Err(AnswerCut::BackendFailed);
+                    exchange.log_truncated(&order, RefusalReason::ServerFailed, self.from.events);
+                    return Err(TruncatedResponse::BackendFailed);
                 }
                 Err(
                     AttemptFailure::Declined | AttemptFailure::NotConnected | AttemptFailure::Stale,
@@ -226,15 +226,15 @@
                 }
                 Err(_) if exchange.may_run_again() => continue,
                 Err(_) => {
-                    exchange.tell_cut(&order, RefusalReason::ServerFailed, self.from.events);
-                    return Err(AnswerCut::BackendFailed);
+                    exchange.log_truncated(&order, RefusalReason::ServerFailed, self.from.events);
+                    return Err(TruncatedResponse::BackendFailed);
                 }
             };
             log::warn!(request_id = exchange.request.caller.id.as_str(),
                 server = order.server.as_str(), relayed_events = self.from.events;
                 "{}", events::STREAM_RESUMED);
             let attempt = order.attempt;
-            exchange.route.tell(PolicyInput::FirstToken { attempt, cached_tokens: None });
+            exchange.route.notify(PolicyInput::FirstToken { attempt, cached_tokens: None });
             self.head = answer.head;
             self.source = Some((answer.body, answer.leased));
             self.order = order;
--- a/src/edge/request.rs
+++ b/src/reverse_proxy/request.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        core::EdgeCore,
-        dialect::{CallerRequest, EdgeRefusal, PromptWork},
-        view::pool_model,
+        core::ProxyCore,
+        dialect::{CallerRequest, PromptWork, ProxyRefusal},
+        view::qualified_model,
     },
     crate::{
         ids::{DocumentNumber, ServiceId},
@@ -30,7 +30,7 @@
 const FIRST_BODY_BYTES: u64 = 64 * 1024;
 
 /// A request that was read whole.
-pub struct WholeRequest {
+pub struct BufferedRequest {
     /// What its head says.
     pub caller: CallerRequest,
     /// Its head.
@@ -51,25 +51,25 @@
 ///
 /// # Errors
 /// What the caller is told; in all cases nothing was sent to a backend server.
-pub async fn read_whole(
-    core: &EdgeCore,
+pub async fn read_request(
+    core: &ProxyCore,
     head: request::Parts,
     body: Incoming,
     limits: CallerLimits,
-) -> Result<WholeRequest, EdgeRefusal> {
+) -> Result<BufferedRequest, ProxyRefusal> {
     let arrived = Instant::now();
     let view = core.view();
     let Some(index) = &view.index else {
-        let refusal = EdgeRefusal::new(StatusCode::SERVICE_UNAVAILABLE, refusal::NO_ROUTES);
+        let refusal = ProxyRefusal::new(StatusCode::SERVICE_UNAVAILABLE, refusal::NO_ROUTES);
         return Err(refusal.after(NO_ROUTES_PAUSE));
     };
     if head.method == Method::CONNECT {
-        return Err(EdgeRefusal::new(StatusCode::BAD_REQUEST, refusal::BAD_REQUEST));
+        return Err(ProxyRefusal::new(StatusCode::BAD_REQUEST, refusal::BAD_REQUEST));
     }
     let mut caller = core.dialect.read_request(&head, index)?;
-    let service = caller.route.service(core.turn()).cloned();
+    let service = caller.route.service(core.next_split_value()).cloned();
     let Some(service) = service else {
-        return Err(EdgeRefusal::new(StatusCode::NOT_FOUND, refusal::NOT_FOUND));
+        return Err(ProxyRefusal::new(StatusCode::NOT_FOUND, refusal::NOT_FOUND));
     };
     // A route may be split between engines and a plain service, which has no prompt cache and no
     // weights: placed as a prompt, the part of its requests that falls to that service would find no
@@ -80,11 +80,11 @@
     let body = read_body(body, limits).await?;
     let given = caller.time_left.unwrap_or(caller.route.timeout).min(caller.route.timeout);
     let document = index.table.number;
-    Ok(WholeRequest { caller, head, body, service, document, arrived, ends: arrived + given })
+    Ok(BufferedRequest { caller, head, body, service, document, arrived, ends: arrived + given })
 }
 
-async fn read_body(mut body: Incoming, limits: CallerLimits) -> Result<Bytes, EdgeRefusal> {
-    let too_large = || EdgeRefusal::new(StatusCode::PAYLOAD_TOO_LARGE, refusal::TOO_LARGE);
+async fn read_body(mut body: Incoming, limits: CallerLimits) -> Result<Bytes, ProxyRefusal> {
+    let too_large = || ProxyRefusal::new(StatusCode::PAYLOAD_TOO_LARGE, refusal::TOO_LARGE);
     let announced = body.size_hint().lower();
     if announced > limits.body_bytes as u64 {
         return Err(too_large());
@@ -97,10 +97,10 @@
             // A body that does not end as announced; the connection is of no more use.
             Ok(Some(Err(error))) => {
                 log::debug!(error:% = error; "a body could not be read");
-                return Err(EdgeRefusal::new(StatusCode::BAD_REQUEST, refusal::BAD_REQUEST));
+                return Err(ProxyRefusal::new(StatusCode::BAD_REQUEST, refusal::BAD_REQUEST));
             }
             Err(_elapsed) => {
-                return Err(EdgeRefusal::new(StatusCode::REQUEST_TIMEOUT, refusal::BODY_TIMEOUT));
+                return Err(ProxyRefusal::new(StatusCode::REQUEST_TIMEOUT, refusal::BODY_TIMEOUT));
             }
         };
         let Ok(data) = frame.into_data() else { continue };
@@ -111,11 +111,11 @@
     }
 }
 
-impl WholeRequest {
+impl BufferedRequest {
     /// What the dispatcher is told.
     pub fn ticket(&self) -> RequestTicket {
         let caller = &self.caller;
-        let first = self.arrived + caller.first_answer_within;
+        let first = self.arrived + caller.response_start_timeout;
         RequestTicket {
             request: caller.id.clone(),
             organisation: caller.organisation.clone(),
@@ -125,7 +125,7 @@
             fingerprint: self.fingerprint(),
             work: match &caller.work {
                 Some(work) => RequestWork::Model {
-                    model: pool_model(&self.service, &work.model),
+                    model: qualified_model(&self.service, &work.model),
                     adapter: None,
                     levels: self.levels(work),
                     prompt_tokens: work.prompt_tokens,
--- a/src/edge/answer.rs
+++ b/src/reverse_proxy/response.rs
@@ -1,7 +1,7 @@
 //! Answers on their way to a caller.
 
 use {
-    super::{dialect::EdgeRefusal, guard::ConnectionPhase},
+    super::{dialect::ProxyRefusal, timeout_stream::ConnectionPhase},
     crate::{
         pipeline::{counters::count_refusal, drain::OpenRequest},
         policy::{DidRun, RefusalReason},
@@ -27,40 +27,40 @@
 /// An answer that began and cannot be finished. The library then ends the connection without the
 /// mark of a whole body, so that the caller cannot take it for one.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum AnswerCut {
+pub enum TruncatedResponse {
     /// the backend server's answer broke off and cannot be gone on with
     BackendFailed,
     /// the time for the request is over
     TimeOver,
 }
 
-impl std::error::Error for AnswerCut {}
+impl std::error::Error for TruncatedResponse {}
 
 enum BodyBytes {
     Whole(Option<Bytes>),
-    Stream(BoxStream<'static, Result<Bytes, AnswerCut>>),
+    Stream(BoxStream<'static, Result<Bytes, TruncatedResponse>>),
 }
 
 /// The body of an answer; it holds the request open until it is sent or dropped.
-pub struct AnswerBody {
+pub struct ResponseBody {
     bytes: BodyBytes,
     phase: ConnectionPhase,
     _open: Option<OpenRequest>,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body that is whole already.
     pub fn whole(bytes: Bytes, phase: ConnectionPhase, open: Option<OpenRequest>) -> Self {
-        AnswerBody { bytes: BodyBytes::Whole(Some(bytes)), phase, _open: open }
+        ResponseBody { bytes: BodyBytes::Whole(Some(bytes)), phase, _open: open }
     }
 
     /// A body that arrives in pieces.
     pub fn stream(
-        pieces: BoxStream<'static, Result<Bytes, AnswerCut>>,
+        pieces: BoxStream<'static, Result<Bytes, TruncatedResponse>>,
         phase: ConnectionPhase,
         open: Option<OpenRequest>,
     ) -> Self {
-        AnswerBody { bytes: BodyBytes::Stream(pieces), phase, _open: open }
+        ResponseBody { bytes: BodyBytes::Stream(pieces), phase, _open: open }
     }
 
     /// The same body, holding `open` and ending the request on `phase`.
@@ -71,20 +71,20 @@
     }
 }
 
-impl Drop for AnswerBody {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
         self.phase.end_request();
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerCut;
+    type Error = TruncatedResponse;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
         match &mut self.bytes {
             BodyBytes::Whole(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
@@ -113,17 +113,17 @@
 }
 
 /// What a caller gets: an answer, or the reason why there is none.
-pub type Outcome = Result<Response<AnswerBody>, EdgeRefusal>;
+pub type ProxyResult = Result<Response<ResponseBody>, ProxyRefusal>;
 
 /// What the caller is told when the dispatcher gives a request up.
 ///
 /// 503 promises that the request has not run and never will, so it is said only where the
 /// dispatcher is certain; 502 and 504 promise nothing.
-pub fn refusal_of(
+pub fn dispatch_refusal(
     reason: RefusalReason,
     retry_after: Option<Duration>,
     did_run: DidRun,
-) -> EdgeRefusal {
+) -> ProxyRefusal {
     let code = reason.as_str();
     count_refusal(code);
     if did_run == DidRun::No {
@@ -131,12 +131,12 @@
             RefusalReason::CrashesServers => CRASH_PAUSE,
             _ => USUAL_PAUSE,
         };
-        let refusal = EdgeRefusal::new(StatusCode::SERVICE_UNAVAILABLE, code);
+        let refusal = ProxyRefusal::new(StatusCode::SERVICE_UNAVAILABLE, code);
         return refusal.after(retry_after.unwrap_or(usual));
     }
     let status = match reason {
         RefusalReason::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
     };
-    EdgeRefusal::new(status, code)
+    ProxyRefusal::new(status, code)
 }
--- a/src/edge/keep_watch.rs
+++ b/src/reverse_proxy/store_monitor.rs
@@ -5,7 +5,7 @@
 //! end shows at once that the store has crashed, and an accepted connection that it is back.
 
 use {
-    super::{core::EdgeCore, pool::CONNECT_LIMIT},
+    super::{core::ProxyCore, pool::CONNECT_LIMIT},
     crate::observe::events,
     socket2::{SockRef, TcpKeepalive},
     std::{io, net::SocketAddr, sync::Arc, time::Duration},
@@ -27,12 +27,12 @@
 const LEAST_LIFE: Duration = Duration::from_millis(50);
 
 /// Watches the store for as long as the task runs.
-pub async fn watch_keep(core: Arc<EdgeCore>) {
+pub async fn monitor_cache_store(core: Arc<ProxyCore>) {
     let mut reached = false;
     loop {
-        let Some((address, _)) = core.view().keep() else {
+        let Some((address, _)) = core.view().cache_store() else {
             if std::mem::take(&mut reached) {
-                core.note_keep(false);
+                core.set_store_reachable(false);
             }
             sleep(ADDRESS_LOOK).await;
             continue;
@@ -52,25 +52,25 @@
 }
 
 /// Waits until the connection ends, or the configuration names another store.
-async fn stay(core: &EdgeCore, stream: &mut TcpStream, address: SocketAddr) {
+async fn stay(core: &ProxyCore, stream: &mut TcpStream, address: SocketAddr) {
     let mut bytes = [0; 1];
     loop {
         // Nothing was asked, so whatever is read ends the connection's use.
         if timeout(ADDRESS_LOOK, stream.read(&mut bytes)).await.is_ok() {
             return;
         }
-        if core.view().keep().is_none_or(|(named, _)| named != address) {
+        if core.view().cache_store().is_none_or(|(named, _)| named != address) {
             return;
         }
     }
 }
 
-fn note(core: &EdgeCore, reached: &mut bool, now: bool, address: SocketAddr) {
+fn note(core: &ProxyCore, reached: &mut bool, now: bool, address: SocketAddr) {
     if *reached == now {
         return;
     }
     *reached = now;
-    core.note_keep(now);
+    core.set_store_reachable(now);
     match now {
         true => log::info!(address:% = address; "{}", events::KEEP_BACK),
         false => log::warn!(address:% = address; "{}", events::KEEP_LOST),
--- a/src/edge/guard.rs
+++ b/src/reverse_proxy/timeout_stream.rs
@@ -69,7 +69,7 @@
 
 /// How long a caller may take.
 #[derive(Clone, Copy, Debug)]
-pub struct GuardLimits {
+pub struct StreamTimeouts {
     /// From the first byte of a head to its last.
     pub head: Duration,
     /// Without a byte between two requests.
@@ -79,27 +79,27 @@
 }
 
 /// A caller's connection under guard.
-pub struct GuardedStream {
+pub struct TimeoutStream {
     stream: TcpStream,
     phase: ConnectionPhase,
     raw: RawHead,
-    limits: GuardLimits,
+    limits: StreamTimeouts,
     /// Since when the present phase lasts, as far as reads have shown.
     seen: (u32, Instant),
     /// Runs while the library waits for a head.
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl GuardedStream {
+impl TimeoutStream {
     /// A guarded connection in the library's form.
     pub fn wrap(
         stream: TcpStream,
         phase: ConnectionPhase,
         raw: RawHead,
-        limits: GuardLimits,
-    ) -> TokioIo<GuardedStream> {
+        limits: StreamTimeouts,
+    ) -> TokioIo<TimeoutStream> {
         let seen = (IDLE, Instant::now());
-        TokioIo::new(GuardedStream { stream, phase, raw, limits, seen, timer: None })
+        TokioIo::new(TimeoutStream { stream, phase, raw, limits, seen, timer: None })
     }
 
     fn stream(self: Pin<&mut Self>) -> Pin<&mut TcpStream> {
@@ -107,7 +107,7 @@
     }
 }
 
-impl AsyncRead for GuardedStream {
+impl AsyncRead for TimeoutStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -154,7 +154,7 @@
     }
 }
 
-impl AsyncWrite for GuardedStream {
+impl AsyncWrite for TimeoutStream {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/src/edge/view.rs
+++ b/src/reverse_proxy/view.rs
@@ -26,7 +26,7 @@
 
 /// The shared state as one entry serves by it.
 #[derive(Clone, Debug, Default)]
-pub struct EdgeView {
+pub struct ProxyView {
     /// The routes; `None` until a table is known.
     pub index: Option<Arc<RouteIndex>>,
     /// The backend servers that routes lead to, by name.
@@ -41,11 +41,11 @@
 
 /// The name of a model's pool: a service's servers never serve another service's requests, not even
 /// for a model of the same name.
-pub fn pool_model(service: &ServiceId, model: &ModelId) -> ModelId {
+pub fn qualified_model(service: &ServiceId, model: &ModelId) -> ModelId {
     format!("{service}/{model}")
 }
 
-impl EdgeView {
+impl ProxyView {
     /// The view of a table, a list of servers, the named weights, and those of them that were named so
     /// long ago that nothing may begin on older ones any more.
     pub fn new(
@@ -55,7 +55,7 @@
         required: &NamedWeights,
         entries: u32,
     ) -> Self {
-        let Some(index) = index else { return EdgeView { entries, ..EdgeView::default() } };
+        let Some(index) = index else { return ProxyView { entries, ..ProxyView::default() } };
         let routed: BTreeSet<&ServiceId> = index
             .table
             .routes
@@ -69,7 +69,7 @@
             .map(|server| (server.id.clone(), server.clone()))
             .collect();
         let outdated = outdated(&servers, required);
-        EdgeView {
+        ProxyView {
             index: Some(index),
             servers,
             named: named.clone(),
@@ -91,7 +91,7 @@
         engines
             .flat_map(|(id, engine)| engine.models.iter().map(move |model| (id, model)))
             .filter_map(|(id, model)| {
-                Some((pool_model(id, model), self.named.get(model)?.to_string()))
+                Some((qualified_model(id, model), self.named.get(model)?.to_string()))
             })
             .collect()
     }
@@ -105,7 +105,7 @@
 
     /// The engines' common store: where it is, and tokens a second of its link that are this daemon's
     /// part.
-    pub fn keep(&self) -> Option<(SocketAddr, f64)> {
+    pub fn cache_store(&self) -> Option<(SocketAddr, f64)> {
         let services = || self.index.iter().flat_map(|index| index.table.services.values());
         let store = services().find_map(|rule| rule.cache_store.as_ref())?;
         let token = services().find_map(|rule| rule.engine.as_ref()?.token_bytes)?;
@@ -125,7 +125,7 @@
         &self,
         vm: &VmId,
         objective: DecisionObjective,
-        former: &EdgeView,
+        former: &ProxyView,
     ) -> Vec<PolicyInput> {
         let view = Arc::new(self.policy_view(vm, objective));
         let rate = self.fetch_rate();
@@ -138,9 +138,9 @@
             if known == Some(server) && was_outdated == self.outdated.contains(&server.id) {
                 continue;
             }
-            let reborn = known.is_none_or(|known| known.life != server.life);
-            inputs.push(self.health_of(server));
-            if reborn || known.is_none_or(|known| known.weights != server.weights) {
+            let restarted = known.is_none_or(|known| known.life != server.life);
+            inputs.push(self.health_input(server));
+            if restarted || known.is_none_or(|known| known.weights != server.weights) {
                 inputs.push(self.first_report(server));
             }
         }
@@ -155,7 +155,9 @@
             weights: server
                 .weights
                 .iter()
-                .map(|(model, version)| (pool_model(&server.service, model), version.to_string()))
+                .map(|(model, version)| {
+                    (qualified_model(&server.service, model), version.to_string())
+                })
                 .collect(),
             running: 0,
             waiting: 0,
@@ -166,7 +168,7 @@
     }
 
     /// What membership says of a listed server.
-    pub fn health_of(&self, server: &ListedServer) -> PolicyInput {
+    pub fn health_input(&self, server: &ListedServer) -> PolicyInput {
         let health = match server.phase {
             _ if self.outdated.contains(&server.id) => ServerHealth::Leaving,
             ServerPhase::Ready => ServerHealth::Alive { incarnation: server.life },
@@ -179,7 +181,7 @@
     fn policy_view(&self, vm: &VmId, objective: DecisionObjective) -> PolicyView {
         let servers = self.servers.values().map(|server| {
             let engine = self.is_engine(&server.service);
-            let models = server.weights.keys().map(|model| pool_model(&server.service, model));
+            let models = server.weights.keys().map(|model| qualified_model(&server.service, model));
             let view = ServerView {
                 failure_domain: server.failure_domain.clone(),
                 kind: if engine { ServerKind::Engine } else { ServerKind::Service },
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -18,7 +18,7 @@
     },
     oleandermount::{
         backend::sse::{SseEvent, SseParser},
-        pipeline::prompt::{ParsedPrompt, PromptForm},
+        pipeline::prompt::{ParsedPrompt, PromptFormat},
     },
     quickcheck::{Gen, QuickCheck},
     std::net::SocketAddr,
@@ -120,7 +120,7 @@
     assert_eq!(send("{}").await.expect("an answer").status, 200);
     let other = send(r#"{"slot":2}"#).await.expect("an answer");
     assert_eq!((other.status.as_u16(), other.code().as_str()), (409, "key_reused"));
-    assert_eq!(service.knobs.runs_of("k"), 1);
+    assert_eq!(service.controls.runs_of("k"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -144,7 +144,7 @@
 #[test]
 fn prompt_parser_takes_any_bytes() {
     fn property(bytes: Vec<u8>, form: bool) -> bool {
-        let form = if form { PromptForm::Chat } else { PromptForm::Text };
+        let form = if form { PromptFormat::Chat } else { PromptFormat::Text };
         ParsedPrompt::parse(form, &bytes).map_or_else(|refusal| refusal.status == 400, |_| true)
     }
     check().quickcheck(property as fn(Vec<u8>, bool) -> bool);
--- a/tests/caller_gone.rs
+++ b/tests/caller_disconnect.rs
@@ -47,26 +47,26 @@
     let mut open = open.expect("the stream opens");
     open.response.body_mut().frame().await.expect("a first event").expect("it is whole");
     drop(open);
-    until(|| engine.knobs.cancelled.load(Ordering::SeqCst) == 1).await;
-    until(|| engine.knobs.dropped.load(Ordering::SeqCst) == 1).await;
+    until(|| engine.controls.cancelled.load(Ordering::SeqCst) == 1).await;
+    until(|| engine.controls.dropped.load(Ordering::SeqCst) == 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn booking_goes_on_without_its_caller() {
     let service = FakeService::start(([127, 0, 0, 1], 0).into()).await.expect("it starts");
     let daemon = LoneDaemon::start(&[], &[service.address()]).await;
-    service.knobs.hold.store(1, Ordering::SeqCst);
+    service.controls.hold.store(1, Ordering::SeqCst);
     let callers = daemon.callers();
     let headers = [("authorization", KEY), ("idempotency-key", "gone")];
     let path = "/services/dispatch-app/bookings";
     let first = tokio::spawn(async move {
         http_client::send(callers, "POST", path, &headers, "{}").await.map(|_| ())
     });
-    until(|| service.knobs.runs_of("gone") == 1).await;
+    until(|| service.controls.runs_of("gone") == 1).await;
     first.abort();
-    service.knobs.release();
+    service.controls.release();
     let resent = http_client::send(callers, "POST", path, &headers, "{}").await;
     let resent = resent.expect("an answer");
     assert_eq!((resent.status.as_u16(), &resent.json()["run"]), (200, &json!(1)));
-    assert_eq!(service.knobs.runs_of("gone"), 1);
+    assert_eq!(service.controls.runs_of("gone"), 1);
 }
--- a/tests/claim_ends.rs
+++ b/tests/claim_release.rs
@@ -9,10 +9,10 @@
         ids::FencingNumber,
         inventory::RequestClass,
         pipeline::{
-            CoreParts, DispatchPort, DrainGate, PipelineCore, TraceLog,
-            deduplicate::{CallClaim, ClaimResult, Claimed, claim, tell_floor},
-            limit::CallerTerms,
-            send_fuse::SendFuse,
+            CoreParts, DispatcherHandle, DrainGate, PipelineCore, TraceLog,
+            deduplicate::{CallClaim, ClaimResult, Claimed, claim, report_attempt_floor},
+            limit::CallerContext,
+            send_state::SendState,
         },
         policy::{Dispatcher, DispatcherSettings, SafeguardSet},
     },
@@ -122,7 +122,7 @@
     PipelineCore::new(CoreParts {
         vm: vm.to_owned(),
         incarnation: 1,
-        port: DispatchPort::new(dispatcher, mpsc::channel(1).0, Arc::clone(&trace)),
+        dispatcher: DispatcherHandle::new(dispatcher, mpsc::channel(1).0, Arc::clone(&trace)),
         control: Arc::new(LedgerRoute { ledger: Arc::clone(ledger), faults: Mutex::new(faults) }),
         gate: DrainGate::default(),
         trace,
@@ -132,13 +132,13 @@
 /// Claims the call; `None` if the deadline passes first.
 async fn book(core: &Arc<PipelineCore>, wait: Duration) -> Option<ClaimResult> {
     let arrived = Instant::now();
-    let terms = CallerTerms {
+    let terms = CallerContext {
         organisation: "firm".to_owned(),
         class: RequestClass::Interactive,
         arrived,
         deadline: arrived + wait,
     };
-    let fuse = SendFuse::default();
+    let fuse = SendState::default();
     claim(core, &terms, "slot".to_owned(), "f1".to_owned(), &fuse).await.ok()
 }
 
@@ -178,7 +178,7 @@
     let [a, c] = ["a-1", "c-1"].map(|vm| daemon(&ledger, vm, RouteFaults::default()));
     let lost = RouteFaults { delays: 1, lost_ends: u32::MAX, ..RouteFaults::default() };
     let b = daemon(&ledger, "b-1", lost);
-    tokio::spawn(tell_floor(Arc::clone(&b)));
+    tokio::spawn(report_attempt_floor(Arc::clone(&b)));
     let first = granted(&a, HASTY).await;
     assert!(book(&b, HASTY).await.is_none(), "another daemon holds the call");
     first.release();
@@ -205,7 +205,7 @@
     let ledger = Arc::new(SharedLedger::default());
     let a = daemon(&ledger, "a-1", RouteFaults { lost_ends: LOST_ENDS, ..RouteFaults::default() });
     let c = daemon(&ledger, "c-1", RouteFaults::default());
-    tokio::spawn(tell_floor(Arc::clone(&a)));
+    tokio::spawn(report_attempt_floor(Arc::clone(&a)));
     let floor = a.claims.floor();
     let sent = granted(&a, HASTY).await.send();
     drop(sent);
--- a/tests/router_crash.rs
+++ b/tests/daemon_crash.rs
@@ -7,7 +7,7 @@
 mod daemon_process;
 
 use {
-    daemon_process::{DaemonGroup, DataFolder, did_run, http_client::OpenAnswer},
+    daemon_process::{DaemonGroup, DataFolder, did_run, http_client::OpenResponse},
     futures::future::{join, join_all},
     http_body_util::BodyExt,
 };
@@ -17,7 +17,7 @@
 const HASTY: &str = "1500";
 
 /// Reads a stream to its end: the text, and whether it ended as if it were whole.
-async fn read_rest(mut stream: OpenAnswer) -> (String, bool) {
+async fn read_rest(mut stream: OpenResponse) -> (String, bool) {
     let mut text = String::new();
     while let Some(frame) = stream.response.body_mut().frame().await {
         let Ok(frame) = frame else { return (text, false) };
--- a/tests/fakes/daemon_process.rs
+++ b/tests/fakes/daemon_process.rs
@@ -22,7 +22,7 @@
     self::{
         daemon_log::{DaemonPorts, LogTail, log_copy, read_log},
         engine::{EngineBehaviour, FakeEngine},
-        http_client::{OpenAnswer, WholeAnswer},
+        http_client::{BufferedResponse, OpenResponse},
         key_folder::KeyFolder,
         service::FakeService,
         udp_relay::UdpRelay,
@@ -276,7 +276,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &Value,
-    ) -> io::Result<WholeAnswer> {
+    ) -> io::Result<BufferedResponse> {
         let headers = [&[KEY], headers].concat();
         let address = self.daemons[vm].ports.callers;
         let sent = http_client::send(address, method, path, &headers, body.to_string());
@@ -284,24 +284,29 @@
     }
 
     /// Books under a key: a call that must run once at most.
-    pub async fn book(&self, vm: &str, key: &str, deadline_ms: &str) -> io::Result<WholeAnswer> {
+    pub async fn book(
+        &self,
+        vm: &str,
+        key: &str,
+        deadline_ms: &str,
+    ) -> io::Result<BufferedResponse> {
         let headers = [("idempotency-key", key), ("x-oleandermount-deadline-ms", deadline_ms)];
         let path = "/services/dispatch-app/bookings";
         self.call(vm, "POST", path, &headers, &json!({ "slot": key })).await
     }
 
     /// Looks a status up: a call that may run again.
-    pub async fn look_up(&self, vm: &str) -> io::Result<WholeAnswer> {
+    pub async fn look_up(&self, vm: &str) -> io::Result<BufferedResponse> {
         self.call(vm, "GET", "/services/dispatch-app/status", &[], &Value::Null).await
     }
 
     /// Asks for a chat reply, whole.
-    pub async fn chat(&self, vm: &str, question: &str) -> io::Result<WholeAnswer> {
+    pub async fn chat(&self, vm: &str, question: &str) -> io::Result<BufferedResponse> {
         self.call(vm, "POST", CHAT_PATH, &[], &chat_body(question, REPLY_TOKENS)).await
     }
 
     /// Asks for a long chat reply as a stream and waits for its head.
-    pub async fn stream(&self, vm: &str, question: &str) -> io::Result<OpenAnswer> {
+    pub async fn stream(&self, vm: &str, question: &str) -> io::Result<OpenResponse> {
         let address = self.daemons[vm].ports.callers;
         let body = chat_body(question, STREAM_TOKENS).to_string();
         let sent = http_client::open(address, "POST", CHAT_PATH, &[KEY], body);
@@ -315,7 +320,7 @@
         method: &str,
         path: &str,
         body: &Value,
-    ) -> io::Result<WholeAnswer> {
+    ) -> io::Result<BufferedResponse> {
         let json = [("content-type", "application/json")];
         let address = self.daemons[vm].ports.operators;
         let sent = http_client::send(address, method, path, &json, body.to_string());
@@ -336,7 +341,7 @@
         operation: &str,
         expected: u64,
         body: Value,
-    ) -> io::Result<WholeAnswer> {
+    ) -> io::Result<BufferedResponse> {
         let change = json!({ "operation": operation, "expected": expected, part: body });
         self.operate(vm, "PUT", &format!("/v1/{part}"), &change).await
     }
@@ -389,17 +394,17 @@
 
     /// How often the services ran the call under a key.
     pub fn runs_of(&self, key: &str) -> u64 {
-        self.services.values().map(|service| service.knobs.runs_of(key)).sum()
+        self.services.values().map(|service| service.controls.runs_of(key)).sum()
     }
 
     /// Lets services run calls and hold their answers.
     pub fn hold_services(&self) {
-        self.services.values().for_each(|one| one.knobs.hold.store(1, Ordering::SeqCst));
+        self.services.values().for_each(|one| one.controls.hold.store(1, Ordering::SeqCst));
     }
 
     /// Lets the held answers go.
     pub fn release_services(&self) {
-        self.services.values().for_each(|one| one.knobs.release());
+        self.services.values().for_each(|one| one.controls.release());
     }
 
     /// The register, with a region to tell changes apart.
@@ -441,7 +446,7 @@
 }
 
 /// The `did_run` of a refusal, `"yes"` for an answer of the service.
-pub fn did_run(answer: &WholeAnswer) -> String {
+pub fn did_run(answer: &BufferedResponse) -> String {
     answer.json()["error"]["did_run"].as_str().unwrap_or("yes").to_owned()
 }
 
--- a/tests/graceful_drain.rs
+++ b/tests/graceful_drain.rs
@@ -22,7 +22,7 @@
 
 const STREAMS: u64 = 24;
 
-async fn ask(callers: SocketAddr, question: u64) -> http_client::WholeAnswer {
+async fn ask(callers: SocketAddr, question: u64) -> http_client::BufferedResponse {
     let body = json!({
         "model": MODEL, "stream": true, "max_tokens": 30,
         "messages": [{ "role": "user", "content": question.to_string() }],
@@ -35,11 +35,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_cuts_no_stream() {
     let engine = FakeEngine::start(EngineBehaviour::default()).await.expect("it starts");
-    engine.knobs.hold.store(1, Ordering::SeqCst);
+    engine.controls.hold.store(1, Ordering::SeqCst);
     let daemon = LoneDaemon::start(&[engine.address()], &[]).await;
     let callers = daemon.callers();
     let streams: Vec<_> = (0..STREAMS).map(|number| tokio::spawn(ask(callers, number))).collect();
-    while engine.knobs.started.load(Ordering::SeqCst) < 1 {
+    while engine.controls.started.load(Ordering::SeqCst) < 1 {
         yield_now().await;
     }
     let in_flight = "oleandermount_requests_total{class=\"interactive\"} 24";
@@ -58,7 +58,7 @@
         assert!(refused.retry_after.is_some());
     }
     assert!(!finishing.is_finished(), "the daemon stopped before its streams were whole");
-    engine.knobs.release();
+    engine.controls.release();
     assert_eq!(finishing.await.expect("no panic").cut, 0);
     for answer in join_all(streams).await {
         let text = String::from_utf8_lossy(&answer.expect("no panic").body).into_owned();
--- a/tests/named_weights.rs
+++ b/tests/named_weights.rs
@@ -7,7 +7,6 @@
         daemon::weight_orders::order_core::{
             OLD_LEASE, ORDER_LIFE, OrderAction, OrderCore, OrderInput, OrderPlan, OrderResult,
         },
-        edge::view::EdgeView,
         fleet::{FleetSnapshot, ListedServer, ServerPhase},
         ids::FencingNumber,
         node::{
@@ -18,6 +17,7 @@
             LoadReport,
             rollout::{RolloutServer, next_step},
         },
+        reverse_proxy::view::ProxyView,
         routing::{RouteIndex, RouteKind, RouteRule, RouteTable, ServiceRule},
     },
     std::{
@@ -237,10 +237,10 @@
 fn returned_server_waits() {
     let old = listed("i-1", 2, ServerPhase::Ready);
     let fleet = FleetSnapshot::new(vec![old.clone(), listed("i-2", 3, ServerPhase::Ready)]);
-    let view = EdgeView::new(Some(index()), &fleet, &named(3), &named(3), 1);
+    let view = ProxyView::new(Some(index()), &fleet, &named(3), &named(3), 1);
     assert_eq!(view.outdated.iter().collect::<Vec<_>>(), ["i-1"]);
     let alone = FleetSnapshot::new(vec![old, listed("i-2", 3, ServerPhase::Draining)]);
-    assert!(EdgeView::new(Some(index()), &alone, &named(3), &named(3), 1).outdated.is_empty());
+    assert!(ProxyView::new(Some(index()), &alone, &named(3), &named(3), 1).outdated.is_empty());
 }
 
 /// Operators saw servers on replaced weights for three seconds more after each change of the leader.
--- a/tests/stream_order.rs
+++ b/tests/stream_order.rs
@@ -20,7 +20,7 @@
 
 const TOKENS: u64 = 40;
 
-async fn ask(callers: SocketAddr, question: &str, stream: bool) -> http_client::WholeAnswer {
+async fn ask(callers: SocketAddr, question: &str, stream: bool) -> http_client::BufferedResponse {
     let body = json!({
         "model": MODEL, "stream": stream, "max_tokens": TOKENS,
         "messages": [{ "role": "user", "content": question }],
@@ -58,7 +58,7 @@
     let engines = engines(2).await;
     let daemon = daemon_before(&engines).await;
     let questions: Vec<String> = (0..8).map(|number| format!("question {number}")).collect();
-    engines[0].knobs.break_after.store(25, Ordering::SeqCst);
+    engines[0].controls.break_after.store(25, Ordering::SeqCst);
     let mut broken = Vec::new();
     for question in &questions {
         broken.push(ask(daemon.callers(), question, true).await);
@@ -67,7 +67,7 @@
     let metrics = daemon.metrics().await;
     let count = metrics.lines().find_map(|line| line.strip_prefix(resumed));
     assert_ne!(count, Some("0"), "no stream met the engine that breaks off");
-    engines[0].knobs.break_after.store(0, Ordering::SeqCst);
+    engines[0].controls.break_after.store(0, Ordering::SeqCst);
     for (question, answer) in questions.iter().zip(broken) {
         let whole = streamed_words(&ask(daemon.callers(), question, true).await.body);
         assert_eq!(whole.split_whitespace().count() as u64, TOKENS);
@@ -82,7 +82,7 @@
     let engines = engines(1).await;
     let daemon = daemon_before(&engines).await;
     let whole = streamed_words(&ask(daemon.callers(), "first", true).await.body);
-    engines[0].knobs.break_after.store(25, Ordering::SeqCst);
+    engines[0].controls.break_after.store(25, Ordering::SeqCst);
     let answer = ask(daemon.callers(), "first", true).await;
     let text = String::from_utf8_lossy(&answer.body);
     assert!(whole.starts_with(&streamed_words(&answer.body)), "{text}");
--- a/tests/doubtful_refusal.rs
+++ b/tests/uncertain_refusal.rs
@@ -9,8 +9,8 @@
         daemon::ControlPort,
         inventory::RequestClass,
         pipeline::{
-            CoreParts, DispatchPort, DrainGate, PipelineCore, TraceLog, deduplicate::claim,
-            limit::CallerTerms, send_fuse::SendFuse,
+            CoreParts, DispatcherHandle, DrainGate, PipelineCore, TraceLog, deduplicate::claim,
+            limit::CallerContext, send_state::SendState,
         },
         policy::{DidRun, Dispatcher, DispatcherSettings, SafeguardSet},
     },
@@ -51,19 +51,19 @@
     let core = PipelineCore::new(CoreParts {
         vm: "a-1".to_owned(),
         incarnation: 1,
-        port: DispatchPort::new(dispatcher, mpsc::channel(1).0, Arc::clone(&trace)),
+        dispatcher: DispatcherHandle::new(dispatcher, mpsc::channel(1).0, Arc::clone(&trace)),
         control: Arc::new(FadingLedger { answers: AtomicU32::new(answers) }),
         gate: DrainGate::default(),
         trace,
     });
     let arrived = Instant::now();
-    let terms = CallerTerms {
+    let terms = CallerContext {
         organisation: "firm".to_owned(),
         class: RequestClass::Interactive,
         arrived,
         deadline: arrived + Duration::from_secs(600),
     };
-    let fuse = SendFuse::default();
+    let fuse = SendState::default();
     let claimed = claim(&core, &terms, "monday".to_owned(), "f1".to_owned(), &fuse).await;
     claimed.err().expect("no quorum is left").did_run
 }
