--- a/src/pipeline.rs
+++ b/src/pipeline.rs
@@ -1,7 +1,7 @@
-//! Requests go through filters in order: identify, limit, deduplicate, admit, place, relay.
+//! Request processing stages: identify, limit, deduplicate, admit, place and relay.
 //!
-//! Each filter is one module with one job; a refusal leaves the pipe at once as a
-//! [`CallerRefusal`], which says truthfully whether the request ran.
+//! Each stage is one module. A stage that rejects a request ends the processing with a
+//! [`CallerRefusal`], which states whether the request may have run.
 
 pub mod core;
 pub mod counters;
--- a/src/pipeline/core.rs
+++ b/src/pipeline/core.rs
@@ -1,4 +1,4 @@
-//! What all requests of one daemon share.
+//! State that is shared by all requests of a daemon.
 
 use {
     super::{
@@ -22,23 +22,23 @@
     },
 };
 
-/// A configuration with the look-ups that each request needs, made once a revision.
+/// A configuration with the lookup tables that each request needs, built once per revision.
 #[derive(Debug, Default)]
 pub struct ServingConfig {
-    /// The configuration.
+    /// The configuration that the lookup tables are built from.
     pub config: Arc<ActiveConfig>,
-    /// Organisations by key.
+    /// Organisations by the digest of their API keys.
     pub keys: KeyIndex,
-    /// Rules by organisation.
+    /// Access rules by organisation.
     pub rules: BTreeMap<OrganisationId, OrganisationRule>,
     /// Addresses of backend servers.
     pub addresses: BTreeMap<ServerId, SocketAddr>,
-    /// What the dispatcher needs.
+    /// The part of the configuration that the dispatcher uses.
     pub view: Arc<PolicyView>,
 }
 
 impl ServingConfig {
-    /// The look-ups of `config`.
+    /// Builds the lookup tables of `config`.
     pub fn new(config: Arc<ActiveConfig>) -> Self {
         let register = &config.register;
         let rules =
@@ -87,46 +87,46 @@
     }
 }
 
-/// What a core is made of.
+/// Arguments of [`PipelineCore::new`].
 pub struct CoreParts {
-    /// The VM.
+    /// The VM that the daemon runs on.
     pub vm: VmId,
-    /// This life of the daemon.
+    /// The incarnation of the daemon process.
     pub incarnation: Incarnation,
-    /// The dispatcher.
+    /// The dispatcher that places requests on backend servers.
     pub dispatcher: Arc<DispatcherHandle>,
-    /// The replicated state.
+    /// Access to the replicated control state.
     pub control: Arc<dyn ControlPort>,
-    /// Requests in flight.
+    /// Admits requests until the daemon drains.
     pub gate: DrainGate,
-    /// Recent requests.
+    /// The decisions made for recent requests.
     pub trace: Arc<TraceLog>,
 }
 
-/// What all requests of one daemon share.
+/// State that is shared by all requests of a daemon.
 pub struct PipelineCore {
-    /// The VM.
+    /// The VM that the daemon runs on.
     pub vm: VmId,
-    /// This life of the daemon; a restart is another holder of claims.
+    /// The incarnation of the daemon process; each incarnation is a claim holder of its own.
     pub incarnation: Incarnation,
-    /// The dispatcher.
+    /// The dispatcher that places requests on backend servers.
     pub dispatcher: Arc<DispatcherHandle>,
-    /// The replicated state.
+    /// Access to the replicated control state.
     pub control: Arc<dyn ControlPort>,
-    /// Requests in flight.
+    /// Admits requests until the daemon drains.
     pub gate: DrainGate,
-    /// Recent requests.
+    /// The decisions made for recent requests.
     pub trace: Arc<TraceLog>,
-    /// Who uses this daemon.
+    /// Usage counts by organisation and backend server.
     pub usage: Arc<UsageTracker>,
-    /// Non-repeatable calls that this daemon runs now.
+    /// The non-repeatable calls that this daemon has claimed and not settled yet.
     pub claims: ActiveClaims,
     serving: ArcSwap<ServingConfig>,
-    requests: AtomicU64,
+    request_counter: AtomicU64,
 }
 
 impl PipelineCore {
-    /// A core without a configuration.
+    /// Creates a core with an empty configuration of revision 0.
     pub fn new(parts: CoreParts) -> Arc<Self> {
         let CoreParts { vm, incarnation, dispatcher, control, gate, trace } = parts;
         Arc::new(PipelineCore {
@@ -139,11 +139,11 @@
             usage: Arc::default(),
             claims: ActiveClaims::new(incarnation),
             serving: ArcSwap::default(),
-            requests: AtomicU64::new(0),
+            request_counter: AtomicU64::new(0),
         })
     }
 
-    /// Puts a configuration in force; an older one than the present is ignored.
+    /// Applies a configuration, unless its revision is lower than the current one.
     pub fn configure(&self, config: Arc<ActiveConfig>) {
         if config.revision < self.serving().config.revision {
             return;
@@ -154,19 +154,19 @@
         self.dispatcher.notify(PolicyInput::Configure(view));
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     pub fn serving(&self) -> Arc<ServingConfig> {
         self.serving.load_full()
     }
 
-    /// The address of a backend server; `None` if the register lost it since the decision.
+    /// The address of a backend server; `None` if the register no longer contains it.
     pub fn address(&self, server: &ServerId) -> Option<SocketAddr> {
         self.serving().addresses.get(server).copied()
     }
 
-    /// An id for a new request: the VM's name, then its life, then a count.
+    /// Generates a request id from the VM name, the incarnation and a counter.
     pub fn next_request_id(&self) -> RequestId {
-        let count = self.requests.fetch_add(1, Ordering::Relaxed);
+        let count = self.request_counter.fetch_add(1, Ordering::Relaxed);
         format!("{}.{:x}.{count}", self.vm, self.incarnation)
     }
 }
--- a/src/pipeline/counters.rs
+++ b/src/pipeline/counters.rs
@@ -1,4 +1,4 @@
-//! The measures that the pipeline records.
+//! Metrics that the pipeline records.
 
 use {
     crate::{
@@ -13,61 +13,61 @@
     std::time::Duration,
 };
 
-/// Counts a refusal by its code.
+/// Counts a refusal under its code.
 pub fn count_refusal(code: &'static str) {
     counter!(REFUSALS, "reason" => code).increment(1);
 }
 
-/// Counts a retry by its reason.
+/// Counts a retry under its reason.
 pub fn count_retry(reason: RetryReason) {
     counter!(RETRIES, "reason" => reason.as_str()).increment(1);
 }
 
-/// Counts an answer that arrived for another attempt and was dropped.
+/// Counts a response that was dropped because it belongs to another attempt.
 pub fn count_mismatched_response() {
     counter!(CROSSED_ANSWERS).increment(1);
 }
 
-/// Records the time from the caller's request to its first token.
+/// Records the time from the arrival of a request to the first token of its response.
 pub fn record_first_token(model: impl Into<String>, class: RequestClass, time: Duration) {
     histogram!(FIRST_TOKEN, "model" => model.into(), "class" => class.as_str())
         .record(time.as_secs_f64());
 }
 
-/// Records the time from a request's arrival to its first sending.
+/// Records the time from the arrival of a request to its first attempt.
 pub fn record_queue_wait(class: RequestClass, time: Duration) {
     histogram!(QUEUE_WAIT, "class" => class.as_str()).record(time.as_secs_f64());
 }
 
-/// Records the time from a request's arrival to the end of its answer.
+/// Records the time from the arrival of a request to the end of its response.
 pub fn record_response_time(class: RequestClass, time: Duration) {
     histogram!(ANSWER_TIME, "class" => class.as_str()).record(time.as_secs_f64());
 }
 
-/// Records the time between two chunks of a stream.
+/// Records the time between two consecutive chunks of a stream.
 pub fn record_inter_token(model: impl Into<String>, class: RequestClass, time: Duration) {
     histogram!(INTER_TOKEN, "model" => model.into(), "class" => class.as_str())
         .record(time.as_secs_f64());
 }
 
-/// Counts prompt tokens, and those of them that the engine took from its cache.
+/// Counts prompt tokens, and the part of them that the engine read from its cache.
 pub fn count_prompt(model: impl Into<String>, prompt_tokens: u32, hit_tokens: u32) {
     let model = model.into();
     counter!(PROMPT_TOKENS, "model" => model.clone()).increment(u64::from(prompt_tokens));
     counter!(HIT_TOKENS, "model" => model).increment(u64::from(hit_tokens));
 }
 
-/// Counts prompt tokens that were expected in a cache and computed again.
+/// Counts prompt tokens that were expected in an engine's cache but had to be computed.
 pub fn count_recomputed(model: impl Into<String>, tokens: u32) {
     counter!(RECOMPUTED_TOKENS, "model" => model.into()).increment(u64::from(tokens));
 }
 
-/// Counts a request taken in.
+/// Counts an admitted request.
 pub fn count_request(class: RequestClass) {
     counter!(REQUESTS, "class" => class.as_str()).increment(1);
 }
 
-/// Counts a request answered whole.
+/// Counts a request whose response was completed.
 pub fn count_response(class: RequestClass) {
     counter!(ANSWERS, "class" => class.as_str()).increment(1);
 }
--- a/src/pipeline/deduplicate.rs
+++ b/src/pipeline/deduplicate.rs
@@ -1,8 +1,9 @@
-//! Non-repeatable calls run at most once: a claim in the ledger comes before the only sending.
+//! At-most-once execution of non-repeatable calls: each call is claimed in the ledger before it is
+//! sent.
 //!
-//! The life cycle of a claim is a type: only a [`Claimed`] one can be released, only a [`Sent`]
-//! one can be finished, and neither state has a way to send twice. A claim that is dropped in
-//! either state ends as well: given back if nothing was sent, else with an unknown outcome.
+//! The state of a claim is a type parameter: only a [`Claimed`] claim can be released, only a
+//! [`Sent`] claim can be finished, and neither can be sent twice. Dropping a claim ends it as well:
+//! it is released if nothing was sent, and otherwise recorded with an unknown outcome.
 
 mod active_claims;
 
@@ -34,78 +35,79 @@
     },
 };
 
-/// How long a resend waits before it asks the ledger again; doubled up to the longest.
-const FIRST_POLL: Duration = Duration::from_millis(50);
-/// A resend that waits longer asks this often; each question is one log entry.
-const LONGEST_POLL: Duration = Duration::from_millis(800);
-/// Longest pause between two tries to bring the end of a sent call into the ledger.
-const LONGEST_SETTLE: Duration = Duration::from_secs(5);
-/// Tries to tell the ledger of a given-back attempt; after these the floor covers it.
-const RETURN_TRIES: u32 = 8;
-/// How often the ledger is told which attempts are over, while there are new ones. A claim that nobody
-/// holds keeps callers waiting for this long at most, unless an older attempt is still open.
-const FLOOR_PERIOD: Duration = Duration::from_secs(5);
-/// How long a reservation of unknown outcome is proposed again: the first may meet a leader that was
-/// just killed, and the next one is elected within about a second.
-const RESERVE_AGAIN: Duration = Duration::from_millis(1_500);
-/// Pause between two tries to tell the ledger of this life.
-const ANNOUNCE_PAUSE: Duration = Duration::from_secs(2);
-/// Advised wait while no quorum is reachable: an election takes about a second.
-const QUORUM_WAIT: Duration = Duration::from_secs(2);
-
-/// Digits of a call's digest in the log.
-const LOGGED_DIGITS: usize = 12;
-
-/// An answer waits this long for its place in the ledger; a commit takes a few milliseconds.
-const FINISH_WAIT: Duration = Duration::from_millis(500);
-
-/// A state of a claim: nothing was sent.
+/// Initial interval at which a retried call queries the ledger; doubled up to
+/// [`MAX_POLL_INTERVAL`].
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum interval between two queries, each of which adds an entry to the replicated log.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(800);
+/// Maximum interval between two proposals of the outcome of a sent call.
+const MAX_SETTLE_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum number of proposals to release an attempt; afterwards the attempt floor covers it.
+const RELEASE_RETRIES: u32 = 8;
+/// Interval at which a changed attempt floor is reported to the ledger. An abandoned claim delays
+/// callers by at most this time, unless an older attempt is still open.
+const FLOOR_INTERVAL: Duration = Duration::from_secs(5);
+/// How long a reservation with an unknown outcome is retried: after a crash of the leader, a new
+/// one is elected within about a second.
+const RESERVE_RETRY_TIME: Duration = Duration::from_millis(1_500);
+/// Interval between two proposals that announce the incarnation.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(2);
+/// `Retry-After` while no quorum is reachable: an election takes about a second.
+const QUORUM_RETRY_AFTER: Duration = Duration::from_secs(2);
+
+/// Number of digits of a call's digest in log records.
+const LOGGED_DIGEST_DIGITS: usize = 12;
+/// How long a response waits until it is recorded in the ledger; a commit takes a few milliseconds.
+const FINISH_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// State of a claim whose call has not been sent.
 pub struct Claimed;
-/// A state of a claim: the call may have reached the backend server.
+/// State of a claim whose call may have reached the backend server.
 pub struct Sent;
 
-/// The right to run one call once.
+/// The exclusive right to run a non-repeatable call once.
 pub struct CallClaim<S> {
     subject: ClaimSubject,
     state: PhantomData<S>,
 }
 
-/// What the ledger says to a call.
+/// Result of claiming a call.
 pub enum ClaimResult {
-    /// It may run, once.
+    /// The call may run once under this claim.
     Granted(CallClaim<Claimed>),
-    /// It ran; this is its answer.
+    /// The call has already run with this response.
     Answered(KeptAnswer),
 }
 
-/// Tells the ledger that this life of the daemon has begun, until it knows: calls that a former life
-/// held are then answered as unknown at once, not only when this daemon next claims one.
+/// Announces this incarnation of the daemon to the ledger, with retries until the proposal
+/// succeeds. The ledger then marks open calls of former incarnations as unknown at once, instead of
+/// when this daemon claims its next call.
 pub async fn announce_incarnation(core: Arc<PipelineCore>) {
     let (vm, incarnation) = (core.vm.clone(), core.incarnation);
     let command = Command::NoteLife { vm, incarnation, now_ms: now_ms() };
     while core.control.propose(command.clone()).await.is_err() {
-        sleep(ANNOUNCE_PAUSE).await;
+        sleep(ANNOUNCE_INTERVAL).await;
     }
 }
 
-/// Tells the ledger again and again which attempts of this life are over.
+/// Periodically reports the attempt floor of this incarnation to the ledger.
 ///
-/// A reservation whose proposal was given up here may still arrive and claim its call for nobody;
-/// the floor refuses it, or frees the call.
+/// A reservation whose proposal was abandoned may still be committed later. The ledger rejects
+/// reservations below the floor and releases calls that such a reservation has claimed.
 pub async fn report_attempt_floor(core: Arc<PipelineCore>) {
-    let mut told = core.claims.floor();
+    let mut reported = core.claims.floor();
     loop {
-        sleep(FLOOR_PERIOD).await;
+        sleep(FLOOR_INTERVAL).await;
         let floor = core.claims.floor();
-        if floor <= told {
+        if floor <= reported {
             continue;
         }
         let (vm, incarnation) = (core.vm.clone(), core.incarnation);
         let command = Command::EndAttempts { vm, incarnation, floor, now_ms: now_ms() };
         match core.control.propose(command).await {
-            Ok(CommandOutcome::Noted) => told = floor,
-            Ok(outcome) => log::warn!("the ledger does not take the floor: {outcome:?}"),
-            Err(error) => log::debug!(error:% = error; "the floor is not told yet"),
+            Ok(CommandOutcome::Noted) => reported = floor,
+            Ok(outcome) => log::warn!("the ledger rejected the attempt floor: {outcome:?}"),
+            Err(error) => log::debug!(error:% = error; "failed to report the attempt floor"),
         }
     }
 }
@@ -115,115 +117,116 @@
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Claims the only run of a call, or waits for the answer of the run that another has claimed.
+/// Claims the execution of a call, or waits for the response if the call is already claimed.
 ///
 /// # Errors
-/// 409 for a key that was used for another request, 503 without a quorum, 504 if the other run
-/// does not end in time, 502 if its outcome will not be known.
+/// 409 if the key was used for another request, 503 without a quorum, 504 if the other execution
+/// does not end before the deadline, 502 if its outcome is lost.
 pub async fn claim(
     core: &Arc<PipelineCore>,
     caller: &CallerContext,
     key: IdempotencyKey,
     fingerprint: DigestHex,
-    fuse: &SendState,
+    send_state: &SendState,
 ) -> Result<ClaimResult, CallerRefusal> {
     let key = (caller.organisation.clone(), key);
-    let mut pause = FIRST_POLL;
+    let mut pause = MIN_POLL_INTERVAL;
     let mut may_have_run = DidRun::No;
-    let mut waits_for = None;
+    let mut waiting_for = None;
     while Instant::now() < caller.deadline {
-        if let Some(claim) = CallClaim::enter(core, &key) {
-            let standing = ask(claim, &fingerprint).await;
-            match standing.map_err(|refusal| doubted(refusal, may_have_run))? {
-                CallStanding::Settled(result) => return Ok(result),
-                CallStanding::Forgotten { below } => {
-                    core.claims.skip_to(below);
+        if let Some(claim) = CallClaim::begin(core, &key) {
+            let status = try_claim(claim, &fingerprint).await;
+            match status.map_err(|refusal| with_possible_run(refusal, may_have_run))? {
+                CallStatus::Settled(result) => return Ok(result),
+                CallStatus::Forgotten { below } => {
+                    core.claims.raise_next(below);
                     continue;
                 }
-                CallStanding::Running { holder, incarnation } => {
+                CallStatus::Running { holder, incarnation } => {
                     let found = (holder, incarnation);
-                    if waits_for.as_ref() != Some(&found) {
-                        log_wait(&fingerprint, &found);
-                        waits_for = Some(found);
+                    if waiting_for.as_ref() != Some(&found) {
+                        log_waiting(&fingerprint, &found);
+                        waiting_for = Some(found);
                     }
                 }
             }
         }
-        // Another call under this key runs, here or elsewhere.
+        // A call with this key runs on this daemon or on another one.
         may_have_run = DidRun::Unknown;
-        fuse.mark_uncertain();
+        send_state.mark_uncertain();
         sleep(pause.min(caller.deadline.saturating_duration_since(Instant::now()))).await;
-        pause = (pause * 2).min(LONGEST_POLL);
+        pause = (pause * 2).min(MAX_POLL_INTERVAL);
     }
-    let message = "another call under this key still runs; ask again with the same key";
-    let mut answer = CallerRefusal::before_run(504, refusal::OUTCOME_UNKNOWN, message);
-    answer.did_run = may_have_run;
-    Err(answer)
+    let message = "another call with this key is still running; send it again with the same key";
+    let mut refusal = CallerRefusal::before_run(504, refusal::OUTCOME_UNKNOWN, message);
+    refusal.did_run = may_have_run;
+    Err(refusal)
 }
 
-/// A refusal after a run under the key was seen: that run may be the caller's own earlier send, so
-/// "did not run" could be false although this daemon sent nothing.
-fn doubted(refusal: CallerRefusal, may_have_run: DidRun) -> CallerRefusal {
+/// Adjusts a refusal if another call with the same key was found running. That may be an earlier
+/// attempt of the same caller, so that the refusal must not state that the call did not run,
+/// although this daemon sent nothing.
+fn with_possible_run(refusal: CallerRefusal, may_have_run: DidRun) -> CallerRefusal {
     match may_have_run {
         DidRun::No => refusal,
         DidRun::Unknown | DidRun::Yes => CallerRefusal { did_run: DidRun::Unknown, ..refusal },
     }
 }
 
-/// How a call is named in the log, where its key never stands.
+/// Identifies a call in log records, which must not contain its key.
 fn logged_call(fingerprint: &DigestHex) -> &str {
-    &fingerprint[..fingerprint.len().min(LOGGED_DIGITS)]
+    &fingerprint[..fingerprint.len().min(LOGGED_DIGEST_DIGITS)]
 }
 
-/// Says whose run a resend waits for.
-fn log_wait(fingerprint: &DigestHex, (holder, incarnation): &(VmId, Incarnation)) {
+/// Logs which daemon holds the claim that a retried call waits for.
+fn log_waiting(fingerprint: &DigestHex, (holder, incarnation): &(VmId, Incarnation)) {
     log::info!(call = logged_call(fingerprint), holder = holder.as_str(),
         incarnation = incarnation; "{}", events::CALL_WAITS);
 }
 
-/// What the ledger knows of a call.
-enum CallStanding {
+/// Status of a call in the ledger.
+enum CallStatus {
     Settled(ClaimResult),
-    /// Another attempt holds the call.
+    /// Another attempt holds the claim.
     Running {
         holder: VmId,
         incarnation: Incarnation,
     },
-    /// Attempts below this number can't claim it.
+    /// The ledger rejects attempts below this number.
     Forgotten {
         below: AttemptId,
     },
 }
 
-/// Asks the ledger once.
-async fn ask(
+/// Proposes one reservation and evaluates its outcome.
+async fn try_claim(
     mut claim: CallClaim<Claimed>,
     fingerprint: &DigestHex,
-) -> Result<CallStanding, CallerRefusal> {
+) -> Result<CallStatus, CallerRefusal> {
     match reserve(&mut claim, fingerprint).await {
-        Ok(CommandOutcome::Reserved) => Ok(CallStanding::Settled(ClaimResult::Granted(claim))),
+        Ok(CommandOutcome::Reserved) => Ok(CallStatus::Settled(ClaimResult::Granted(claim))),
         Ok(CommandOutcome::Finished { answer }) => {
-            Ok(CallStanding::Settled(ClaimResult::Answered(answer)))
+            Ok(CallStatus::Settled(ClaimResult::Answered(answer)))
         }
-        // Also when this life of this daemon is the holder: an earlier attempt whose reservation
-        // came after it was given back, and which the ledger is told of.
+        // The holder may be this incarnation of this daemon: the reservation of an earlier attempt
+        // was committed after the attempt had been released. That release is proposed as well.
         Ok(CommandOutcome::Running { holder, incarnation }) => {
-            Ok(CallStanding::Running { holder, incarnation })
+            Ok(CallStatus::Running { holder, incarnation })
         }
-        Ok(CommandOutcome::Forgotten { below }) => Ok(CallStanding::Forgotten { below }),
+        Ok(CommandOutcome::Forgotten { below }) => Ok(CallStatus::Forgotten { below }),
         Ok(CommandOutcome::KeyReused) => Err(CallerRefusal::before_run(
             409,
             refusal::KEY_REUSED,
-            "this Idempotency-Key was used for another request; take a new one",
+            "this Idempotency-Key was used for another request; use a new key",
         )),
         Ok(CommandOutcome::Unknown) => Err(unknown_outcome()),
         Ok(CommandOutcome::LedgerFull) => {
-            let message = "the ledger of non-repeatable calls is full; come back later";
-            let answer = CallerRefusal::before_run(503, refusal::LEDGER_FULL, message);
-            Err(answer.retry_after(QUORUM_WAIT))
+            let message = "the ledger of non-repeatable calls is full; try again later";
+            let refusal = CallerRefusal::before_run(503, refusal::LEDGER_FULL, message);
+            Err(refusal.retry_after(QUORUM_RETRY_AFTER))
         }
         Ok(outcome) => {
-            log::warn!("a claim was not taken: {outcome:?}");
+            log::warn!("the ledger rejected a claim: {outcome:?}");
             Err(no_quorum())
         }
         Err(ProposeError::OutcomeUnknown | ProposeError::NoQuorum | ProposeError::Busy) => {
@@ -232,8 +235,8 @@
     }
 }
 
-/// Proposes the reservation, and the same one again while its outcome is unknown: it carries one
-/// attempt number, so however often it commits, it grants one run.
+/// Proposes the reservation, and retries it while its outcome is unknown. Retries carry the same
+/// attempt number, so that several commits grant a single execution.
 async fn reserve(
     claim: &mut CallClaim<Claimed>,
     fingerprint: &DigestHex,
@@ -241,50 +244,51 @@
     let started = Instant::now();
     let command = claim.reserve(fingerprint);
     let core = Arc::clone(&claim.subject.core);
-    claim.subject.stage = ClaimStage::Asked;
+    claim.subject.stage = ClaimStage::MayBeReserved;
     let mut outcome = core.control.propose(command.clone()).await;
     let is_certain = outcome != Err(ProposeError::OutcomeUnknown);
-    while outcome == Err(ProposeError::OutcomeUnknown) && started.elapsed() < RESERVE_AGAIN {
-        sleep(FIRST_POLL).await;
+    while outcome == Err(ProposeError::OutcomeUnknown) && started.elapsed() < RESERVE_RETRY_TIME {
+        sleep(MIN_POLL_INTERVAL).await;
         outcome = match core.control.propose(command.clone()).await {
-            // The earlier proposal may still commit, whatever became of this one.
+            // An earlier proposal may still be committed, also if this one has failed.
             Err(_) => Err(ProposeError::OutcomeUnknown),
             decided => decided,
         };
     }
     log::debug!(call = logged_call(fingerprint), attempt:% = claim.subject.attempt,
-        outcome:? = outcome; "a claim was asked for");
+        outcome:? = outcome; "claim proposed");
     if is_certain && outcome != Ok(CommandOutcome::Reserved) {
-        claim.subject.stage = ClaimStage::Unasked;
+        claim.subject.stage = ClaimStage::Unreserved;
     }
     outcome
 }
 
 fn no_quorum() -> CallerRefusal {
-    let message = "non-repeatable calls need a quorum of control replicas; this send did not \
-                   run, an earlier one under the key may have: come back with the same key";
-    CallerRefusal::before_run(503, refusal::NO_QUORUM, message).retry_after(QUORUM_WAIT)
+    let message = "non-repeatable calls need a quorum of control replicas; this call did not run, \
+                   but an earlier one with the same key may have: retry with the same key";
+    CallerRefusal::before_run(503, refusal::NO_QUORUM, message).retry_after(QUORUM_RETRY_AFTER)
 }
 
 fn unknown_outcome() -> CallerRefusal {
-    let message = "the daemon that ran this call was lost before it had the answer; \
-                   ask the service whether it ran before you use a new key";
+    let message = "the daemon that ran this call failed before it had the response; \
+                   check with the service whether the call ran before you use a new key";
     CallerRefusal::after_send(502, refusal::OUTCOME_UNKNOWN, message)
 }
 
-/// What an end of the claim has to tell the ledger.
+/// Determines what has to be proposed to the ledger when a claim ends.
 enum ClaimStage {
-    /// Nothing: no reservation can be granted.
-    Unasked,
-    /// That nothing was sent: a reservation was granted, or may be.
-    Asked,
-    /// What became of the call.
+    /// Nothing, because no reservation can have been granted.
+    Unreserved,
+    /// A release, because a reservation was or may still be granted and nothing was sent.
+    MayBeReserved,
+    /// The outcome of the call.
     Sent,
-    /// It is told, or being told.
-    Ended,
+    /// Nothing more: the outcome has been or is being proposed.
+    Closed,
 }
 
-/// What a claim is about; shared by its states, so that the key stays taken between them.
+/// The call and the attempt of a claim. All states of the claim share it, so that the key stays
+/// reserved between them.
 struct ClaimSubject {
     core: Arc<PipelineCore>,
     key: LedgerKey,
@@ -294,22 +298,22 @@
 
 impl Drop for ClaimSubject {
     fn drop(&mut self) {
-        match mem::replace(&mut self.stage, ClaimStage::Ended) {
-            ClaimStage::Unasked => self.core.claims.leave(&self.key),
-            ClaimStage::Asked => {
-                // Nothing will be sent, whatever the ledger hears of it.
-                self.core.claims.leave(&self.key);
-                self.give_back();
+        match mem::replace(&mut self.stage, ClaimStage::Closed) {
+            ClaimStage::Unreserved => self.core.claims.end_attempt(&self.key),
+            ClaimStage::MayBeReserved => {
+                // The attempt has ended even if its release does not reach the ledger.
+                self.core.claims.end_attempt(&self.key);
+                self.propose_release();
             }
-            // The task goes on without its handle.
-            ClaimStage::Sent => drop(self.settle(self.unknown())),
-            ClaimStage::Ended => {}
+            // The task continues after its handle is dropped.
+            ClaimStage::Sent => drop(self.record_outcome(self.unknown_command())),
+            ClaimStage::Closed => {}
         }
     }
 }
 
 impl ClaimSubject {
-    fn released(&self) -> Command {
+    fn release_command(&self) -> Command {
         Command::Release {
             organisation: self.key.0.clone(),
             key: self.key.1.clone(),
@@ -319,7 +323,7 @@
         }
     }
 
-    fn unknown(&self) -> Command {
+    fn unknown_command(&self) -> Command {
         Command::MarkUnknown {
             organisation: self.key.0.clone(),
             key: self.key.1.clone(),
@@ -329,67 +333,70 @@
         }
     }
 
-    /// Tells the ledger that the attempt is over, so that nobody has to wait for the floor.
-    fn give_back(&self) {
+    /// Proposes the release of the attempt, so that other callers do not have to wait until the
+    /// attempt floor covers it.
+    fn propose_release(&self) {
         metrics::counter!(CLAIMS_RETURNED).increment(1);
-        let Some(permit) = self.core.claims.begin_return() else { return };
+        let Some(permit) = self.core.claims.begin_release() else { return };
         let (core, attempt) = (Arc::clone(&self.core), self.attempt);
-        let command = self.released();
-        spawn_end(async move {
-            for _ in 0..RETURN_TRIES {
+        let command = self.release_command();
+        spawn_detached(async move {
+            for _ in 0..RELEASE_RETRIES {
                 match core.control.propose(command.clone()).await {
                     Ok(_) => {
-                        log::debug!(attempt:% = attempt; "a claim was given back");
+                        log::debug!(attempt:% = attempt; "claim released");
                         break;
                     }
-                    Err(error) => log::debug!(error:% = error; "a claim is not given back yet"),
+                    Err(error) => log::debug!(error:% = error; "failed to release a claim"),
                 }
-                sleep(LONGEST_POLL).await;
+                sleep(MAX_POLL_INTERVAL).await;
             }
             drop(permit);
         });
     }
 
-    /// Brings the end of a sent call into the ledger, in the background and for as long as it
-    /// takes: resends wait for it, and until then the attempt is not over.
-    fn settle(&self, command: Command) -> Option<JoinHandle<()>> {
+    /// Records the outcome of a sent call in the ledger, in a background task without a limit of
+    /// retries: retried calls wait for the outcome, and the attempt stays open until then.
+    fn record_outcome(&self, command: Command) -> Option<JoinHandle<()>> {
         let (core, key) = (Arc::clone(&self.core), self.key.clone());
-        spawn_end(async move {
-            let mut pause = FIRST_POLL;
+        spawn_detached(async move {
+            let mut pause = MIN_POLL_INTERVAL;
             loop {
                 match core.control.propose(command.clone()).await {
                     Ok(CommandOutcome::NotHolder) => {
-                        log::error!("the ledger does not know of a call that was sent");
+                        log::error!("the ledger has no claim for a call that was sent");
                         break;
                     }
                     Ok(_) => break,
-                    Err(error) => log::debug!(error:% = error; "a claim is not settled yet"),
+                    Err(error) => {
+                        log::debug!(error:% = error; "failed to record the outcome of a call")
+                    }
                 }
                 sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_SETTLE);
+                pause = (pause * 2).min(MAX_SETTLE_INTERVAL);
             }
-            core.claims.leave(&key);
+            core.claims.end_attempt(&key);
         })
     }
 }
 
-/// Runs the end of a claim in the background; without a runtime the process ends, and the daemon's
-/// next life tells the ledger.
-fn spawn_end(end: impl Future<Output = ()> + Send + 'static) -> Option<JoinHandle<()>> {
+/// Runs the end of a claim in the background. Without a runtime the process is about to exit, and
+/// the next incarnation of the daemon informs the ledger.
+fn spawn_detached(end: impl Future<Output = ()> + Send + 'static) -> Option<JoinHandle<()>> {
     Handle::try_current().ok().map(|runtime| runtime.spawn(end))
 }
 
 impl<S> CallClaim<S> {
-    fn turn<T>(mut self, stage: ClaimStage) -> CallClaim<T> {
+    fn into_stage<T>(mut self, stage: ClaimStage) -> CallClaim<T> {
         self.subject.stage = stage;
         CallClaim { subject: self.subject, state: PhantomData }
     }
 }
 
 impl CallClaim<Claimed> {
-    fn enter(core: &Arc<PipelineCore>, key: &LedgerKey) -> Option<Self> {
-        let attempt = core.claims.enter(key)?;
-        let (core, key, stage) = (Arc::clone(core), key.clone(), ClaimStage::Unasked);
+    fn begin(core: &Arc<PipelineCore>, key: &LedgerKey) -> Option<Self> {
+        let attempt = core.claims.begin_attempt(key)?;
+        let (core, key, stage) = (Arc::clone(core), key.clone(), ClaimStage::Unreserved);
         let subject = ClaimSubject { core, key, attempt, stage };
         Some(CallClaim { subject, state: PhantomData })
     }
@@ -406,27 +413,27 @@
         }
     }
 
-    /// Gives the claim back: nothing was sent.
+    /// Releases the claim, because nothing was sent.
     pub fn release(self) {
         drop(self);
     }
 
-    /// The claim is used up: the call goes out now.
+    /// Uses the claim up; the call is sent now.
     pub fn send(self) -> CallClaim<Sent> {
-        self.turn(ClaimStage::Sent)
+        self.into_stage(ClaimStage::Sent)
     }
 }
 
 impl CallClaim<Sent> {
-    /// The connection was not made or the sending was given up before its first byte.
+    /// Restores the claim, because sending failed before the first byte was written.
     pub fn nothing_sent(self) -> CallClaim<Claimed> {
-        self.turn(ClaimStage::Asked)
+        self.into_stage(ClaimStage::MayBeReserved)
     }
 
-    /// Keeps the answer for resends. Waits a moment for the quorum, so that a resend that follows
-    /// the answer finds it, and goes on in the background if that is not enough.
+    /// Records the response in the ledger for retried calls. Waits up to [`FINISH_TIMEOUT`] for the
+    /// commit, so that a retry after the response finds it, and then continues in the background.
     pub async fn finish(mut self, answer: KeptAnswer) {
-        self.subject.stage = ClaimStage::Ended;
+        self.subject.stage = ClaimStage::Closed;
         let command = Command::Finish {
             organisation: self.subject.key.0.clone(),
             key: self.subject.key.1.clone(),
@@ -435,13 +442,13 @@
             attempt: self.subject.attempt,
             answer,
         };
-        let Some(settled) = self.subject.settle(command) else { return };
-        if timeout(FINISH_WAIT, settled).await.is_err() {
-            log::warn!("an answer is given before a quorum keeps it");
+        let Some(recorded) = self.subject.record_outcome(command) else { return };
+        if timeout(FINISH_TIMEOUT, recorded).await.is_err() {
+            log::warn!("response sent to the caller before it was committed to the ledger");
         }
     }
 
-    /// The call went out and its outcome will not be known.
+    /// Records the outcome as unknown, because the response was lost.
     pub fn mark_unknown(self) {
         drop(self);
     }
--- a/src/pipeline/deduplicate/active_claims.rs
+++ b/src/pipeline/deduplicate/active_claims.rs
@@ -1,4 +1,4 @@
-//! The claims of one daemon: the calls that it is at, and the oldest attempt that is not over.
+//! Open claims of a daemon: the calls that it runs, and the lowest open attempt number.
 
 use {
     crate::{
@@ -12,33 +12,35 @@
     tokio::sync::{OwnedSemaphorePermit, Semaphore},
 };
 
-/// Given-back attempts that the ledger is told of at a time. Further ones are covered by the floor.
-const MOST_RETURNS: usize = 1024;
+/// Maximum number of concurrent release proposals; the attempt floor covers further releases.
+const MAX_RELEASES: usize = 1024;
 
-/// The claims of one daemon.
+/// Open claims of a daemon.
 pub struct ActiveClaims {
     table: Mutex<ClaimTable>,
-    returns: Arc<Semaphore>,
+    release_permits: Arc<Semaphore>,
 }
 
 struct ClaimTable {
-    /// The attempts that are not over, by call: of requests in flight, and of calls that were sent
-    /// and whose end the ledger does not have yet. Without a quorum no call is sent, so that the
-    /// drain gate bounds both.
+    /// Open attempts by call: those of requests in flight, and those of sent calls whose outcome is
+    /// not in the ledger yet. Since no call is sent without a quorum, the drain gate bounds both.
     open: BTreeMap<LedgerKey, AttemptId>,
-    /// Above every attempt so far.
+    /// The next attempt number, higher than all earlier ones.
     next: AttemptId,
 }
 
 impl ActiveClaims {
-    /// None yet. The numbers of a later life's attempts are higher.
+    /// Creates an empty table. A later incarnation uses higher attempt numbers.
     pub fn new(incarnation: Incarnation) -> Self {
         let table = ClaimTable { open: BTreeMap::new(), next: AttemptId::from(incarnation) << 64 };
-        ActiveClaims { table: Mutex::new(table), returns: Arc::new(Semaphore::new(MOST_RETURNS)) }
+        ActiveClaims {
+            table: Mutex::new(table),
+            release_permits: Arc::new(Semaphore::new(MAX_RELEASES)),
+        }
     }
 
-    /// Begins an attempt; `None` while another one at the same call is not over.
-    pub(super) fn enter(&self, key: &LedgerKey) -> Option<AttemptId> {
+    /// Begins an attempt; `None` while another attempt at the same call is open.
+    pub(super) fn begin_attempt(&self, key: &LedgerKey) -> Option<AttemptId> {
         let mut table = self.table();
         if table.open.contains_key(key) {
             return None;
@@ -49,27 +51,27 @@
         Some(attempt)
     }
 
-    /// The attempt at this call is over: nothing will be sent under it any more, and what was sent
-    /// has its end in the ledger.
-    pub(super) fn leave(&self, key: &LedgerKey) {
+    /// Ends the attempt at this call. Nothing more may be sent under it, and the outcome of a sent
+    /// call must be in the ledger.
+    pub(super) fn end_attempt(&self, key: &LedgerKey) {
         self.table().open.remove(key);
     }
 
-    /// Numbers later attempts from `first` on, if they are not already.
-    pub(super) fn skip_to(&self, first: AttemptId) {
+    /// Raises the next attempt number to at least `first`.
+    pub(super) fn raise_next(&self, first: AttemptId) {
         let mut table = self.table();
         table.next = table.next.max(first);
     }
 
-    /// All attempts below this one are over; never falls.
+    /// The attempt floor: all attempts with lower numbers have ended. It never decreases.
     pub fn floor(&self) -> AttemptId {
         let table = self.table();
         table.open.values().min().copied().unwrap_or(table.next)
     }
 
-    /// The right to tell the ledger of a given-back attempt; `None` when too many are being told.
-    pub(super) fn begin_return(&self) -> Option<OwnedSemaphorePermit> {
-        Arc::clone(&self.returns).try_acquire_owned().ok()
+    /// Reserves one of the concurrent release proposals; `None` if all are in use.
+    pub(super) fn begin_release(&self) -> Option<OwnedSemaphorePermit> {
+        Arc::clone(&self.release_permits).try_acquire_owned().ok()
     }
 
     fn table(&self) -> MutexGuard<'_, ClaimTable> {
--- a/src/pipeline/dispatch.rs
+++ b/src/pipeline/dispatch.rs
@@ -1,4 +1,4 @@
-//! Drives the dispatcher: carries its decisions to the tasks of the requests.
+//! Runs the dispatcher and delivers its decisions to the tasks of the requests.
 
 use {
     super::{counters::count_retry, trace::TraceLog},
@@ -18,94 +18,95 @@
     tokio::sync::{Notify, mpsc},
 };
 
-/// Decisions that may wait for one request's task; it is woken at once, so few ever do.
-const DIRECTIVE_BOUND: usize = 8;
-/// Without a wish of the dispatcher the driver still looks once a second.
-const IDLE_WAKEUP: Duration = Duration::from_secs(1);
+/// Capacity of a request's directive channel; its task reads the channel as soon as it is woken.
+const DIRECTIVE_CAPACITY: usize = 8;
+/// Maximum interval between two wakeups of the dispatcher.
+const MAX_WAKEUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a request's task has to do next.
+/// The dispatcher's instruction to a request's task.
 #[derive(Clone, Debug)]
 pub enum DispatchDirective {
-    /// Try once. Boxed, since a channel holds room for 32 of these for each open stream.
+    /// Send one attempt. The order is boxed, because a channel allocates room for 32 directives for
+    /// each open stream.
     Send(Box<SendOrder>),
-    /// Stop an attempt.
+    /// Abort an attempt.
     Cancel(AttemptId),
-    /// Give the caller its final answer.
+    /// Refuse the request.
     Refuse {
-        /// Why.
+        /// The reason, which determines status and message.
         reason: RefusalReason,
-        /// When to come back.
+        /// When the caller may retry, if known.
         retry_after: Option<Duration>,
-        /// Whether it ran.
+        /// Whether the request may have run.
         did_run: DidRun,
     },
 }
 
-/// Work that belongs to no request.
+/// Work of the dispatcher that is not done by a request's task.
 #[derive(Clone, Debug)]
 pub enum DispatchTask {
-    /// Tell an engine to stop an attempt.
+    /// Cancel an attempt at an engine.
     Cancel {
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptId,
-        /// Where it runs.
+        /// The server that runs it.
         server: ServerId,
     },
-    /// Ask a server for a sign of life.
+    /// Run a health check.
     Probe {
-        /// The server.
+        /// The server to check.
         server: ServerId,
     },
-    /// Spread a digest in the failure domain.
+    /// Send a load digest to the daemons of the failure domain.
     Publish(DomainDigest),
 }
 
-/// The daemon's one dispatcher with the routes of decisions.
+/// Shared access to the daemon's dispatcher.
 pub struct DispatcherHandle {
     state: Mutex<DispatchState>,
-    duties: mpsc::Sender<DispatchTask>,
+    tasks: mpsc::Sender<DispatchTask>,
     trace: Arc<TraceLog>,
-    /// Signalled when the next wakeup may have moved.
-    moved: Notify,
+    /// Notified when the time of the next wakeup may have changed.
+    wakeup_changed: Notify,
 }
 
 struct DispatchState {
     dispatcher: Dispatcher,
-    /// One route for each request in flight; the drain gate bounds them.
-    routes: BTreeMap<RequestId, RouteEntry>,
-    /// The request of each attempt named in a route's `attempts`.
-    owners: BTreeMap<AttemptId, RequestId>,
+    /// One entry for each request in flight; the drain gate bounds their number.
+    requests: BTreeMap<RequestId, RequestEntry>,
+    /// The request of each attempt that an entry lists.
+    attempt_requests: BTreeMap<AttemptId, RequestId>,
 }
 
-struct RouteEntry {
+struct RequestEntry {
     sender: mpsc::Sender<DispatchDirective>,
     attempts: Vec<AttemptId>,
 }
 
 impl DispatchState {
-    fn direct(&mut self, request: &RequestId, directive: DispatchDirective) {
-        let entry = self.routes.get(request);
+    fn deliver(&mut self, request: &RequestId, directive: DispatchDirective) {
+        let entry = self.requests.get(request);
         if entry.is_none_or(|entry| entry.sender.try_send(directive).is_err()) {
-            log::debug!(request_id = request.as_str(); "a decision came for a request that is over");
+            log::debug!(request_id = request.as_str(); "dropped a decision for a finished request");
         }
     }
 
-    fn own(&mut self, order: &SendOrder) {
-        if let Some(entry) = self.routes.get_mut(&order.request) {
+    fn register_attempt(&mut self, order: &SendOrder) {
+        if let Some(entry) = self.requests.get_mut(&order.request) {
             entry.attempts.push(order.attempt);
-            self.owners.insert(order.attempt, order.request.clone());
+            self.attempt_requests.insert(order.attempt, order.request.clone());
         }
     }
 
-    fn forget(&mut self, request: &RequestId) {
-        let attempts = self.routes.remove(request).map(|entry| entry.attempts);
+    fn remove_request(&mut self, request: &RequestId) {
+        let attempts = self.requests.remove(request).map(|entry| entry.attempts);
         attempts.into_iter().flatten().for_each(|attempt| {
-            self.owners.remove(&attempt);
+            self.attempt_requests.remove(&attempt);
         });
     }
 }
 
-/// The route of one request; dropping it ends the request for the dispatcher.
+/// A request at the dispatcher; dropping it ends the request there.
 pub struct RequestHandle {
     dispatcher: Arc<DispatcherHandle>,
     request: RequestId,
@@ -113,53 +114,53 @@
 }
 
 impl DispatcherHandle {
-    /// A port around `dispatcher`; work that belongs to no request goes to `duties`.
+    /// Creates a handle for `dispatcher`; work that is not part of a request is sent to `tasks`.
     pub fn new(
         dispatcher: Dispatcher,
-        duties: mpsc::Sender<DispatchTask>,
+        tasks: mpsc::Sender<DispatchTask>,
         trace: Arc<TraceLog>,
     ) -> Arc<Self> {
         let state = Mutex::new(DispatchState {
             dispatcher,
-            routes: BTreeMap::new(),
-            owners: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            attempt_requests: BTreeMap::new(),
         });
-        Arc::new(DispatcherHandle { state, duties, trace, moved: Notify::new() })
+        Arc::new(DispatcherHandle { state, tasks, trace, wakeup_changed: Notify::new() })
     }
 
-    /// Hands in a request and returns the route on which its decisions come.
+    /// Submits a request and returns the handle that receives its directives.
     pub fn submit(self: &Arc<Self>, ticket: RequestTicket) -> RequestHandle {
-        let (sender, directives) = mpsc::channel(DIRECTIVE_BOUND);
+        let (sender, directives) = mpsc::channel(DIRECTIVE_CAPACITY);
         let request = ticket.request.clone();
-        let entry = RouteEntry { sender, attempts: Vec::new() };
-        self.lock().routes.insert(request.clone(), entry);
-        let route = RequestHandle { dispatcher: Arc::clone(self), request, directives };
+        let entry = RequestEntry { sender, attempts: Vec::new() };
+        self.lock().requests.insert(request.clone(), entry);
+        let handle = RequestHandle { dispatcher: Arc::clone(self), request, directives };
         self.notify(PolicyInput::Arrive(ticket));
-        route
+        handle
     }
 
-    /// Tells the dispatcher something and carries out what it decides.
+    /// Passes an input to the dispatcher and executes its decisions.
     pub fn notify(&self, input: PolicyInput) {
         self.notify_all([input]);
     }
 
-    /// Tells the dispatcher what belongs together, and then carries out what it decides.
+    /// Passes several inputs to the dispatcher before its decisions are made and executed.
     pub fn notify_all(&self, inputs: impl IntoIterator<Item = PolicyInput>) {
         let mut state = self.lock();
         let actions = state.dispatcher.handle_all(Instant::now(), inputs);
-        actions.into_iter().for_each(|action| self.carry_out(&mut state, action));
+        actions.into_iter().for_each(|action| self.execute(&mut state, action));
         drop(state);
-        self.moved.notify_one();
+        self.wakeup_changed.notify_one();
     }
 
-    /// Wakes the dispatcher whenever it is due; runs until it is dropped.
+    /// Wakes the dispatcher at the times that it has requested; never returns.
     pub async fn run_wakeups(&self) {
         loop {
             let due = self.lock().dispatcher.next_wakeup();
-            let due = due.unwrap_or_else(|| Instant::now() + IDLE_WAKEUP);
+            let due = due.unwrap_or_else(|| Instant::now() + MAX_WAKEUP_INTERVAL);
             tokio::select! {
                 () = tokio::time::sleep_until(due.into()) => self.notify(PolicyInput::Wake),
-                () = self.moved.notified() => {}
+                () = self.wakeup_changed.notified() => {}
             }
         }
     }
@@ -168,7 +169,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn carry_out(&self, state: &mut DispatchState, action: PolicyAction) {
+    fn execute(&self, state: &mut DispatchState, action: PolicyAction) {
         match action {
             PolicyAction::Send(order) => {
                 let line = format!(
@@ -176,45 +177,45 @@
                     order.server, order.attempt, order.expected_hit
                 );
                 self.trace.record(&order.request, line);
-                state.own(&order);
-                state.direct(&order.request.clone(), DispatchDirective::Send(Box::new(order)));
+                state.register_attempt(&order);
+                state.deliver(&order.request.clone(), DispatchDirective::Send(Box::new(order)));
             }
             PolicyAction::Refuse { request, reason, retry_after, did_run } => {
                 self.trace.record(&request, format!("refuse: {}", reason.as_str()));
-                state.direct(&request, DispatchDirective::Refuse { reason, retry_after, did_run });
+                state.deliver(&request, DispatchDirective::Refuse { reason, retry_after, did_run });
             }
             PolicyAction::CountRetry { request, reason } => {
                 count_retry(reason);
                 self.trace.record(&request, format!("retry: {}", reason.as_str()));
             }
             PolicyAction::Cancel { attempt, server } => {
-                if let Some(request) = state.owners.get(&attempt).cloned() {
-                    state.direct(&request, DispatchDirective::Cancel(attempt));
+                if let Some(request) = state.attempt_requests.get(&attempt).cloned() {
+                    state.deliver(&request, DispatchDirective::Cancel(attempt));
                 }
-                self.perform(DispatchTask::Cancel { attempt, server });
+                self.enqueue(DispatchTask::Cancel { attempt, server });
             }
-            PolicyAction::Probe { server } => self.perform(DispatchTask::Probe { server }),
-            PolicyAction::Publish(digest) => self.perform(DispatchTask::Publish(digest)),
+            PolicyAction::Probe { server } => self.enqueue(DispatchTask::Probe { server }),
+            PolicyAction::Publish(digest) => self.enqueue(DispatchTask::Publish(digest)),
         }
     }
 
-    fn perform(&self, duty: DispatchTask) {
-        if self.duties.try_send(duty).is_err() {
-            // Each duty is a hint or is given again: probes and digests by the clock, and an
-            // engine notices a closed connection even without the cancel call.
+    fn enqueue(&self, task: DispatchTask) {
+        if self.tasks.try_send(task).is_err() {
+            // Dropping a task is safe: probes and digests are repeated periodically, and an engine
+            // detects a closed connection even without the cancel call.
             metrics::counter!(DUTIES_DROPPED).increment(1);
         }
     }
 }
 
 impl RequestHandle {
-    /// Waits for the next decision. Cancel safe.
+    /// Waits for the next directive. This method is cancel safe.
     pub async fn next(&mut self) -> DispatchDirective {
-        // The sender stays in the port until this route is dropped.
-        self.directives.recv().await.expect("the route is registered while it lives")
+        // The dispatcher's state owns the sender until this handle is dropped.
+        self.directives.recv().await.expect("the request is registered until its handle is dropped")
     }
 
-    /// Tells the dispatcher something about this request.
+    /// Passes an input about this request to the dispatcher.
     pub fn notify(&self, input: PolicyInput) {
         self.dispatcher.notify(input);
     }
@@ -222,9 +223,9 @@
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
-        self.dispatcher.lock().forget(&self.request);
-        // A task that was dropped half way, because its caller left, must free its place in the
-        // queue and at the server. For a request that is over this says nothing new.
+        self.dispatcher.lock().remove_request(&self.request);
+        // A task that is dropped early, because its caller has disconnected, must free its places
+        // in the queue and at the server. For a finished request this input has no effect.
         self.dispatcher.notify(PolicyInput::CallerGone { request: self.request.clone() });
     }
 }
--- a/src/pipeline/drain.rs
+++ b/src/pipeline/drain.rs
@@ -1,4 +1,4 @@
-//! Counts requests in flight and lets a shutdown wait for them.
+//! Counts requests in flight, so that a shutdown can wait for them.
 
 use {
     std::sync::{
@@ -8,25 +8,25 @@
     tokio::sync::watch,
 };
 
-/// Requests that one daemon holds open at the most; each takes a task and two connections.
+/// Maximum number of requests in flight per daemon; each takes a task and two connections.
 pub const OPEN_REQUESTS: usize = 20_000;
 
-/// Lets requests in until a drain begins.
+/// Admits requests until the daemon begins to drain.
 #[derive(Clone)]
 pub struct DrainGate {
     draining: Arc<AtomicBool>,
     open: watch::Sender<usize>,
 }
 
-/// One request in flight; dropping it tells the gate that the request is over.
+/// Counts one request as in flight until it is dropped.
 pub struct OpenRequest {
     open: watch::Sender<usize>,
 }
 
-/// Why the gate lets a request not in.
+/// Reason for which [`DrainGate::enter`] rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateClosed {
-    /// A drain has begun.
+    /// The daemon is draining.
     Draining,
     /// [`OPEN_REQUESTS`] are in flight.
     Full,
@@ -39,12 +39,14 @@
 }
 
 impl DrainGate {
-    /// Lets one request in.
+    /// Admits one request.
     ///
     /// # Errors
-    /// `Draining` and `Full`; in both cases nothing was done.
+    /// [`GateClosed::Draining`] while the daemon drains and [`GateClosed::Full`]
+    /// at the limit. In both cases the request is not counted.
     pub fn enter(&self) -> Result<OpenRequest, GateClosed> {
-        // Counted first and looked at after: a drain that begins between the two sees the count.
+        // The request is counted before the check, so that a drain that begins in between waits
+        // for it.
         self.open.send_modify(|count| *count += 1);
         let request = OpenRequest { open: self.open.clone() };
         if self.is_draining() {
@@ -56,25 +58,25 @@
         Ok(request)
     }
 
-    /// Lets no further request in.
+    /// Rejects all further requests.
     pub fn begin_drain(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Whether a drain has begun.
+    /// Whether [`DrainGate::begin_drain`] was called.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub fn in_flight(&self) -> usize {
         *self.open.borrow()
     }
 
-    /// Returns once nothing is in flight.
+    /// Returns once no request is in flight.
     pub async fn wait_empty(&self) {
         let mut count = self.open.subscribe();
-        // The sender lives in `self`, so waiting cannot fail.
+        // `self` owns the sender, so that waiting cannot fail.
         let _ = count.wait_for(|count| *count == 0).await;
     }
 }
--- a/src/pipeline/identify.rs
+++ b/src/pipeline/identify.rs
@@ -1,4 +1,4 @@
-//! Whose request it is: bearer key to organisation.
+//! Identifies the organisation of a request by its bearer key.
 
 use {
     super::refusal::CallerRefusal,
@@ -11,14 +11,14 @@
     std::collections::BTreeMap,
 };
 
-/// Organisations by the digest of their keys.
+/// Organisations by the SHA-256 digest of their keys.
 #[derive(Clone, Debug, Default)]
 pub struct KeyIndex {
     organisations: BTreeMap<DigestHex, OrganisationId>,
 }
 
 impl KeyIndex {
-    /// The index of a register.
+    /// Indexes the organisations of a register.
     pub fn new(register: &AssetRegister) -> Self {
         let organisations = register
             .organisations
@@ -30,10 +30,10 @@
         KeyIndex { organisations }
     }
 
-    /// The organisation that an `Authorization` header names.
+    /// Finds the organisation for the value of an `Authorization` header.
     ///
     /// # Errors
-    /// 401 without a bearer key or with one that the register does not hold.
+    /// 401 if the header has no bearer key, or one that is not in the register.
     pub fn identify(&self, authorization: Option<&str>) -> Result<OrganisationId, CallerRefusal> {
         let key = authorization
             .and_then(|value| value.split_once(' '))
@@ -42,10 +42,10 @@
             .ok_or_else(|| {
                 CallerRefusal::before_run(401, refusal::NO_KEY, "send `Authorization: Bearer KEY`")
             })?;
-        // The lookup is by digest, so its timing tells nothing about other keys.
+        // Looking up the digest keeps the timing independent of the contents of other keys.
         let digest = hex::encode(Sha256::digest(key.as_bytes()));
         self.organisations.get(&digest).cloned().ok_or_else(|| {
-            let message = "the key is not known; ask your operators for a valid one";
+            let message = "unknown API key; ask your operators for a valid one";
             CallerRefusal::before_run(401, refusal::UNKNOWN_KEY, message)
         })
     }
--- a/src/pipeline/limit.rs
+++ b/src/pipeline/limit.rs
@@ -1,4 +1,4 @@
-//! What an organisation may use, and how long it waits.
+//! Access rules, request classes and deadlines of organisations.
 
 use {
     super::{core::ServingConfig, refusal::CallerRefusal},
@@ -10,27 +10,27 @@
     std::time::{Duration, Instant},
 };
 
-/// Header with the milliseconds that the caller still waits.
+/// Header with the time in milliseconds within which the caller needs the response.
 pub const DEADLINE_HEADER: &str = "x-oleandermount-deadline-ms";
-/// Header with the class of the request.
+/// Header with the request class.
 pub const CLASS_HEADER: &str = "x-oleandermount-class";
-/// Nobody waits longer than an hour for an answer on an open connection.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3600);
+/// Upper limit of deadlines: callers do not wait longer on an open connection.
+const MAX_DEADLINE: Duration = Duration::from_secs(3600);
 
-/// Who asks, how urgently and until when.
+/// The organisation, class and deadline of a request.
 #[derive(Clone, Debug)]
 pub struct CallerContext {
-    /// The organisation.
+    /// The organisation that sent the request.
     pub organisation: OrganisationId,
-    /// The class.
+    /// The class of the request, which sets its priority.
     pub class: RequestClass,
     /// When the request arrived.
     pub arrived: Instant,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for the response.
     pub deadline: Instant,
 }
 
-/// The caller's wishes as its headers state them.
+/// The request headers that determine a [`CallerContext`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallerHeaders<'a> {
     /// The value of `Authorization`.
@@ -41,41 +41,41 @@
     pub class: Option<&'a str>,
 }
 
-/// Identifies the caller and settles class and deadline.
+/// Identifies the caller, and determines the class and the deadline of its request.
 ///
 /// # Errors
-/// 401 for an unknown caller, 400 for a class or deadline that does not parse.
+/// 401 for an unknown caller, 400 for a class or deadline that cannot be parsed.
 pub fn resolve_caller(
     serving: &ServingConfig,
-    wishes: CallerHeaders<'_>,
+    headers: CallerHeaders<'_>,
     arrived: Instant,
 ) -> Result<CallerContext, CallerRefusal> {
-    let organisation = serving.keys.identify(wishes.authorization)?;
+    let organisation = serving.keys.identify(headers.authorization)?;
     let rules = &serving.config.rules;
-    let usual = serving.rules.get(&organisation).and_then(|rule| rule.class);
-    let class = match wishes.class {
-        None => usual.unwrap_or(rules.default_class),
+    let organisation_class = serving.rules.get(&organisation).and_then(|rule| rule.class);
+    let class = match headers.class {
+        None => organisation_class.unwrap_or(rules.default_class),
         Some(name) => RequestClass::ALL
             .into_iter()
             .find(|class| class.as_str() == name)
             .ok_or_else(|| bad_header(CLASS_HEADER, "interactive, standard or batch"))?,
     };
-    let wait = match wishes.deadline {
+    let timeout = match headers.deadline {
         None => rules.default_deadline(class),
         Some(text) => text
             .parse()
             .map(Duration::from_millis)
             .map_err(|_| bad_header(DEADLINE_HEADER, "a whole number of milliseconds"))?,
     };
-    let deadline = arrived + wait.min(LONGEST_DEADLINE);
+    let deadline = arrived + timeout.min(MAX_DEADLINE);
     Ok(CallerContext { organisation, class, arrived, deadline })
 }
 
-fn bad_header(name: &str, form: &str) -> CallerRefusal {
-    CallerRefusal::before_run(400, refusal::BAD_REQUEST, format!("`{name}` must be {form}"))
+fn bad_header(name: &str, expected: &str) -> CallerRefusal {
+    CallerRefusal::before_run(400, refusal::BAD_REQUEST, format!("`{name}` must be {expected}"))
 }
 
-/// Checks that the organisation may use `model` and that it exists.
+/// Checks that `model` and `adapter` exist and that the organisation may use them.
 ///
 /// # Errors
 /// 404 for an unknown model or adapter, 403 for one that the rules do not allow.
@@ -92,10 +92,10 @@
         let message = format!("no model `{model}` with that adapter; GET /v1/models lists them");
         return Err(CallerRefusal::before_run(404, refusal::NOT_FOUND, message));
     }
-    allow(serving, organisation, |rule| rule.allows_model(model), "model")
+    check_allowed(serving, organisation, |rule| rule.allows_model(model), "model")
 }
 
-/// Checks that the organisation may call `service` and that it exists.
+/// Checks that `service` exists and that the organisation may call it.
 ///
 /// # Errors
 /// 404 for an unknown service, 403 for one that the rules do not allow.
@@ -108,27 +108,29 @@
         let message = format!("no service `{service}`; check the path after /services/");
         return Err(CallerRefusal::before_run(404, refusal::NOT_FOUND, message));
     }
-    allow(serving, organisation, |rule| rule.allows_service(service), "service")
+    check_allowed(serving, organisation, |rule| rule.allows_service(service), "service")
 }
 
-fn allow(
+fn check_allowed(
     serving: &ServingConfig,
     organisation: &OrganisationId,
     is_allowed: impl Fn(&OrganisationRule) -> bool,
-    what: &str,
+    resource: &str,
 ) -> Result<(), CallerRefusal> {
     match serving.rules.get(organisation) {
         Some(rule) if is_allowed(rule) => Ok(()),
         _ => {
             let message = format!(
-                "the rules do not allow `{organisation}` this {what}; ask your operators for a rule"
+                "the rules do not allow `{organisation}` this {resource}; \
+                 ask your operators for a rule"
             );
             Err(CallerRefusal::before_run(403, refusal::NOT_ALLOWED, message))
         }
     }
 }
 
-/// Whether a call to a service may run more than once. Without a rule GET and HEAD may.
+/// Whether a call to a service may run more than once. Without a matching rule, only GET and HEAD
+/// calls may.
 pub fn is_repeatable(serving: &ServingConfig, service: &str, method: &str, path: &str) -> bool {
     serving
         .config
--- a/src/pipeline/refusal.rs
+++ b/src/pipeline/refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when it is not served.
+//! Error responses to callers.
 
 use {
     super::counters::count_refusal,
@@ -7,18 +7,18 @@
     std::time::Duration,
 };
 
-/// A final answer that is not the one asked for.
+/// An error response to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerRefusal {
     /// HTTP status.
     pub status: u16,
-    /// A short stable code; one counter each.
+    /// A stable error code, which is also the label of the refusal counter.
     pub code: &'static str,
-    /// What happened and what the caller can change.
+    /// What happened, and what the caller can do about it.
     pub message: String,
-    /// Whether the request ran. `No` only if not a byte of it can have reached a backend server.
+    /// Whether the request ran. `No` only if no byte of it can have reached a backend server.
     pub did_run: DidRun,
-    /// When to come back, where that helps.
+    /// When the caller may retry, if that can succeed.
     pub retry_after: Option<Duration>,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl CallerRefusal {
-    /// A refusal of a request that did not run.
+    /// Creates a refusal of a request that did not run, and counts it.
     pub fn before_run(status: u16, code: &'static str, message: impl Into<String>) -> Self {
         count_refusal(code);
         CallerRefusal {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A failure of a request that may have run.
+    /// Creates a refusal of a request that may have run, and counts it.
     pub fn after_send(status: u16, code: &'static str, message: impl Into<String>) -> Self {
         count_refusal(code);
         CallerRefusal {
@@ -61,20 +61,20 @@
         }
     }
 
-    /// The same with a moment to come back.
+    /// Sets the time after which the caller may retry.
     pub fn retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// A refusal that the dispatcher decided.
+    /// Creates a refusal that the dispatcher decided, and counts it.
     pub fn from_policy(
         reason: RefusalReason,
         did_run: DidRun,
         retry_after: Option<Duration>,
     ) -> Self {
         count_refusal(reason.as_str());
-        let (status, message) = policy_answer(reason);
+        let (status, message) = status_and_message(reason);
         CallerRefusal {
             status,
             code: reason.as_str(),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The JSON body of the answer.
+    /// The JSON body of the response.
     pub fn body(&self) -> String {
         let error = ErrorBody {
             code: self.code,
@@ -92,37 +92,41 @@
             did_run: self.did_run,
             retry_after_ms: self.retry_after.map(|wait| wait.as_millis() as u64),
         };
-        serde_json::to_string(&ErrorEnvelope { error }).expect("plain fields always serialize")
+        serde_json::to_string(&ErrorEnvelope { error }).expect("strings and numbers serialize")
     }
 
-    /// Whole seconds for `Retry-After`, rounded up so that nobody comes back too early.
+    /// The value of `Retry-After` in seconds, rounded up so that callers do not retry too early.
     pub fn retry_after_seconds(&self) -> Option<u64> {
         self.retry_after.map(|wait| wait.as_millis().div_ceil(1000) as u64)
     }
 }
 
-fn policy_answer(reason: RefusalReason) -> (u16, &'static str) {
+fn status_and_message(reason: RefusalReason) -> (u16, &'static str) {
     match reason {
         RefusalReason::DeadlineUnreachable => {
-            (504, "the deadline cannot be met; allow more time or come back after Retry-After")
+            (504, "the deadline cannot be met; allow more time or retry as Retry-After says")
         }
-        RefusalReason::DeadlinePassed => (504, "the deadline passed before a backend server began"),
-        RefusalReason::QueueFull => (503, "the queue is full; come back after Retry-After"),
+        RefusalReason::DeadlinePassed => {
+            (504, "the deadline passed before a backend server began to respond")
+        }
+        RefusalReason::QueueFull => (503, "the queue is full; retry as Retry-After says"),
         RefusalReason::OverShare => {
-            (429, "the organisation is over its share; come back after Retry-After")
+            (429, "the organisation exceeds its share; retry as Retry-After says")
         }
         RefusalReason::NoServer => {
-            (503, "no backend server that offers this can be reached; come back after Retry-After")
+            (503, "no backend server for this request is reachable; retry as Retry-After says")
         }
         RefusalReason::CrashesServers => {
-            (422, "this request has crashed backend servers; change it before sending it again")
+            (422, "this request has crashed backend servers; change it before you send it again")
         }
         RefusalReason::RetriesExhausted => {
-            (502, "backend servers failed and the retry budget is used up")
+            (502, "backend servers failed and the retry budget is exhausted")
+        }
+        RefusalReason::ServerFailed => {
+            (502, "the backend server failed while it processed the request")
         }
-        RefusalReason::ServerFailed => (502, "the backend server failed while it had the request"),
         RefusalReason::NotResumable => {
-            (502, "the stream broke and no backend server can go on with the same weights")
+            (502, "the stream broke and no backend server can continue it with the same weights")
         }
     }
 }
--- a/src/pipeline/relay.rs
+++ b/src/pipeline/relay.rs
@@ -1,4 +1,4 @@
-//! Runs a request for a model: follows the dispatcher's decisions and relays the stream.
+//! Runs model requests: executes the dispatcher's decisions and relays the response stream.
 
 use {
     super::{
@@ -30,55 +30,56 @@
     tokio::sync::mpsc,
 };
 
-/// Parts that wait for a slow reader; beyond it the engine's connection is not read.
+/// Number of response parts that are buffered for a slow caller. Beyond it, the engine's connection
+/// is not read.
 pub const PART_CAPACITY: usize = 16;
-/// Tokens are reported to the dispatcher in groups of this many: it needs the rate, not each.
-const PROGRESS_GROUP: u32 = 16;
-/// Generated text kept for a resume; a longer answer is not resumable.
-const RESUME_TEXT_BYTES: usize = 256 * 1024;
+/// Number of tokens after which progress is reported to the dispatcher, which needs only the rate.
+const PROGRESS_TOKENS: u32 = 16;
+/// Maximum length of the generated text that is kept; longer streams cannot be resumed.
+const MAX_RESUME_BYTES: usize = 256 * 1024;
 
-/// What the caller's side of a request is given.
+/// A part of the response to a model request.
 #[derive(Debug)]
 pub enum ResponsePart {
-    /// The next chunk of the answer, in the OpenAI form.
+    /// The next chunk of the response, in the OpenAI format.
     Chunk(Value),
-    /// The answer is whole.
+    /// The response is complete.
     Complete(TokenUsage),
-    /// The answer ends here without being whole, or never began.
-    /// Boxed, since a channel holds room for 32 parts for each open stream.
+    /// The request was refused, before or after the first chunk. Boxed, because a channel allocates
+    /// room for 32 parts for each open stream.
     Refused(Box<CallerRefusal>),
-    /// The engine refused the request as the caller's error; its answer goes to the caller.
+    /// The engine rejected the request as a client error; its response is passed to the caller.
     CallerError {
         /// HTTP status.
         status: u16,
-        /// The engine's body.
+        /// The body of the engine's response.
         body: bytes::Bytes,
     },
 }
 
-/// The engine's account of tokens.
+/// Token counts that the engine reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenUsage {
-    /// Prompt tokens.
+    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Prompt tokens from the cache.
+    /// Prompt tokens read from the cache; `None` if the engine does not report them.
     pub cached_tokens: Option<u32>,
     /// Generated tokens.
     pub completion_tokens: u32,
 }
 
-/// One model request on its way.
+/// A request for a model.
 pub struct ModelRequest {
-    /// Its id.
+    /// The id of the request.
     pub request: RequestId,
-    /// Who asks and until when.
+    /// The caller, with the class and the deadline of the request.
     pub caller: CallerContext,
-    /// What is asked.
+    /// The parsed body.
     pub prompt: ParsedPrompt,
 }
 
-/// How one attempt ended.
-enum AttemptEnd {
+/// Outcome of an attempt.
+enum AttemptOutcome {
     Complete(TokenUsage),
     Failed(BackendError),
     CallerGone,
@@ -86,44 +87,46 @@
     Refused(CallerRefusal),
 }
 
-/// A request with what the caller has of its answer.
+/// A running request with the state of its response.
 struct RelayTask {
     core: Arc<PipelineCore>,
     usage: UsageGuard,
     request: ModelRequest,
-    answer: mpsc::Sender<ResponsePart>,
-    /// Chunks the caller has, and their text; the text is cut off for good at its bound.
+    response: mpsc::Sender<ResponsePart>,
+    /// The chunks that were relayed to the caller and their text, which is truncated at
+    /// [`MAX_RESUME_BYTES`].
     relayed: ResumePoint,
-    /// The weights that the relayed chunks come from.
+    /// The weights that generated the relayed chunks.
     weights: Option<WeightsVersion>,
     last_chunk: Option<Instant>,
 }
 
-/// Runs `request` to its end; what the caller gets goes to `answer`, whose closing means that the
-/// caller is gone.
+/// Runs `request` to its end and sends the parts of its response to `response`. The closing of that
+/// channel means that the caller has disconnected.
 pub async fn run_model(
     core: Arc<PipelineCore>,
     mut request: ModelRequest,
-    answer: mpsc::Sender<ResponsePart>,
+    response: mpsc::Sender<ResponsePart>,
 ) {
-    let mut route = core.dispatcher.submit(ticket(&request));
-    // Only the levels needed them; a long prompt should not be held twice while it streams.
-    request.prompt.pieces = Vec::new();
+    let mut handle = core.dispatcher.submit(ticket(&request));
+    // Only the prefix levels needed the chunks. Freeing them avoids a second copy of a long prompt
+    // while the response streams.
+    request.prompt.chunks = Vec::new();
     let usage = core.usage.track_request(&request.caller.organisation);
     let mut task = RelayTask {
         core,
         usage,
         request,
-        answer,
+        response,
         relayed: ResumePoint::default(),
         weights: None,
         last_chunk: None,
     };
     loop {
         let directive = tokio::select! {
-            directive = route.next() => directive,
-            () = task.answer.closed() => {
-                route.notify(PolicyInput::CallerGone { request: task.request.request.clone() });
+            directive = handle.next() => directive,
+            () = task.response.closed() => {
+                handle.notify(PolicyInput::CallerGone { request: task.request.request.clone() });
                 return;
             }
         };
@@ -131,11 +134,11 @@
             DispatchDirective::Cancel(_) => {}
             DispatchDirective::Refuse { reason, retry_after, did_run } => {
                 let refusal = CallerRefusal::from_policy(reason, did_run, retry_after);
-                task.give(ResponsePart::Refused(Box::new(refusal))).await;
+                task.send_part(ResponsePart::Refused(Box::new(refusal))).await;
                 return;
             }
             DispatchDirective::Send(order) => {
-                if task.attempt(&mut route, *order).await.is_some() {
+                if task.attempt(&mut handle, *order).await.is_some() {
                     return;
                 }
             }
@@ -143,8 +146,8 @@
     }
 }
 
-/// The request is over; nothing more goes to the caller.
-struct RequestOver;
+/// The request has ended and the caller gets nothing more.
+struct RequestFinished;
 
 fn ticket(request: &ModelRequest) -> RequestTicket {
     let ModelRequest { request, caller, prompt } = request;
@@ -166,61 +169,61 @@
 }
 
 impl RelayTask {
-    async fn give(&self, part: ResponsePart) {
-        // A closed channel means that the caller is gone; there is nobody to tell.
-        let _ = self.answer.send(part).await;
+    async fn send_part(&self, part: ResponsePart) {
+        // A closed channel means that the caller has disconnected, which needs no handling here.
+        let _ = self.response.send(part).await;
     }
 
-    /// Carries out one order and reports its end.
+    /// Runs one attempt and reports its outcome.
     async fn attempt(
         &mut self,
-        route: &mut RequestHandle,
+        handle: &mut RequestHandle,
         order: SendOrder,
-    ) -> Option<RequestOver> {
+    ) -> Option<RequestFinished> {
         let attempt = order.attempt;
         let Some(address) = self.core.address(&order.server) else {
-            self.report_failure(route, attempt, AttemptFailure::NotConnected, None);
+            self.report_failure(handle, attempt, AttemptFailure::NotConnected, None);
             return None;
         };
-        let flight = self.core.usage.track_attempt(&order.server);
-        let end = match self.open(route, address, &order).await {
-            Ok(stream) => self.follow(route, stream, &order).await,
-            Err(end) => end,
+        let in_flight = self.core.usage.track_attempt(&order.server);
+        let outcome = match self.open(handle, address, &order).await {
+            Ok(stream) => self.relay_stream(handle, stream, &order).await,
+            Err(outcome) => outcome,
         };
-        drop(flight);
+        drop(in_flight);
         let request = &self.request.request;
-        match end {
-            AttemptEnd::Complete(usage) => {
+        match outcome {
+            AttemptOutcome::Complete(usage) => {
                 self.core.trace.record(request, "answered whole");
                 self.record_usage(&order, usage);
-                route.notify(PolicyInput::Finished {
+                handle.notify(PolicyInput::Finished {
                     attempt,
                     cached_tokens: usage.cached_tokens,
                     output_tokens: usage.completion_tokens,
                 });
-                self.give(ResponsePart::Complete(usage)).await;
-                Some(RequestOver)
+                self.send_part(ResponsePart::Complete(usage)).await;
+                Some(RequestFinished)
             }
-            AttemptEnd::CallerGone => {
-                self.core.trace.record(request, "the caller went away");
-                route.notify(PolicyInput::CallerGone { request: request.clone() });
-                Some(RequestOver)
+            AttemptOutcome::CallerGone => {
+                self.core.trace.record(request, "the caller disconnected");
+                handle.notify(PolicyInput::CallerGone { request: request.clone() });
+                Some(RequestFinished)
             }
-            AttemptEnd::Cancelled => None,
-            AttemptEnd::Refused(refusal) => {
-                self.give(ResponsePart::Refused(Box::new(refusal))).await;
-                Some(RequestOver)
+            AttemptOutcome::Cancelled => None,
+            AttemptOutcome::Refused(refusal) => {
+                self.send_part(ResponsePart::Refused(Box::new(refusal))).await;
+                Some(RequestFinished)
             }
-            AttemptEnd::Failed(error) => self.fail(route, attempt, error).await,
+            AttemptOutcome::Failed(error) => self.fail(handle, attempt, error).await,
         }
     }
 
     async fn fail(
         &mut self,
-        route: &RequestHandle,
+        handle: &RequestHandle,
         attempt: AttemptId,
         error: BackendError,
-    ) -> Option<RequestOver> {
+    ) -> Option<RequestFinished> {
         let request = &self.request.request;
         self.core
             .trace
@@ -229,11 +232,11 @@
             count_mismatched_response();
         }
         let failure = error.failure();
-        self.report_failure(route, attempt, failure, error.retry_after());
+        self.report_failure(handle, attempt, failure, error.retry_after());
         match error {
             BackendError::Status { status, body, .. } if failure == AttemptFailure::CallerError => {
-                self.give(ResponsePart::CallerError { status, body }).await;
-                Some(RequestOver)
+                self.send_part(ResponsePart::CallerError { status, body }).await;
+                Some(RequestFinished)
             }
             _ => None,
         }
@@ -241,25 +244,25 @@
 
     fn report_failure(
         &self,
-        route: &RequestHandle,
+        handle: &RequestHandle,
         attempt: AttemptId,
         failure: AttemptFailure,
         retry_after: Option<std::time::Duration>,
     ) {
         let relayed_tokens = u32::try_from(self.relayed.after).unwrap_or(u32::MAX);
-        route.notify(PolicyInput::Failed { attempt, failure, relayed_tokens, retry_after });
+        handle.notify(PolicyInput::Failed { attempt, failure, relayed_tokens, retry_after });
     }
 
-    /// Opens the engine's stream, unless the caller leaves or the decision is withdrawn first.
+    /// Opens the engine's stream, unless the caller disconnects or the attempt is withdrawn first.
     async fn open(
         &self,
-        route: &mut RequestHandle,
+        handle: &mut RequestHandle,
         address: SocketAddr,
         order: &SendOrder,
-    ) -> Result<EngineStream, AttemptEnd> {
+    ) -> Result<EngineStream, AttemptOutcome> {
         if self.relayed.after > 0 && (order.weights != self.weights || self.weights.is_none()) {
-            // A continuation on other weights would join two different answers into one.
-            return Err(AttemptEnd::Failed(BackendError::Status {
+            // Continuing on other weights would join the output of two different models.
+            return Err(AttemptOutcome::Failed(BackendError::Status {
                 status: 409,
                 retry_after: None,
                 body: bytes::Bytes::new(),
@@ -269,13 +272,13 @@
             send_before: order.send_before.into(),
             head_before: self.request.caller.deadline.into(),
         };
-        // Boxed: an open stream should not carry the room that its opening needed.
+        // Boxed, so that the future of an open stream does not include the state of its opening.
         let mut opening = Box::pin(engine::generate(address, self.engine_call(order), limits));
         loop {
             tokio::select! {
-                opened = &mut opening => return opened.map_err(AttemptEnd::Failed),
-                () = self.answer.closed() => return Err(AttemptEnd::CallerGone),
-                directive = route.next() => if let Some(end) = withdrawn(directive, order.attempt) {
+                opened = &mut opening => return opened.map_err(AttemptOutcome::Failed),
+                () = self.response.closed() => return Err(AttemptOutcome::CallerGone),
+                directive = handle.next() => if let Some(end) = withdrawal(directive, order.attempt) {
                     return Err(end);
                 },
             }
@@ -288,7 +291,7 @@
             Some(weights) => {
                 cache_salt(&caller.organisation, &prompt.model, prompt.adapter.as_deref(), weights)
             }
-            // Weights in doubt: a salt of its own, so that no cached block can be of older ones.
+            // The weights are unknown: a unique salt prevents hits on blocks of older weights.
             None => format!("attempt-{}", attempt_text(order.attempt)),
         };
         EngineCall {
@@ -303,29 +306,29 @@
         }
     }
 
-    /// Relays a stream until it ends one way or another.
-    async fn follow(
+    /// Relays a stream until it ends, fails or is cancelled.
+    async fn relay_stream(
         &mut self,
-        route: &mut RequestHandle,
+        handle: &mut RequestHandle,
         mut stream: EngineStream,
         order: &SendOrder,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         self.weights = order.weights.clone();
         let mut usage = TokenUsage::default();
-        let mut unreported = 0;
+        let mut unreported_tokens = 0;
         let mut first = true;
         loop {
             let event = tokio::select! {
                 event = stream.next_event() => event,
-                () = self.answer.closed() => return AttemptEnd::CallerGone,
-                directive = route.next() => match withdrawn(directive, order.attempt) {
-                    Some(end) => return end,
+                () = self.response.closed() => return AttemptOutcome::CallerGone,
+                directive = handle.next() => match withdrawal(directive, order.attempt) {
+                    Some(outcome) => return outcome,
                     None => continue,
                 },
             };
             match event {
-                Err(error) => return AttemptEnd::Failed(error),
-                Ok(EngineEvent::Done) => return AttemptEnd::Complete(usage),
+                Err(error) => return AttemptOutcome::Failed(error),
+                Ok(EngineEvent::Done) => return AttemptOutcome::Complete(usage),
                 Ok(EngineEvent::Usage { prompt_tokens, cached_tokens, completion_tokens }) => {
                     usage = TokenUsage { prompt_tokens, cached_tokens, completion_tokens };
                 }
@@ -334,40 +337,40 @@
                         first = false;
                         let cached_tokens = usage.cached_tokens;
                         let attempt = order.attempt;
-                        route.notify(PolicyInput::FirstToken { attempt, cached_tokens });
+                        handle.notify(PolicyInput::FirstToken { attempt, cached_tokens });
                     }
-                    unreported += 1;
-                    if unreported == PROGRESS_GROUP {
-                        let (attempt, tokens) = (order.attempt, unreported);
-                        route.notify(PolicyInput::Progress { attempt, tokens });
-                        unreported = 0;
+                    unreported_tokens += 1;
+                    if unreported_tokens == PROGRESS_TOKENS {
+                        let (attempt, tokens) = (order.attempt, unreported_tokens);
+                        handle.notify(PolicyInput::Progress { attempt, tokens });
+                        unreported_tokens = 0;
                     }
-                    if !self.relay(number, body).await {
-                        return AttemptEnd::CallerGone;
+                    if !self.relay_chunk(number, body).await {
+                        return AttemptOutcome::CallerGone;
                     }
                 }
             }
         }
     }
 
-    /// Passes one chunk on; false if the caller is gone.
-    async fn relay(&mut self, number: u64, mut body: Value) -> bool {
+    /// Relays a chunk to the caller; returns `false` if the caller has disconnected.
+    async fn relay_chunk(&mut self, number: u64, mut body: Value) -> bool {
         let ModelRequest { request, caller, prompt } = &self.request;
         let now = Instant::now();
         match self.last_chunk.replace(now) {
             None => record_first_token(&prompt.model, caller.class, now - caller.arrived),
             Some(last) => record_inter_token(&prompt.model, caller.class, now - last),
         }
-        if self.relayed.text.len() < RESUME_TEXT_BYTES {
+        if self.relayed.text.len() < MAX_RESUME_BYTES {
             self.relayed.text.push_str(chunk_text(&body));
         }
         self.relayed.after = number;
         if let Value::Object(fields) = &mut body {
-            // One answer has one id, also when two engines made it.
+            // All chunks of a response carry the same id, even if two engines generate them.
             fields.insert("id".into(), json!(request));
             fields.remove("usage");
         }
-        self.answer.send(ResponsePart::Chunk(body)).await.is_ok()
+        self.response.send(ResponsePart::Chunk(body)).await.is_ok()
     }
 
     fn record_usage(&self, order: &SendOrder, usage: TokenUsage) {
@@ -376,11 +379,11 @@
         count_prompt(model, usage.prompt_tokens, hit);
         count_recomputed(model, order.expected_hit.saturating_sub(hit));
         count_response(self.request.caller.class);
-        self.usage.answered(usage.prompt_tokens.saturating_add(usage.completion_tokens));
+        self.usage.record_completion(usage.prompt_tokens.saturating_add(usage.completion_tokens));
     }
 }
 
-/// The text that a chunk adds to the answer.
+/// The text that a chunk adds to the response.
 fn chunk_text(body: &Value) -> &str {
     body.pointer("/choices/0/delta/content")
         .or_else(|| body.pointer("/choices/0/text"))
@@ -388,25 +391,26 @@
         .unwrap_or_default()
 }
 
-/// The end that a directive puts to the attempt that runs, if it does.
-fn withdrawn(directive: DispatchDirective, attempt: AttemptId) -> Option<AttemptEnd> {
+/// The outcome of the running attempt if the directive ends it.
+fn withdrawal(directive: DispatchDirective, attempt: AttemptId) -> Option<AttemptOutcome> {
     match directive {
         DispatchDirective::Cancel(cancelled) => {
-            (cancelled == attempt).then_some(AttemptEnd::Cancelled)
+            (cancelled == attempt).then_some(AttemptOutcome::Cancelled)
         }
         DispatchDirective::Refuse { reason, retry_after, did_run } => {
             let refusal = CallerRefusal::from_policy(reason, did_run, retry_after);
-            Some(AttemptEnd::Refused(refusal))
+            Some(AttemptOutcome::Refused(refusal))
         }
         DispatchDirective::Send(order) => {
-            log::error!(request_id = order.request.as_str(); "an order came while another runs");
+            log::error!(request_id = order.request.as_str();
+                "received a send order while another attempt is running");
             None
         }
     }
 }
 
-/// The refusal for a stream that broke after its head was sent.
+/// The refusal of a stream that broke after its response head was sent.
 pub fn truncated_stream() -> CallerRefusal {
-    let message = "the stream ended before it was whole; send the request again";
+    let message = "the stream ended before it was complete; send the request again";
     CallerRefusal::after_send(502, refusal::BACKEND_FAILED, message)
 }
--- a/src/pipeline/send_state.rs
+++ b/src/pipeline/send_state.rs
@@ -1,39 +1,42 @@
-//! Settles between a caller's deadline and the task that runs its call whether anything was sent.
+//! Resolves the race between a caller's deadline and the task that sends its call.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
 const UNSENT: u8 = 0;
-const DOUBTFUL: u8 = 1;
+const UNCERTAIN: u8 = 1;
 const SENT: u8 = 2;
 const GIVEN_UP: u8 = 3;
 
-/// One non-repeatable call's answer to "can it have run?".
+/// Tracks whether a non-repeatable call may have run.
 ///
-/// The deadline and the sending race: without one place to settle it, a caller is told that its
-/// booking did not run a moment before it goes out, or is left in doubt about one that never will.
+/// The deadline and the task that sends the call race. An atomic state ensures that a caller is not
+/// told that its call did not run just before the call is sent, and that the outcome of a call that
+/// will never be sent is not reported as unknown.
 #[derive(Debug, Default)]
 pub struct SendState {
     state: AtomicU8,
 }
 
 impl SendState {
-    /// Another call under the same key was seen running: it may be the caller's own earlier send.
+    /// Records that another call with the same key is running, which may be an earlier attempt of
+    /// the same caller.
     pub fn mark_uncertain(&self) {
-        self.change(UNSENT, DOUBTFUL);
+        self.change(UNSENT, UNCERTAIN);
     }
 
-    /// Asks to send now. `false` means that the caller was told that nothing will be sent.
+    /// Marks the call as sent. Returns `false` if the call must not be sent, because its caller has
+    /// been told that it did not run.
     #[must_use]
     pub fn try_send(&self) -> bool {
-        self.change(UNSENT, SENT) || self.change(DOUBTFUL, SENT)
+        self.change(UNSENT, SENT) || self.change(UNCERTAIN, SENT)
     }
 
-    /// The attempt that burned the fuse has sent nothing, so another may.
+    /// Marks the call as unsent again, after an attempt has failed before it sent a byte.
     pub fn reset(&self) {
         self.change(SENT, UNSENT);
     }
 
-    /// The caller's time is over. `true` means that nothing was sent and nothing will be.
+    /// Ends the call at its deadline. Returns `true` if nothing was sent and nothing will be sent.
     #[must_use]
     pub fn try_give_up(&self) -> bool {
         self.change(UNSENT, GIVEN_UP)
--- a/src/pipeline/service_call.rs
+++ b/src/pipeline/service_call.rs
@@ -1,4 +1,4 @@
-//! Runs a call to a plain service, repeatable or not.
+//! Runs repeatable and non-repeatable calls to plain services.
 
 use {
     super::{
@@ -28,32 +28,33 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// An answer that comes after the caller's deadline is still worth keeping for its resend.
-const LATE_ANSWER_WAIT: Duration = Duration::from_secs(60);
+/// How long a non-repeatable call waits for its response after sending, also beyond the caller's
+/// deadline, so that a retry of the caller finds the response.
+const LATE_RESPONSE_WAIT: Duration = Duration::from_secs(60);
 
-/// One call to a service on its way.
+/// A call to a plain service.
 pub struct ServiceCall {
-    /// Its id.
+    /// The id of the request.
     pub request: RequestId,
-    /// Who asks and until when.
+    /// The caller, with the class and the deadline of the call.
     pub caller: CallerContext,
-    /// The service.
+    /// The service to call.
     pub service: ServiceId,
-    /// What is sent.
+    /// The request that is sent to the service.
     pub outgoing: ServiceRequest,
 }
 
-/// Runs a call that may run more than once: servers are tried until one answers.
+/// Runs a repeatable call: sends it to one server after another until one responds.
 ///
 /// # Errors
-/// What the dispatcher decides when none does.
+/// The dispatcher's refusal if no server responds.
 pub async fn run_repeatable(
     core: Arc<PipelineCore>,
     call: ServiceCall,
 ) -> Result<ServiceAnswer, CallerRefusal> {
-    let mut route = core.dispatcher.submit(ticket(&call, Repeat::Allowed));
+    let mut handle = core.dispatcher.submit(ticket(&call, Repeat::Allowed));
     loop {
-        match route.next().await {
+        match handle.next().await {
             DispatchDirective::Cancel(_) => {}
             DispatchDirective::Refuse { reason, retry_after, did_run } => {
                 return Err(CallerRefusal::from_policy(reason, did_run, retry_after));
@@ -64,18 +65,20 @@
                     head_before: call.caller.deadline.into(),
                 };
                 match send(&core, &call, &order, limits).await {
-                    Ok(answer) if may_try_elsewhere(answer.status) => {
+                    Ok(response) if is_retryable(response.status) => {
                         report_failure(
-                            &route,
+                            &handle,
                             order.attempt,
-                            status_failure(answer.status),
-                            answer.retry_after.map(Duration::from_secs),
+                            failure_of_status(response.status),
+                            response.retry_after.map(Duration::from_secs),
                         );
                     }
-                    Ok(answer) => return Ok(whole(&core, &call, &route, order.attempt, answer)),
+                    Ok(response) => {
+                        return Ok(complete(&core, &call, &handle, order.attempt, response));
+                    }
                     Err(error) => {
                         core.trace.record(&call.request, format!("attempt failed: {error}"));
-                        report_failure(&route, order.attempt, error.failure(), None);
+                        report_failure(&handle, order.attempt, error.failure(), None);
                     }
                 }
             }
@@ -83,19 +86,19 @@
     }
 }
 
-/// Runs a call that may run only once. Runs to its end also when the caller is gone, so that a
-/// resend finds the answer.
+/// Runs a non-repeatable call. The caller of this function must run it to its end even if the
+/// client disconnects, so that a retry finds the response.
 ///
 /// # Errors
-/// Refusals whose `did_run` is `No` only if nothing of this call was sent.
+/// A refusal, whose `did_run` is `No` only if nothing of this call was sent.
 pub async fn run_once(
     core: Arc<PipelineCore>,
     call: ServiceCall,
     key: IdempotencyKey,
-    fuse: &SendState,
+    send_state: &SendState,
 ) -> Result<ServiceAnswer, CallerRefusal> {
     let fingerprint = call_digest(&call);
-    match claim(&core, &call.caller, key, fingerprint, fuse).await? {
+    match claim(&core, &call.caller, key, fingerprint, send_state).await? {
         ClaimResult::Answered(kept) => {
             core.trace.record(&call.request, "answered from the ledger");
             Ok(ServiceAnswer {
@@ -105,7 +108,7 @@
                 body: kept.body.into(),
             })
         }
-        ClaimResult::Granted(claim) => run_claimed(core, call, claim, fuse).await,
+        ClaimResult::Granted(claim) => run_claimed(core, call, claim, send_state).await,
     }
 }
 
@@ -113,63 +116,64 @@
     core: Arc<PipelineCore>,
     call: ServiceCall,
     mut claim: CallClaim<Claimed>,
-    fuse: &SendState,
+    send_state: &SendState,
 ) -> Result<ServiceAnswer, CallerRefusal> {
-    let mut route = core.dispatcher.submit(ticket(&call, Repeat::Forbidden));
+    let mut handle = core.dispatcher.submit(ticket(&call, Repeat::Forbidden));
     loop {
-        let order = match route.next().await {
+        let order = match handle.next().await {
             DispatchDirective::Cancel(_) => continue,
             DispatchDirective::Refuse { reason, retry_after, .. } => {
-                // The claim is still unused here, so this is certain whatever the policy knows.
+                // The claim is unused, so that the call has certainly not run, whatever the
+                // dispatcher reports.
                 claim.release();
                 return Err(CallerRefusal::from_policy(reason, DidRun::No, retry_after));
             }
             DispatchDirective::Send(order) => order,
         };
-        // A daemon frozen after its decision must not book for a caller who has long been told
-        // that nothing came of it: nothing is sent after the deadline.
+        // Nothing is sent after the deadline: if the process is paused after the decision, the
+        // caller may have been told in the meantime that the call did not run.
         let send_before = Instant::from(order.send_before.min(call.caller.deadline));
-        let head_before = Instant::now() + LATE_ANSWER_WAIT;
-        if !fuse.try_send() {
+        let head_before = Instant::now() + LATE_RESPONSE_WAIT;
+        if !send_state.try_send() {
             claim.release();
             return Err(deadline_refusal());
         }
         let sent = claim.send();
         match send(&core, &call, &order, ExchangeLimits { send_before, head_before }).await {
-            Ok(answer) => {
+            Ok(response) => {
                 let kept = KeptAnswer {
-                    status: answer.status,
-                    content_type: answer.content_type.clone(),
-                    body: answer.body.to_vec(),
+                    status: response.status,
+                    content_type: response.content_type.clone(),
+                    body: response.body.to_vec(),
                 };
                 sent.finish(kept).await;
-                return Ok(whole(&core, &call, &route, order.attempt, answer));
+                return Ok(complete(&core, &call, &handle, order.attempt, response));
             }
             Err(error) if error.nothing_sent() => {
                 claim = sent.nothing_sent();
-                fuse.reset();
+                send_state.reset();
                 core.trace.record(&call.request, format!("nothing was sent: {error}"));
-                report_failure(&route, order.attempt, error.failure(), None);
+                report_failure(&handle, order.attempt, error.failure(), None);
             }
             Err(error) => {
                 sent.mark_unknown();
                 core.trace.record(&call.request, format!("outcome unknown: {error}"));
-                report_failure(&route, order.attempt, error.failure(), None);
-                return Err(lost_answer());
+                report_failure(&handle, order.attempt, error.failure(), None);
+                return Err(lost_response());
             }
         }
     }
 }
 
-/// The refusal of a call whose deadline came before its sending.
+/// The refusal of a call whose deadline passed before it was sent.
 pub fn deadline_refusal() -> CallerRefusal {
     let message = "the deadline passed before the call was sent; send it again with the same key";
     CallerRefusal::before_run(504, RefusalReason::DeadlinePassed.as_str(), message)
 }
 
-fn lost_answer() -> CallerRefusal {
-    let message = "the service was sent this call and its answer was lost; \
-                   ask the service whether it ran before you use a new key";
+fn lost_response() -> CallerRefusal {
+    let message = "the call was sent to the service and its response was lost; \
+                   check with the service whether the call ran before you use a new key";
     CallerRefusal::after_send(502, refusal::OUTCOME_UNKNOWN, message)
 }
 
@@ -179,31 +183,31 @@
     order: &SendOrder,
     limits: ExchangeLimits,
 ) -> Result<ServiceAnswer, BackendError> {
-    // A server that left the register is as good as one that cannot be connected to.
+    // A server that was removed from the register counts as one that cannot be connected to.
     let address = core.address(&order.server).ok_or(BackendError::Stale)?;
-    let _flight = core.usage.track_attempt(&order.server);
+    let _in_flight = core.usage.track_attempt(&order.server);
     service::call(address, order.attempt, call.outgoing.clone(), limits).await
 }
 
-fn whole(
+fn complete(
     core: &PipelineCore,
     call: &ServiceCall,
-    route: &RequestHandle,
+    handle: &RequestHandle,
     attempt: AttemptId,
-    answer: ServiceAnswer,
+    response: ServiceAnswer,
 ) -> ServiceAnswer {
-    core.trace.record(&call.request, format!("answered with status {}", answer.status));
-    route.notify(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens: 0 });
+    core.trace.record(&call.request, format!("answered with status {}", response.status));
+    handle.notify(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens: 0 });
     count_response(call.caller.class);
-    core.usage.track_request(&call.caller.organisation).answered(0);
-    answer
+    core.usage.track_request(&call.caller.organisation).record_completion(0);
+    response
 }
 
-fn may_try_elsewhere(status: u16) -> bool {
+fn is_retryable(status: u16) -> bool {
     matches!(status, 429 | 500..=599)
 }
 
-fn status_failure(status: u16) -> AttemptFailure {
+fn failure_of_status(status: u16) -> AttemptFailure {
     match status {
         429 | 503 => AttemptFailure::Refused,
         _ => AttemptFailure::ServerError,
@@ -211,15 +215,15 @@
 }
 
 fn report_failure(
-    route: &RequestHandle,
+    handle: &RequestHandle,
     attempt: AttemptId,
     failure: AttemptFailure,
     retry_after: Option<Duration>,
 ) {
-    route.notify(PolicyInput::Failed { attempt, failure, relayed_tokens: 0, retry_after });
+    handle.notify(PolicyInput::Failed { attempt, failure, relayed_tokens: 0, retry_after });
 }
 
-/// Whether a call may run more than once.
+/// Whether a call is repeatable.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Repeat {
     Allowed,
@@ -238,7 +242,7 @@
     }
 }
 
-/// Digest of everything that makes a call this call; the same key with another digest is an error.
+/// Digest of all parts that identify a call; reusing a key with another digest is an error.
 fn call_digest(call: &ServiceCall) -> String {
     let parts: [&[u8]; 4] = [
         call.outgoing.method.as_str().as_bytes(),
--- a/src/pipeline/trace.rs
+++ b/src/pipeline/trace.rs
@@ -1,4 +1,4 @@
-//! What happened to recent requests, for `oleandermountctl explain`.
+//! Decision traces of recent requests, shown by `oleandermountctl explain`.
 
 use {
     crate::ids::RequestId,
@@ -9,12 +9,12 @@
     },
 };
 
-/// Requests remembered; at the bound the oldest is forgotten. About 1 KB each.
+/// Maximum number of traced requests, of about 1 KB each; beyond it the oldest trace is dropped.
 pub const TRACED_REQUESTS: usize = 4096;
-/// Lines kept of one request; later ones are dropped.
+/// Maximum number of lines per request; further lines are dropped.
 pub const TRACED_LINES: usize = 64;
 
-/// A bounded memory of decisions by request.
+/// Bounded log of decisions by request.
 #[derive(Default)]
 pub struct TraceLog {
     entries: Mutex<TraceEntries>,
@@ -23,12 +23,12 @@
 #[derive(Default)]
 struct TraceEntries {
     lines: BTreeMap<RequestId, Vec<String>>,
-    /// The keys of `lines` in the order of arrival.
+    /// The keys of `lines`, oldest first.
     order: VecDeque<RequestId>,
 }
 
 impl TraceLog {
-    /// Notes one line. It must hold no prompt text and no key.
+    /// Adds a line, which must not contain prompt text or keys.
     pub fn record(&self, request: &RequestId, line: impl Into<String>) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         if !entries.lines.contains_key(request) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The lines of a request, oldest first; empty if it is not known here.
+    /// The lines of a request, oldest first; empty if this daemon has no trace of it.
     pub fn lines(&self, request: &RequestId) -> Vec<String> {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         entries.lines.get(request).cloned().unwrap_or_default()
--- a/src/pipeline/usage.rs
+++ b/src/pipeline/usage.rs
@@ -1,4 +1,4 @@
-//! Who uses this daemon, and which backend servers it keeps busy; for operators.
+//! Usage counts by organisation and backend server, for operators.
 
 use {
     crate::{
@@ -12,53 +12,53 @@
     },
 };
 
-/// Organisations counted; at the bound the one with the fewest requests makes room.
+/// Maximum number of counted organisations; beyond it the one with the fewest requests is dropped.
 pub const COUNTED_ORGANISATIONS: usize = 1024;
 
-/// What one organisation did here since the daemon started.
+/// Usage of this daemon by an organisation since the daemon started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OrganisationUsage {
-    /// Requests taken in.
+    /// Admitted requests.
     pub requests: u64,
-    /// Requests answered whole.
+    /// Requests with a complete response.
     pub answered: u64,
-    /// Tokens of prompts and answers.
+    /// Tokens of prompts and responses.
     pub tokens: u64,
     /// Requests in flight.
     pub in_flight: u64,
 }
 
-/// Counts by organisation and by backend server.
+/// Usage counts by organisation and requests in flight by backend server.
 #[derive(Default)]
 pub struct UsageTracker {
     organisations: Mutex<BTreeMap<OrganisationId, OrganisationUsage>>,
-    /// Servers of the register; those without requests in flight are dropped.
+    /// Servers of the register that have requests in flight.
     servers: Mutex<BTreeMap<ServerId, u64>>,
 }
 
-/// An attempt in flight at a server; dropping it ends the count.
+/// Counts an attempt as in flight until it is dropped.
 pub struct InFlightGuard {
-    board: Arc<UsageTracker>,
+    tracker: Arc<UsageTracker>,
     server: ServerId,
 }
 
-/// A request of an organisation in flight; dropping it ends the count.
+/// Counts a request of an organisation as in flight until it is dropped.
 pub struct UsageGuard {
-    board: Arc<UsageTracker>,
+    tracker: Arc<UsageTracker>,
     organisation: OrganisationId,
 }
 
 impl UsageTracker {
-    /// Counts an attempt at `server` until the result is dropped.
+    /// Counts an attempt at `server` as in flight until the returned guard is dropped.
     pub fn track_attempt(self: &Arc<Self>, server: &ServerId) -> InFlightGuard {
         let mut servers = lock(&self.servers);
         let count = servers.entry(server.clone()).or_default();
         *count += 1;
         gauge!(IN_FLIGHT, "server" => server.clone()).set(*count as f64);
-        InFlightGuard { board: Arc::clone(self), server: server.clone() }
+        InFlightGuard { tracker: Arc::clone(self), server: server.clone() }
     }
 
-    /// Counts a request of `organisation` until the result is dropped.
+    /// Counts a request of `organisation` as in flight until the returned guard is dropped.
     pub fn track_request(self: &Arc<Self>, organisation: &OrganisationId) -> UsageGuard {
         let mut organisations = lock(&self.organisations);
         if organisations.len() >= COUNTED_ORGANISATIONS && !organisations.contains_key(organisation)
@@ -72,15 +72,15 @@
         let usage = organisations.entry(organisation.clone()).or_default();
         usage.requests += 1;
         usage.in_flight += 1;
-        UsageGuard { board: Arc::clone(self), organisation: organisation.clone() }
+        UsageGuard { tracker: Arc::clone(self), organisation: organisation.clone() }
     }
 
-    /// Requests in flight by server.
+    /// The number of attempts in flight by server.
     pub fn in_flight(&self) -> BTreeMap<ServerId, u64> {
         lock(&self.servers).clone()
     }
 
-    /// The organisations with the most tokens; at most `limit`.
+    /// The `limit` organisations with the most tokens, in descending order.
     pub fn busiest_organisations(&self, limit: usize) -> Vec<(OrganisationId, OrganisationUsage)> {
         let mut all: Vec<_> = lock(&self.organisations).clone().into_iter().collect();
         all.sort_by_key(|(_, usage)| std::cmp::Reverse((usage.tokens, usage.requests)));
@@ -90,36 +90,36 @@
 }
 
 impl UsageGuard {
-    /// Counts the request as answered whole with so many tokens.
-    pub fn answered(&self, tokens: u32) {
-        self.change(|usage| {
+    /// Counts the request as completed with `tokens` tokens.
+    pub fn record_completion(&self, tokens: u32) {
+        self.update(|usage| {
             usage.answered += 1;
             usage.tokens += u64::from(tokens);
         });
     }
 
-    fn change(&self, change: impl FnOnce(&mut OrganisationUsage)) {
-        if let Some(usage) = lock(&self.board.organisations).get_mut(&self.organisation) {
-            change(usage);
+    fn update(&self, update: impl FnOnce(&mut OrganisationUsage)) {
+        if let Some(usage) = lock(&self.tracker.organisations).get_mut(&self.organisation) {
+            update(usage);
         }
     }
 }
 
 impl Drop for UsageGuard {
     fn drop(&mut self) {
-        self.change(|usage| usage.in_flight = usage.in_flight.saturating_sub(1));
+        self.update(|usage| usage.in_flight = usage.in_flight.saturating_sub(1));
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut servers = lock(&self.board.servers);
-        let left = servers.get(&self.server).map_or(0, |count| count.saturating_sub(1));
-        match left {
+        let mut servers = lock(&self.tracker.servers);
+        let remaining = servers.get(&self.server).map_or(0, |count| count.saturating_sub(1));
+        match remaining {
             0 => servers.remove(&self.server),
-            left => servers.insert(self.server.clone(), left),
+            remaining => servers.insert(self.server.clone(), remaining),
         };
-        gauge!(IN_FLIGHT, "server" => self.server.clone()).set(left as f64);
+        gauge!(IN_FLIGHT, "server" => self.server.clone()).set(remaining as f64);
     }
 }
 
