--- a/src/pipeline/relay.rs
+++ b/src/pipeline/relay.rs
@@ -278,7 +278,7 @@
             tokio::select! {
                 opened = &mut opening => return opened.map_err(AttemptOutcome::Failed),
                 () = self.response.closed() => return Err(AttemptOutcome::CallerGone),
-                directive = handle.next() => if let Some(end) = withdrawal(directive, order.attempt) {
+                directive = handle.next() => if let Some(end) = end_from(directive, order.attempt) {
                     return Err(end);
                 },
             }
@@ -321,7 +321,7 @@
             let event = tokio::select! {
                 event = stream.next_event() => event,
                 () = self.response.closed() => return AttemptOutcome::CallerGone,
-                directive = handle.next() => match withdrawal(directive, order.attempt) {
+                directive = handle.next() => match end_from(directive, order.attempt) {
                     Some(outcome) => return outcome,
                     None => continue,
                 },
@@ -392,7 +392,7 @@
 }
 
 /// The outcome of the running attempt if the directive ends it.
-fn withdrawal(directive: DispatchDirective, attempt: AttemptId) -> Option<AttemptOutcome> {
+fn end_from(directive: DispatchDirective, attempt: AttemptId) -> Option<AttemptOutcome> {
     match directive {
         DispatchDirective::Cancel(cancelled) => {
             (cancelled == attempt).then_some(AttemptOutcome::Cancelled)
--- a/src/pipeline/service_call.rs
+++ b/src/pipeline/service_call.rs
@@ -65,17 +65,15 @@
                     head_before: call.caller.deadline.into(),
                 };
                 match send(&core, &call, &order, limits).await {
-                    Ok(response) if is_retryable(response.status) => {
+                    Ok(reply) if is_retryable(reply.status) => {
                         report_failure(
                             &handle,
                             order.attempt,
-                            failure_of_status(response.status),
-                            response.retry_after.map(Duration::from_secs),
+                            failure_of_status(reply.status),
+                            reply.retry_after.map(Duration::from_secs),
                         );
                     }
-                    Ok(response) => {
-                        return Ok(complete(&core, &call, &handle, order.attempt, response));
-                    }
+                    Ok(reply) => return Ok(finish(&core, &call, &handle, order.attempt, reply)),
                     Err(error) => {
                         core.trace.record(&call.request, format!("attempt failed: {error}"));
                         report_failure(&handle, order.attempt, error.failure(), None);
@@ -147,7 +145,7 @@
                     body: response.body.to_vec(),
                 };
                 sent.finish(kept).await;
-                return Ok(complete(&core, &call, &handle, order.attempt, response));
+                return Ok(finish(&core, &call, &handle, order.attempt, response));
             }
             Err(error) if error.nothing_sent() => {
                 claim = sent.nothing_sent();
@@ -189,7 +187,7 @@
     service::call(address, order.attempt, call.outgoing.clone(), limits).await
 }
 
-fn complete(
+fn finish(
     core: &PipelineCore,
     call: &ServiceCall,
     handle: &RequestHandle,
--- a/src/reverse_proxy.rs
+++ b/src/reverse_proxy.rs
@@ -1,8 +1,8 @@
-//! Serves callers that speak plain HTTP by route, in front of backend servers that do as well.
+//! HTTP reverse proxy that forwards requests to backend servers by route.
 //!
-//! A request is read whole, placed by the one [`crate::policy::Dispatcher`], and its answer passed
-//! on unchanged. What the installation's headers are called, and what they mean, only the
-//! [`dialect::WireDialect`] knows.
+//! A request is buffered, placed by the daemon's [`crate::policy::Dispatcher`], and its response is
+//! relayed unchanged. Only the [`dialect::WireDialect`] knows the names and the meaning of an
+//! installation's headers.
 
 pub mod accept;
 pub mod core;
--- a/src/reverse_proxy/accept.rs
+++ b/src/reverse_proxy/accept.rs
@@ -1,4 +1,4 @@
-//! Takes connections from a listener, past moments without free file descriptors.
+//! Accepts connections, with retries while no file descriptors are free.
 
 use {
     std::time::Duration,
@@ -8,18 +8,18 @@
     },
 };
 
-/// Pause after an accept that failed: descriptors come free as requests end, within some tens of
-/// milliseconds, and trying at once would keep the processor from ending them.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept. Descriptors become free within some tens of milliseconds as
+/// requests end; an immediate retry would take CPU time from those requests.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The next connection.
+/// Waits for the next connection; retries failed accepts.
 pub async fn accept_connection(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _peer)) => return stream,
             Err(error) => {
-                log::warn!(error:% = error; "a connection was not accepted");
-                sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:% = error; "failed to accept a connection");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/src/reverse_proxy/core.rs
+++ b/src/reverse_proxy/core.rs
@@ -1,4 +1,4 @@
-//! What all requests of one entry share.
+//! State that is shared by all requests of a proxy process.
 
 use {
     super::{
@@ -24,47 +24,47 @@
     },
 };
 
-/// The part of the golden ratio: successive multiples spread evenly over 0 to 1, so that weights
-/// hold exactly over a few requests already.
-const GOLDEN_PART: f64 = 0.618_033_988_749_894_9;
+/// Fractional part of the golden ratio. The fractional parts of its successive multiples are evenly
+/// distributed over 0 to 1, so that a traffic split is accurate after a few requests.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 
-/// What a core is made of.
+/// Arguments of [`ProxyCore::new`].
 pub struct ProxyParts {
-    /// The VM.
+    /// The VM that the process runs on.
     pub vm: VmId,
-    /// What placement optimises.
+    /// What the placement of requests optimises.
     pub objective: DecisionObjective,
-    /// The installation's wire.
+    /// The header format of the installation.
     pub dialect: Arc<dyn WireDialect>,
-    /// The dispatcher.
+    /// The dispatcher that places requests on backend servers.
     pub dispatcher: Arc<DispatcherHandle>,
 }
 
-/// What all requests of one entry share.
+/// State that is shared by all requests of a proxy process.
 pub struct ProxyCore {
-    /// The VM.
+    /// The VM that the process runs on.
     pub vm: VmId,
-    /// The installation's wire.
+    /// The header format of the installation.
     pub dialect: Arc<dyn WireDialect>,
-    /// The dispatcher.
+    /// The dispatcher that places requests on backend servers.
     pub dispatcher: Arc<DispatcherHandle>,
-    /// Connections to backend servers.
+    /// Pooled connections to backend servers.
     pub pool: ConnectionPool,
-    /// Requests in flight.
+    /// Admits requests until the process drains.
     pub gate: DrainGate,
-    /// Servers whose connection broke.
+    /// Servers that are being probed after a connection failure.
     pub recheck: RecheckList,
-    /// Whether the engines' common store can be reached.
-    keep_up: AtomicBool,
+    /// Whether the engines' shared cache store is reachable.
+    store_reachable: AtomicBool,
     objective: DecisionObjective,
     view: ArcSwap<ProxyView>,
-    /// Weights that answers showed, by server and life; only of servers in the view.
-    seen_weights: Mutex<BTreeMap<ServerId, (u64, WeightsNumber)>>,
-    turns: AtomicU64,
+    /// The weights and the incarnation that responses have reported, by server of the view.
+    reported_weights: Mutex<BTreeMap<ServerId, (u64, WeightsNumber)>>,
+    split_counter: AtomicU64,
 }
 
 impl ProxyCore {
-    /// A core that knows no routes and no servers.
+    /// Creates a core with an empty view.
     pub fn new(parts: ProxyParts) -> Arc<Self> {
         let ProxyParts { vm, objective, dialect, dispatcher } = parts;
         Arc::new(ProxyCore {
@@ -74,20 +74,20 @@
             pool: ConnectionPool::default(),
             gate: DrainGate::default(),
             recheck: RecheckList::default(),
-            keep_up: AtomicBool::new(false),
+            store_reachable: AtomicBool::new(false),
             objective,
             view: ArcSwap::default(),
-            seen_weights: Mutex::default(),
-            turns: AtomicU64::new(0),
+            reported_weights: Mutex::default(),
+            split_counter: AtomicU64::new(0),
         })
     }
 
-    /// The view in force.
+    /// The current view.
     pub fn view(&self) -> Arc<ProxyView> {
         self.view.load_full()
     }
 
-    /// Puts a view in force.
+    /// Replaces the view and passes the changes to the dispatcher.
     pub fn apply(&self, view: ProxyView) {
         let former = self.view();
         let inputs = view.inputs(&self.vm, self.objective, &former);
@@ -95,39 +95,42 @@
         self.lock_weights().retain(|server, _| view.servers.contains_key(server));
         self.view.store(Arc::new(view));
         self.dispatcher.notify_all(inputs);
-        self.tell_keep();
+        self.notify_store_link();
         self.pool.close_unused(&used);
     }
 
-    /// Notes whether the engines' common store can be reached.
+    /// Sets whether the engines' shared cache store is reachable.
     pub fn set_store_reachable(&self, reachable: bool) {
-        self.keep_up.store(reachable, Ordering::Relaxed);
-        self.tell_keep();
+        self.store_reachable.store(reachable, Ordering::Relaxed);
+        self.notify_store_link();
     }
 
-    /// Where the engines' common store is, while it can be reached.
+    /// The address of the engines' shared cache store; `None` while it is unreachable.
     pub fn store_address(&self) -> Option<SocketAddr> {
-        let keep = self.view().cache_store().filter(|_| self.keep_up.load(Ordering::Relaxed))?;
-        Some(keep.0)
+        let store =
+            self.view().cache_store().filter(|_| self.store_reachable.load(Ordering::Relaxed))?;
+        Some(store.0)
     }
 
-    fn tell_keep(&self) {
-        let keep = self.view().cache_store().filter(|_| self.keep_up.load(Ordering::Relaxed));
-        self.dispatcher.notify(PolicyInput::KeepLink { rate: keep.map(|(_, rate)| rate) });
+    fn notify_store_link(&self) {
+        let store =
+            self.view().cache_store().filter(|_| self.store_reachable.load(Ordering::Relaxed));
+        self.dispatcher.notify(PolicyInput::KeepLink { rate: store.map(|(_, rate)| rate) });
     }
 
-    /// Where a server listens.
+    /// The address of a server; `None` if the server is not listed.
     pub fn address(&self, server: &ServerId) -> Option<SocketAddr> {
         self.view().servers.get(server).map(|listed| listed.address)
     }
 
-    /// A number in 0 to 1 that spreads requests evenly.
+    /// The next number of an evenly distributed sequence in 0 to 1, for splitting traffic by
+    /// weight.
     pub fn next_split_value(&self) -> f64 {
-        let turn = self.turns.fetch_add(1, Ordering::Relaxed);
-        (turn as f64 * GOLDEN_PART).fract()
+        let count = self.split_counter.fetch_add(1, Ordering::Relaxed);
+        (count as f64 * GOLDEN_RATIO_FRACTION).fract()
     }
 
-    /// Takes in what the head of an answer tells of its server.
+    /// Records the weights and the load that the head of a response reports for its server.
     pub fn record_response(&self, server: &ServerId, model: Option<&ModelId>, head: &ResponseHead) {
         let view = self.view();
         let Some(listed) = view.servers.get(server) else { return };
@@ -136,9 +139,12 @@
         }
         let Some((running, waiting)) = head.load else { return };
         let version = self.server_weights(server, &listed.service, model);
-        let weights = listed.weights.iter().map(|(listed_model, told)| {
-            let seen = version.filter(|_| model == Some(listed_model));
-            (qualified_model(&listed.service, listed_model), seen.unwrap_or(*told).to_string())
+        let weights = listed.weights.iter().map(|(listed_model, listed_version)| {
+            let reported = version.filter(|_| model == Some(listed_model));
+            (
+                qualified_model(&listed.service, listed_model),
+                reported.unwrap_or(*listed_version).to_string(),
+            )
         });
         self.dispatcher.notify(PolicyInput::Load(LoadReport {
             server: server.clone(),
@@ -152,8 +158,8 @@
         }));
     }
 
-    /// The weights that a server has, as far as the list and its answers tell: the later of both,
-    /// since a server goes back to older ones in no life.
+    /// The weights of a server according to the server list and to its responses. The newer of both
+    /// applies, because a server never returns to older weights within an incarnation.
     pub fn server_weights(
         &self,
         server: &ServerId,
@@ -162,13 +168,15 @@
     ) -> Option<WeightsNumber> {
         let view = self.view();
         let listed = view.servers.get(server).filter(|listed| listed.service == *service)?;
-        let told = listed.weights.get(model?).copied();
-        let seen = self.lock_weights().get(server).copied();
-        let seen = seen.filter(|(life, _)| *life == listed.life).map(|(_, version)| version);
-        told.max(seen)
+        let listed_version = listed.weights.get(model?).copied();
+        let reported = self.lock_weights().get(server).copied();
+        let reported = reported
+            .filter(|(incarnation, _)| *incarnation == listed.life)
+            .map(|(_, version)| version);
+        listed_version.max(reported)
     }
 
     fn lock_weights(&self) -> std::sync::MutexGuard<'_, BTreeMap<ServerId, (u64, WeightsNumber)>> {
-        self.seen_weights.lock().unwrap_or_else(PoisonError::into_inner)
+        self.reported_weights.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/reverse_proxy/dialect.rs
+++ b/src/reverse_proxy/dialect.rs
@@ -1,4 +1,4 @@
-//! What an installation's wire means: headers of callers and of backend servers, as product types.
+//! Interface to an installation's header format, for requests of callers and backend servers.
 
 use {
     crate::{
@@ -10,141 +10,144 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// What a request asks of a model engine.
+/// The work that a request causes at a model engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PromptWork {
-    /// The model.
+    /// The requested model.
     pub model: ModelId,
-    /// The parts of the prompt in order, each with its id and its tokens; requests that share all
-    /// parts up to one share what an engine has cached of them.
+    /// The parts of the prompt in order, each with its id and its number of tokens. Requests share
+    /// an engine's cache up to the last part that all their preceding parts have in common.
     pub parts: Vec<(String, u32)>,
-    /// Tokens of the whole prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// The most tokens that may be generated.
+    /// Maximum number of tokens to generate.
     pub max_output_tokens: u32,
-    /// How many the caller expects, which is often far off.
+    /// Number of generated tokens that the caller expects, which is often inaccurate.
     pub expected_output_tokens: Option<u32>,
 }
 
-/// A caller's request as far as its head tells.
+/// The head of a caller's request, decoded.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// The id that the caller gave it.
+    /// The request id that the caller assigned.
     pub id: RequestId,
-    /// The route that serves it.
+    /// The route that matches the request.
     pub route: Arc<RouteRule>,
-    /// Who sends it; empty where no key is asked for.
+    /// The organisation of the caller; empty if the route requires no key.
     pub organisation: OrganisationId,
-    /// Whether its cached prompts are shared with nobody.
+    /// Whether the organisation's cached prompts are not shared with other organisations.
     pub isolated: bool,
-    /// How urgent it is.
+    /// The class of the request, which sets its priority.
     pub class: RequestClass,
-    /// How long the caller waits for the whole answer.
+    /// How long the caller waits for the complete response.
     pub time_left: Option<Duration>,
-    /// How long it waits for the beginning of an answer.
+    /// How long the caller waits for the beginning of the response.
     pub response_start_timeout: Duration,
-    /// Set for requests to model engines.
+    /// The prompt; set for requests to model engines.
     pub work: Option<PromptWork>,
 }
 
-/// Why a request is not served, as the caller is told.
+/// An error response to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProxyRefusal {
-    /// HTTP status. 408, 421, 429 and 503 promise that the request has not run and never will.
+    /// HTTP status. 408, 421, 429 and 503 guarantee that the request has not run and never will.
     pub status: StatusCode,
-    /// The reason's name, as in the measures.
+    /// The error code, which is also the label of the refusal counter.
     pub code: &'static str,
-    /// When to come back, where that helps.
+    /// When the caller may retry, if that can succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl ProxyRefusal {
-    /// A refusal without a time to come back.
+    /// Creates a refusal without `Retry-After`.
     pub fn new(status: StatusCode, code: &'static str) -> Self {
         ProxyRefusal { status, code, retry_after: None }
     }
 
-    /// The same with a time to come back.
-    pub fn after(self, pause: Duration) -> Self {
-        ProxyRefusal { retry_after: Some(pause), ..self }
+    /// Sets the time after which the caller may retry.
+    pub fn retry_after(self, delay: Duration) -> Self {
+        ProxyRefusal { retry_after: Some(delay), ..self }
     }
 }
 
-/// What is told to a backend server beside the request itself.
+/// What a backend server receives in addition to the caller's request.
 #[derive(Clone, Debug)]
 pub struct BackendCall<'a> {
     /// The caller's request.
     pub request: &'a CallerRequest,
-    /// The server that it is meant for; no other may run it.
+    /// The intended server; no other server may run the request.
     pub server: &'a ServerId,
-    /// The time that is left.
+    /// The time until the deadline of the request.
     pub time_left: Duration,
-    /// Keeps cached prompts apart: equal salts share.
+    /// Separates cached prompts: only requests with equal salts share cache entries.
     pub cache_salt: Option<String>,
-    /// A server or store that likely holds more of the prompt, under the same weights and salt.
+    /// A server or cache store that probably has a longer cached prefix of the prompt, for the same
+    /// weights and salt.
     pub import_from: Option<SocketAddr>,
-    /// A store that gets what the engine had to compute of the prompt.
+    /// A cache store to which the engine exports the blocks of the prompt that it has computed.
     pub export_to: Option<SocketAddr>,
-    /// Lower is served first inside an engine.
+    /// Priority within the engine; lower values are served first.
     pub priority: u32,
-    /// The id of the last event that the caller has, where a stream goes on.
+    /// The id of the last relayed event, if a stream is resumed.
     pub resume_after: Option<String>,
-    /// The weights that the request is meant for; a server with others must not run it.
+    /// The required weights; a server with other weights must not run the request.
     pub weights: Option<WeightsNumber>,
 }
 
-/// What the head of an answer says of the request.
+/// Whether and where the request has run, according to the head of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseVerdict {
-    /// The server ran the request; this is its answer.
+    /// The server ran the request, and this is its response.
     Executed,
-    /// The server did not run it and never will.
+    /// The server did not run the request and never will.
     NotExecuted,
-    /// The server is not the one that was meant, and did not run it.
+    /// The server is not the intended one and did not run the request.
     WrongServer,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     OtherRequest,
 }
 
-/// The head of an answer, decoded.
+/// The head of a backend server's response, decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResponseHead {
-    /// What became of the request.
+    /// Whether and where the request has run.
     pub verdict: ResponseVerdict,
-    /// Requests that run there and that wait there.
+    /// Numbers of requests that run and that wait at the server.
     pub load: Option<(u32, u32)>,
-    /// The weights that the answer is made with.
+    /// The weights that generate the response.
     pub weights: Option<WeightsNumber>,
-    /// How long the server keeps an idle connection open, if it says so.
+    /// How long the server keeps idle connections open, if it reports that.
     pub idle_limit: Option<Duration>,
-    /// When the server wants to be asked again.
+    /// When the server may be sent another request.
     pub retry_after: Option<Duration>,
 }
 
-/// Translates between an installation's wire and the product's types. It decides nothing.
+/// Translates between an installation's headers and the types of this crate. Implementations make
+/// no routing decisions.
 pub trait WireDialect: Send + Sync {
-    /// The id that a caller gave its request, also of one that cannot be served; empty without one.
+    /// The request id that the caller assigned, or an empty string. Also called for requests that
+    /// cannot be served.
     fn request_id<'a>(&self, headers: &'a HeaderMap) -> &'a str;
 
-    /// Reads a request's head.
+    /// Decodes the head of a request.
     ///
     /// # Errors
-    /// What the caller is told if it cannot be served: unknown route, unknown key, bad head.
+    /// The refusal of a request with an unknown route, an unknown key or an invalid head.
     fn read_request(
         &self,
         head: &request::Parts,
         index: &RouteIndex,
     ) -> Result<CallerRequest, ProxyRefusal>;
 
-    /// The headers for a backend server, made from the caller's.
+    /// Builds the headers for a backend server from those of the caller.
     fn backend_headers(&self, caller: &HeaderMap, call: &BackendCall<'_>) -> HeaderMap;
 
-    /// Reads the head of a backend server's answer to the request with this id.
+    /// Decodes the head of a backend server's response to the request with this id.
     fn read_response(&self, head: &response::Parts, id: &RequestId) -> ResponseHead;
 
-    /// The answer for a request that is not served.
+    /// Builds the response for a refused request.
     fn refusal(&self, refusal: &ProxyRefusal) -> Response<String>;
 
-    /// The id of an event of a stream, and the weights from that event on if it names them.
+    /// The id of a stream event, and the weights from that event on if the event contains them.
     fn read_event(&self, event: &[u8]) -> (Option<String>, Option<WeightsNumber>);
 }
--- a/src/reverse_proxy/exchange.rs
+++ b/src/reverse_proxy/exchange.rs
@@ -1,4 +1,4 @@
-//! Runs one request: follows the dispatcher's decisions until there is an answer.
+//! Runs a request: executes the dispatcher's decisions until there is a response.
 
 mod logging;
 
@@ -40,56 +40,57 @@
     tokio::time::{sleep_until, timeout},
 };
 
-/// The longest answer that is held back until it is whole; only streams may be longer.
-const WHOLE_ANSWER_BYTES: usize = 4 << 20;
-/// The longest body of a refusal that is read so that its connection can be kept.
-const REFUSAL_BYTES: usize = 4 << 10;
-/// How long such a body is awaited; it mostly comes with the head.
-const REFUSAL_WAIT: Duration = Duration::from_millis(20);
-/// When a request is placed anew after all connections to a server were in use: about the time that
-/// one token takes.
-const FULL_PAUSE: Duration = Duration::from_millis(30);
+/// Maximum size of a response that is buffered until it is complete; only streams may be longer.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// Maximum size of a refusal's body that is read so that its connection can be reused.
+const MAX_REFUSAL_BYTES: usize = 4 << 10;
+/// How long to wait for the body of a refusal, which usually arrives with its head.
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(20);
+/// Delay before a request is placed again after the connection limit of a server was reached: about
+/// the time that an engine takes for one token.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// One request on its way.
+/// A request and the state of its attempts.
 pub struct HttpExchange {
     pub(super) core: Arc<ProxyCore>,
     pub(super) request: BufferedRequest,
-    pub(super) route: RequestHandle,
-    /// Servers that may have begun to run it.
+    pub(super) handle: RequestHandle,
+    /// Number of servers that may have begun to run the request.
     pub(super) runs: u32,
-    /// A server's own failure, passed on if nobody does better.
+    /// A server's error response, which is passed on if no other server succeeds.
     failure: Option<(response::Parts, Bytes)>,
-    /// Whether it was sent at least once.
+    /// Whether the request was sent at least once.
     is_sent: bool,
-    /// Whether how it ended is in the log; if not when it is dropped, its caller has left.
+    /// Whether the outcome was logged. If not when this value is dropped, the caller has
+    /// disconnected.
     is_logged: bool,
 }
 
-/// An answer whose head has arrived.
+/// A response whose head has arrived.
 pub(super) struct StartedResponse {
     pub parts: response::Parts,
     pub head: ResponseHead,
     pub body: Incoming,
-    pub leased: LeasedConnection,
+    pub connection: LeasedConnection,
 }
 
-/// Where a stream goes on.
+/// The point after which a stream is resumed.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ResumeFrom {
+pub(super) struct ResumePosition {
     pub event: Option<String>,
     pub weights: Option<u64>,
     pub events: u32,
 }
 
-/// What one step came to.
+/// Result of an attempt.
 enum Step {
-    Answer(Box<Response<ResponseBody>>),
+    Response(Box<Response<ResponseBody>>),
     Stream(Box<StreamStart>),
-    Again,
+    Continue,
     Refused(ProxyRefusal),
 }
 
-/// Runs a request to the beginning of its answer; a stream goes on in the answer's body.
+/// Runs a request until its response begins; the response body continues to relay a stream.
 pub async fn run(
     core: Arc<ProxyCore>,
     request: BufferedRequest,
@@ -97,43 +98,43 @@
     open: OpenRequest,
 ) -> ProxyResult {
     count_request(request.caller.class);
-    let route = core.dispatcher.submit(request.ticket());
+    let handle = core.dispatcher.submit(request.ticket());
     let mut exchange = HttpExchange {
         core,
         request,
-        route,
+        handle,
         runs: 0,
         failure: None,
         is_sent: false,
         is_logged: false,
     };
     loop {
-        let ends = exchange.request.ends;
+        let deadline = exchange.request.deadline;
         let directive = tokio::select! {
-            directive = exchange.route.next() => directive,
-            () = sleep_until(ends.into()) => return exchange.give_up(phase, open),
+            directive = exchange.handle.next() => directive,
+            () = sleep_until(deadline.into()) => return exchange.expire(phase, open),
         };
         let step = match directive {
-            DispatchDirective::Cancel(_) => Step::Again,
+            DispatchDirective::Cancel(_) => Step::Continue,
             DispatchDirective::Refuse { reason, retry_after, did_run } => {
                 return exchange.refused(reason, retry_after, did_run, phase, open);
             }
             DispatchDirective::Send(order) => exchange.attempt(*order).await,
         };
         match step {
-            Step::Again => {}
+            Step::Continue => {}
             Step::Refused(refusal) => return Err(refusal),
-            Step::Answer(response) => {
+            Step::Response(response) => {
                 let (parts, body) = response.into_parts();
-                let body = body.held_by(phase, open);
+                let body = body.with_request(phase, open);
                 return Ok(Response::from_parts(parts, body));
             }
             Step::Stream(start) => {
                 let parts = start.parts.clone();
-                let pieces = RelayedStream::new(exchange, *start).into_pieces();
+                let chunks = RelayedStream::new(exchange, *start).into_chunks();
                 return Ok(Response::from_parts(
                     parts,
-                    ResponseBody::stream(pieces, phase, Some(open)),
+                    ResponseBody::stream(chunks, phase, Some(open)),
                 ));
             }
         }
@@ -141,8 +142,8 @@
 }
 
 impl HttpExchange {
-    /// The time for the request is over.
-    fn give_up(self, phase: ConnectionPhase, open: OpenRequest) -> ProxyResult {
+    /// Ends the request at its deadline.
+    fn expire(self, phase: ConnectionPhase, open: OpenRequest) -> ProxyResult {
         let did_run = if self.runs == 0 { DidRun::No } else { DidRun::Unknown };
         self.refused(RefusalReason::DeadlinePassed, None, did_run, phase, open)
     }
@@ -157,32 +158,33 @@
     ) -> ProxyResult {
         if let Some((parts, body)) = self.failure.take() {
             self.log_passed_failure(parts.status);
-            return Ok(Response::from_parts(parts, ResponseBody::whole(body, phase, Some(open))));
+            return Ok(Response::from_parts(parts, ResponseBody::full(body, phase, Some(open))));
         }
-        // Whatever the dispatcher was told, a request that may have run is never said not to have.
+        // A request that may have run is never reported as not run, whatever the dispatcher states.
         let did_run = if self.runs > 0 { DidRun::Unknown } else { did_run };
         self.log_refusal(reason.as_str(), retry_after);
         Err(dispatch_refusal(reason, retry_after, did_run))
     }
 
     async fn attempt(&mut self, order: SendOrder) -> Step {
-        match self.begin(&order, &ResumeFrom::default()).await {
-            Ok(answer) => self.take_answer(&order, answer).await,
-            Err(failure) => self.after_failure(failure),
+        match self.begin(&order, &ResumePosition::default()).await {
+            Ok(response) => self.handle_response(&order, response).await,
+            Err(failure) => self.step_after_failure(failure),
         }
     }
 
-    /// Sends the request and reads the answer's head. A failure has been reported.
+    /// Sends the request and reads the head of the response. A returned failure has already been
+    /// reported to the dispatcher.
     pub(super) async fn begin(
         &mut self,
         order: &SendOrder,
-        from: &ResumeFrom,
+        from: &ResumePosition,
     ) -> Result<StartedResponse, AttemptFailure> {
         let view = self.core.view();
         let Some(listed) = view.servers.get(&order.server) else {
             return Err(self.report(order, AttemptFailure::Stale, from, None));
         };
-        // After a pause of this process the decision may be long out of date.
+        // The decision is outdated if this process was paused.
         if Instant::now() >= order.send_before {
             return Err(self.report(order, AttemptFailure::Stale, from, None));
         }
@@ -191,22 +193,22 @@
         }
         self.log_send(order);
         let request = self.backend_request(order, from);
-        let once = !self.request.caller.route.kind.is_repeatable();
-        let most = view.connections(&listed.service);
+        let non_repeatable = !self.request.caller.route.kind.is_repeatable();
+        let limit = view.connections(&listed.service);
         let sent = tokio::select! {
-            sent = self.core.pool.send(listed.address, request, once, most) => sent,
-            () = withdrawn(&mut self.route, order.attempt) => {
-                // The dispatcher knows; its next directive says how it ends.
+            sent = self.core.pool.send(listed.address, request, non_repeatable, limit) => sent,
+            () = withdrawn(&mut self.handle, order.attempt) => {
+                // The dispatcher has withdrawn the attempt; its next directive ends the request.
                 self.runs += 1;
                 return Err(AttemptFailure::TimedOut);
             }
-            () = sleep_until(self.request.ends.into()) => {
+            () = sleep_until(self.request.deadline.into()) => {
                 self.runs += 1;
                 return Err(self.report(order, AttemptFailure::TimedOut, from, None));
             }
         };
         match sent {
-            Ok((response, leased)) => self.judge_head(order, from, response, leased).await,
+            Ok((response, connection)) => self.handle_head(order, from, response, connection).await,
             Err(error) => Err(self.connection_failed(order, from, error)),
         }
     }
@@ -214,11 +216,13 @@
     fn connection_failed(
         &mut self,
         order: &SendOrder,
-        from: &ResumeFrom,
+        from: &ResumePosition,
         error: PoolError,
     ) -> AttemptFailure {
         match error {
-            PoolError::Full => self.report(order, AttemptFailure::Declined, from, Some(FULL_PAUSE)),
+            PoolError::Full => {
+                self.report(order, AttemptFailure::Declined, from, Some(FULL_RETRY_DELAY))
+            }
             PoolError::NotConnected => {
                 self.core.recheck(&order.server);
                 self.report(order, AttemptFailure::NotConnected, from, None)
@@ -231,12 +235,12 @@
         }
     }
 
-    async fn judge_head(
+    async fn handle_head(
         &mut self,
         order: &SendOrder,
-        from: &ResumeFrom,
+        from: &ResumePosition,
         response: Response<Incoming>,
-        leased: LeasedConnection,
+        connection: LeasedConnection,
     ) -> Result<StartedResponse, AttemptFailure> {
         let (mut parts, body) = response.into_parts();
         let head = self.core.dialect.read_response(&parts, &self.request.caller.id);
@@ -246,14 +250,14 @@
                 self.runs += 1;
                 self.core.record_response(&order.server, model, &head);
                 strip_connection(&mut parts.headers);
-                Ok(StartedResponse { parts, head, body, leased })
+                Ok(StartedResponse { parts, head, body, connection })
             }
             ResponseVerdict::NotExecuted => {
                 self.core.record_response(&order.server, model, &head);
-                let rest = Limited::new(body, REFUSAL_BYTES).collect();
-                // A server that hangs after the head must not hold up the request with it.
-                if matches!(timeout(REFUSAL_WAIT, rest).await, Ok(Ok(_))) {
-                    leased.keep(head.idle_limit);
+                let rest = Limited::new(body, MAX_REFUSAL_BYTES).collect();
+                // A server that hangs after the head must not delay the request.
+                if matches!(timeout(REFUSAL_TIMEOUT, rest).await, Ok(Ok(_))) {
+                    connection.return_to_pool(head.idle_limit);
                 }
                 Err(self.report(order, AttemptFailure::Declined, from, head.retry_after))
             }
@@ -261,8 +265,8 @@
                 log::warn!(server = order.server.as_str(), weights = order.weights.as_deref();
                     "{}", events::SERVER_MISLISTED);
                 let (server, health) = (order.server.clone(), ServerHealth::Dead);
-                self.route.notify(PolicyInput::Health { server, health });
-                self.core.recheck_later(&order.server);
+                self.handle.notify(PolicyInput::Health { server, health });
+                self.core.recheck_after_refresh(&order.server);
                 Err(self.report(order, AttemptFailure::Declined, from, None))
             }
             ResponseVerdict::OtherRequest => {
@@ -274,17 +278,17 @@
         }
     }
 
-    fn backend_request(&self, order: &SendOrder, from: &ResumeFrom) -> Request<Full<Bytes>> {
-        let BufferedRequest { caller, head, body, service, ends, .. } = &self.request;
+    fn backend_request(&self, order: &SendOrder, from: &ResumePosition) -> Request<Full<Bytes>> {
+        let BufferedRequest { caller, head, body, service, deadline, .. } = &self.request;
         let model = caller.work.as_ref().map(|work| &work.model);
         let decided = order.weights.as_ref().and_then(|version| version.parse().ok());
-        let believed = self.core.server_weights(&order.server, service, model).or(decided);
-        // One version for all: a stream that went on under new weights resumes on those, and with
-        // the salt of the former ones it would be given cache entries of the former ones.
-        let weights = from.weights.or(believed);
+        let current = self.core.server_weights(&order.server, service, model).or(decided);
+        // Weights and salt use the same version: a stream that was resumed on new weights must
+        // not get cache entries of the former weights.
+        let weights = from.weights.or(current);
         let source = order.source.as_ref().filter(|_| weights.is_some() && weights == decided);
-        let keep = order.keep.filter(|_| weights.is_some() && weights == decided);
-        let keep = keep.zip(self.core.store_address());
+        let store = order.keep.filter(|_| weights.is_some() && weights == decided);
+        let store = store.zip(self.core.store_address());
         let salt = model.map(|model| {
             let weights = weights.map(|version| version.to_string()).unwrap_or_default();
             cache_salt(self.request.cache_owner(), model, None, &weights)
@@ -292,13 +296,13 @@
         let call = BackendCall {
             request: caller,
             server: &order.server,
-            time_left: ends.saturating_duration_since(Instant::now()),
+            time_left: deadline.saturating_duration_since(Instant::now()),
             cache_salt: salt,
-            import_from: match keep {
+            import_from: match store {
                 Some((_, address)) => Some(address),
                 None => source.and_then(|source| self.core.address(source)),
             },
-            export_to: keep.filter(|keep| keep.0 == KeepUse::TakeAndBring).map(|keep| keep.1),
+            export_to: store.filter(|store| store.0 == KeepUse::TakeAndBring).map(|store| store.1),
             priority: order.priority,
             resume_after: from.event.clone(),
             weights,
@@ -314,16 +318,16 @@
         request
     }
 
-    /// Tells the dispatcher how an attempt failed.
+    /// Reports a failed attempt to the dispatcher.
     pub(super) fn report(
         &self,
         order: &SendOrder,
         failure: AttemptFailure,
-        from: &ResumeFrom,
+        from: &ResumePosition,
         retry_after: Option<Duration>,
     ) -> AttemptFailure {
         self.log_attempt_failure(order, failure, from.events);
-        self.route.notify(PolicyInput::Failed {
+        self.handle.notify(PolicyInput::Failed {
             attempt: order.attempt,
             failure,
             relayed_tokens: from.events,
@@ -338,98 +342,99 @@
         route.kind.is_repeatable() && self.runs < route.attempts
     }
 
-    /// A failed attempt was reported; the dispatcher says how it goes on, unless the route allows
-    /// no more runs.
-    fn after_failure(&mut self, failure: AttemptFailure) -> Step {
+    /// Determines the step after a reported failure: the dispatcher decides on the next attempt,
+    /// unless the route allows no more runs.
+    fn step_after_failure(&mut self, failure: AttemptFailure) -> Step {
         let unsent = matches!(
             failure,
             AttemptFailure::NotConnected | AttemptFailure::Declined | AttemptFailure::Stale
         );
         if unsent || self.may_run_again() || failure == AttemptFailure::TimedOut {
-            return Step::Again;
+            return Step::Continue;
         }
         if let Some((parts, body)) = self.failure.take() {
             self.log_passed_failure(parts.status);
-            let body = ResponseBody::whole(body, ConnectionPhase::default(), None);
-            return Step::Answer(Box::new(Response::from_parts(parts, body)));
+            let body = ResponseBody::full(body, ConnectionPhase::default(), None);
+            return Step::Response(Box::new(Response::from_parts(parts, body)));
         }
         count_refusal(refusal::BACKEND_FAILED);
         self.log_refusal(refusal::BACKEND_FAILED, None);
         Step::Refused(ProxyRefusal::new(StatusCode::BAD_GATEWAY, refusal::BACKEND_FAILED))
     }
 
-    async fn take_answer(&mut self, order: &SendOrder, answer: StartedResponse) -> Step {
-        if self.request.caller.route.kind.is_stream() && answer.parts.status.is_success() {
-            return self.take_stream(order, answer).await;
+    async fn handle_response(&mut self, order: &SendOrder, response: StartedResponse) -> Step {
+        if self.request.caller.route.kind.is_stream() && response.parts.status.is_success() {
+            return self.start_stream(order, response).await;
         }
-        let StartedResponse { mut parts, head, body, leased } = answer;
-        let none = ResumeFrom::default();
+        let StartedResponse { mut parts, head, body, connection } = response;
+        let from_start = ResumePosition::default();
         let collected = tokio::select! {
-            collected = Limited::new(body, WHOLE_ANSWER_BYTES).collect() => collected,
-            () = withdrawn(&mut self.route, order.attempt) => return Step::Again,
-            () = sleep_until(self.request.ends.into()) => return Step::Again,
+            collected = Limited::new(body, MAX_RESPONSE_BYTES).collect() => collected,
+            () = withdrawn(&mut self.handle, order.attempt) => return Step::Continue,
+            () = sleep_until(self.request.deadline.into()) => return Step::Continue,
         };
         let Ok(collected) = collected else {
             self.core.recheck(&order.server);
-            let failure = self.report(order, AttemptFailure::Broken, &none, None);
-            return self.after_failure(failure);
+            let failure = self.report(order, AttemptFailure::Broken, &from_start, None);
+            return self.step_after_failure(failure);
         };
-        leased.keep(head.idle_limit);
+        connection.return_to_pool(head.idle_limit);
         let body = collected.to_bytes();
         if parts.status.is_server_error() && self.may_run_again() {
             self.failure = Some((parts, body));
-            let failure = self.report(order, AttemptFailure::ServerError, &none, None);
-            return self.after_failure(failure);
+            let failure = self.report(order, AttemptFailure::ServerError, &from_start, None);
+            return self.step_after_failure(failure);
         }
         self.finish(order.attempt, 0);
         self.log_completed(&order.server, parts.status);
-        // The library frames the answer anew.
+        // The HTTP library sets the framing of the relayed response.
         parts.headers.remove(http::header::CONTENT_LENGTH);
-        let body = ResponseBody::whole(body, ConnectionPhase::default(), None);
-        Step::Answer(Box::new(Response::from_parts(parts, body)))
+        let body = ResponseBody::full(body, ConnectionPhase::default(), None);
+        Step::Response(Box::new(Response::from_parts(parts, body)))
     }
 
-    /// A stream's answer begins with its first bytes: until then another server can still serve it.
-    async fn take_stream(&mut self, order: &SendOrder, mut answer: StartedResponse) -> Step {
-        let none = ResumeFrom::default();
+    /// Waits for the first bytes of a stream. Until they arrive, another server can still take
+    /// over.
+    async fn start_stream(&mut self, order: &SendOrder, mut response: StartedResponse) -> Step {
+        let from_start = ResumePosition::default();
         let first = tokio::select! {
-            first = answer.body.frame() => first,
-            () = withdrawn(&mut self.route, order.attempt) => return Step::Again,
-            () = sleep_until(self.request.ends.into()) => return Step::Again,
+            first = response.body.frame() => first,
+            () = withdrawn(&mut self.handle, order.attempt) => return Step::Continue,
+            () = sleep_until(self.request.deadline.into()) => return Step::Continue,
         };
         match first {
             Some(Ok(frame)) => {
-                answer.parts.headers.remove(http::header::CONTENT_LENGTH);
+                response.parts.headers.remove(http::header::CONTENT_LENGTH);
                 let first = frame.into_data().unwrap_or_default();
-                let StartedResponse { parts, head, body, leased } = answer;
+                let StartedResponse { parts, head, body, connection } = response;
                 let order = order.clone();
-                Step::Stream(Box::new(StreamStart { parts, head, body, leased, first, order }))
+                Step::Stream(Box::new(StreamStart { parts, head, body, connection, first, order }))
             }
             Some(Err(_)) => {
                 self.core.recheck(&order.server);
-                let failure = self.report(order, AttemptFailure::Broken, &none, None);
-                self.after_failure(failure)
+                let failure = self.report(order, AttemptFailure::Broken, &from_start, None);
+                self.step_after_failure(failure)
             }
             None => {
                 self.finish(order.attempt, 0);
-                self.log_completed(&order.server, answer.parts.status);
-                answer.leased.keep(answer.head.idle_limit);
-                let body = ResponseBody::whole(Bytes::new(), ConnectionPhase::default(), None);
-                Step::Answer(Box::new(Response::from_parts(answer.parts, body)))
+                self.log_completed(&order.server, response.parts.status);
+                response.connection.return_to_pool(response.head.idle_limit);
+                let body = ResponseBody::full(Bytes::new(), ConnectionPhase::default(), None);
+                Step::Response(Box::new(Response::from_parts(response.parts, body)))
             }
         }
     }
 
-    /// Tells the dispatcher that an attempt ended whole.
+    /// Reports a completed attempt to the dispatcher.
     pub(super) fn finish(&self, attempt: AttemptId, output_tokens: u32) {
-        self.route.notify(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens });
+        self.handle.notify(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens });
     }
 }
 
-/// Ends when the dispatcher withdraws an attempt.
-async fn withdrawn(route: &mut RequestHandle, attempt: AttemptId) {
+/// Waits until the dispatcher withdraws an attempt.
+async fn withdrawn(handle: &mut RequestHandle, attempt: AttemptId) {
     loop {
-        if let DispatchDirective::Cancel(cancelled) = route.next().await
+        if let DispatchDirective::Cancel(cancelled) = handle.next().await
             && cancelled == attempt
         {
             return;
@@ -437,7 +442,7 @@
     }
 }
 
-/// The path and query alone, as requests to a server carry them.
+/// Reduces a URI to path and query, as used in requests to origin servers.
 fn origin_form(uri: &http::Uri) -> http::Uri {
     uri.path_and_query()
         .and_then(|path| path.as_str().parse().ok())
--- a/src/reverse_proxy/exchange/logging.rs
+++ b/src/reverse_proxy/exchange/logging.rs
@@ -1,4 +1,4 @@
-//! What the log is told of a request: each sending that failed, and how the request ended.
+//! Log records of a request: failed attempts and the outcome.
 
 use {
     super::HttpExchange,
@@ -32,7 +32,8 @@
         self.request.arrived.elapsed().as_millis() as u64
     }
 
-    /// What a sending was decided by; at debug level, since each request has at least one.
+    /// Logs an attempt with the inputs of its decision; at debug level, because each request has at
+    /// least one attempt.
     pub(super) fn log_send(&self, order: &SendOrder) {
         let work = self.request.caller.work.as_ref();
         let parts = work.map(|work| work.parts.iter().map(|(id, tokens)| format!("{id}:{tokens}")));
@@ -49,7 +50,7 @@
         );
     }
 
-    /// A sending failed after `events` were passed on.
+    /// Logs a failed attempt, after which `events` events were relayed.
     pub(super) fn log_attempt_failure(
         &self,
         order: &SendOrder,
@@ -69,7 +70,7 @@
         );
     }
 
-    /// The request is refused.
+    /// Logs the refusal of the request.
     pub(super) fn log_refusal(&mut self, reason: &str, retry_after: Option<Duration>) {
         self.is_logged = true;
         log::warn!(
@@ -80,12 +81,12 @@
             document = self.request.document,
             sent_to = self.runs,
             waited_ms = self.waited_ms(),
-            retry_after_ms = retry_after.map(|pause| pause.as_millis() as u64);
+            retry_after_ms = retry_after.map(|delay| delay.as_millis() as u64);
             "{}", events::REQUEST_REFUSED
         );
     }
 
-    /// A server's own failure is passed on.
+    /// Logs that a server's error response is passed on.
     pub(super) fn log_passed_failure(&mut self, status: StatusCode) {
         self.is_logged = true;
         log::warn!(
@@ -98,7 +99,7 @@
         );
     }
 
-    /// A whole answer is passed on.
+    /// Logs a complete response and counts it.
     pub(super) fn log_completed(&mut self, server: &ServerId, status: StatusCode) {
         self.count_completed();
         log::info!(
@@ -113,7 +114,7 @@
         );
     }
 
-    /// Counts an answer whose end the log is told of.
+    /// Counts a complete response, whose end the caller of this function logs.
     pub(in crate::reverse_proxy) fn count_completed(&mut self) {
         self.is_logged = true;
         let (class, elapsed) = (self.request.caller.class, self.request.arrived.elapsed());
@@ -121,7 +122,7 @@
         record_response_time(class, elapsed);
     }
 
-    /// A stream that has begun is not finished.
+    /// Logs a stream that has begun and cannot be completed.
     pub(in crate::reverse_proxy) fn log_truncated(
         &mut self,
         order: &SendOrder,
--- a/src/reverse_proxy/headers.rs
+++ b/src/reverse_proxy/headers.rs
@@ -1,9 +1,9 @@
-//! Headers that concern one connection only (RFC 9110, section 7.6.1).
+//! Removal of hop-by-hop headers (RFC 9110, section 7.6.1).
 
 use http::{HeaderMap, HeaderName, header};
 
-/// Headers that are never passed on, whatever `Connection` names.
-const OF_ONE_CONNECTION: [HeaderName; 7] = [
+/// Hop-by-hop headers that are removed even if `Connection` does not list them.
+const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -12,10 +12,10 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
 ];
-/// Two more without a constant in the library.
-const OLD_NAMES: [&str; 2] = ["keep-alive", "proxy-connection"];
+/// Legacy hop-by-hop headers, for which the HTTP library has no constants.
+const LEGACY_HOP_BY_HOP: [&str; 2] = ["keep-alive", "proxy-connection"];
 
-/// Removes what concerns one connection only, what `Connection` names included.
+/// Removes hop-by-hop headers, including those that `Connection` lists.
 pub fn strip_connection(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -24,10 +24,10 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    named.iter().chain(OF_ONE_CONNECTION.iter()).for_each(|name| {
+    named.iter().chain(HOP_BY_HOP.iter()).for_each(|name| {
         headers.remove(name);
     });
-    OLD_NAMES.iter().for_each(|name| {
+    LEGACY_HOP_BY_HOP.iter().for_each(|name| {
         headers.remove(*name);
     });
 }
--- a/src/reverse_proxy/listener.rs
+++ b/src/reverse_proxy/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections and answers on them.
+//! Listener for callers' HTTP connections.
 
 use {
     super::{
@@ -35,34 +35,34 @@
     },
 };
 
-/// The least room for a head; the library takes no less.
-const LEAST_HEAD_BYTES: usize = 8192;
-/// When to come back to another entry while this one stops.
-const STOPPING_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum buffer size for a head; the HTTP library accepts no smaller one.
+const MIN_HEAD_BYTES: usize = 8192;
+/// `Retry-After` while this process drains or is full; another one can serve the caller.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// What a port tells its connections to do.
+/// How the listener's connections are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum PortPhase {
-    /// Go on.
+enum ListenerPhase {
+    /// Connections are kept open.
     Serving,
-    /// End each connection with its next answer; idle ones may still be used.
+    /// Each connection is closed after its next response; idle ones stay open.
     Closing,
-    /// End idle connections now.
+    /// Idle connections are closed at once.
     Ending,
 }
 
-/// The port for callers.
+/// Listener for callers.
 pub struct CallerListener {
     address: SocketAddr,
-    phase: watch::Sender<PortPhase>,
+    phase: watch::Sender<ListenerPhase>,
     task: JoinHandle<()>,
 }
 
 impl CallerListener {
-    /// Listens on `address`; at most `connections` are open at a time.
+    /// Listens on `address` and keeps at most `connections` connections open.
     ///
     /// # Errors
-    /// When the address cannot be listened on.
+    /// The error of binding the address.
     pub async fn start(
         address: SocketAddr,
         core: Arc<ProxyCore>,
@@ -70,29 +70,33 @@
     ) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let (phase, phases) = watch::channel(PortPhase::Serving);
-        let task =
-            tokio::spawn(accept(listener, core, phases, Arc::new(Semaphore::new(connections))));
+        let (phase, listener_phase) = watch::channel(ListenerPhase::Serving);
+        let task = tokio::spawn(accept(
+            listener,
+            core,
+            listener_phase,
+            Arc::new(Semaphore::new(connections)),
+        ));
         Ok(CallerListener { address, phase, task })
     }
 
-    /// Where it listens, with the port that the kernel gave.
+    /// The local address, including a port that the kernel has chosen.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Ends each connection with its next answer. New ones are still taken: whoever sends callers
-    /// here learns only after a while that it should not.
+    /// Closes each connection after its next response. New connections are still accepted, because
+    /// a load balancer needs some time to stop sending callers here.
     pub fn close_after_response(&self) {
-        self.phase.send_replace(PortPhase::Closing);
+        self.phase.send_replace(ListenerPhase::Closing);
     }
 
-    /// Ends idle connections.
+    /// Closes idle connections.
     pub fn close_idle(&self) {
-        self.phase.send_replace(PortPhase::Ending);
+        self.phase.send_replace(ListenerPhase::Ending);
     }
 
-    /// Takes no more connections.
+    /// Stops accepting connections.
     pub fn stop(&self) {
         self.task.abort();
     }
@@ -101,7 +105,7 @@
 async fn accept(
     listener: TcpListener,
     core: Arc<ProxyCore>,
-    phase: watch::Receiver<PortPhase>,
+    phase: watch::Receiver<ListenerPhase>,
     permits: Arc<Semaphore>,
 ) {
     loop {
@@ -114,45 +118,52 @@
 async fn serve(
     stream: TcpStream,
     core: Arc<ProxyCore>,
-    mut phase: watch::Receiver<PortPhase>,
+    mut phase: watch::Receiver<ListenerPhase>,
     _permit: OwnedSemaphorePermit,
 ) {
-    // Events are small writes; waiting to join them would delay each. Failure costs latency only.
+    // Events are small writes, which Nagle's algorithm would delay. A failure only costs latency.
     let _ = stream.set_nodelay(true);
     let limits = core.view().index.as_ref().map(|index| index.table.limits).unwrap_or_default();
-    let between = ConnectionPhase::default();
-    let head_bytes = limits.head_bytes.max(LEAST_HEAD_BYTES);
-    let guard = StreamTimeouts { head: limits.head_time, idle: limits.idle_time, head_bytes };
-    let raw = RawHead::default();
-    let guarded = TimeoutStream::wrap(stream, between.clone(), raw.clone(), guard);
-    let phases = phase.clone();
+    let connection_phase = ConnectionPhase::default();
+    let head_bytes = limits.head_bytes.max(MIN_HEAD_BYTES);
+    let timeouts = StreamTimeouts { head: limits.head_time, idle: limits.idle_time, head_bytes };
+    let raw_head = RawHead::default();
+    let limited = TimeoutStream::wrap(stream, connection_phase.clone(), raw_head.clone(), timeouts);
+    let listener_phase = phase.clone();
     let service = service_fn(move |request: Request<Incoming>| {
-        between.begin_request();
+        connection_phase.begin_request();
         let (head, body) = request.into_parts();
-        let framing = raw.body_framing(&head);
+        let framing = raw_head.body_framing(&head);
         let arrived = ArrivedRequest { head, body, framing };
-        answer(Arc::clone(&core), arrived, limits, between.clone(), phases.clone())
+        respond(
+            Arc::clone(&core),
+            arrived,
+            limits,
+            connection_phase.clone(),
+            listener_phase.clone(),
+        )
     });
     let mut builder = Builder::new();
     builder.max_buf_size(head_bytes);
-    let connection = builder.serve_connection(guarded, service);
+    let connection = builder.serve_connection(limited, service);
     tokio::pin!(connection);
     gauge!(CONNECTIONS).increment(1.0);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = ending(&mut phase) => {
+        () = wait_ending(&mut phase) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
     if let Err(error) = ended {
-        note_end(&error);
+        log_connection_error(&error);
     }
     gauge!(CONNECTIONS).decrement(1.0);
 }
 
-/// Heads that the library refuses by itself never reach the service.
-fn note_end(error: &hyper::Error) {
+/// Logs how a connection failed, and counts heads that the HTTP library has rejected without
+/// calling the service.
+fn log_connection_error(error: &hyper::Error) {
     let refused = match () {
         () if error.is_parse_too_large() => (refusal::TOO_LARGE, 431),
         () if error.is_parse() => (refusal::BAD_REQUEST, 400),
@@ -165,48 +176,49 @@
         "{}", events::REQUEST_REFUSED);
 }
 
-async fn ending(phase: &mut watch::Receiver<PortPhase>) {
-    // A port that is gone ends its connections as well.
-    let _ = phase.wait_for(|phase| *phase >= PortPhase::Ending).await;
+async fn wait_ending(phase: &mut watch::Receiver<ListenerPhase>) {
+    // Dropping the listener ends its connections as well.
+    let _ = phase.wait_for(|phase| *phase >= ListenerPhase::Ending).await;
 }
 
-/// A request as the library hands it over.
+/// A request as received from the HTTP library.
 struct ArrivedRequest {
     head: request::Parts,
     body: Incoming,
     framing: BodyFraming,
 }
 
-async fn answer(
+async fn respond(
     core: Arc<ProxyCore>,
     arrived: ArrivedRequest,
     limits: CallerLimits,
-    between: ConnectionPhase,
-    phase: watch::Receiver<PortPhase>,
+    connection_phase: ConnectionPhase,
+    phase: watch::Receiver<ListenerPhase>,
 ) -> Result<Response<ResponseBody>, Infallible> {
     let ArrivedRequest { head, body, framing } = arrived;
     let id = core.dialect.request_id(&head.headers).to_owned();
-    let outcome = async {
+    let result = async {
         let admitted = admit(&core, head, body, framing, limits).await;
-        let (whole, open) = admitted.inspect_err(|refusal| {
+        let (buffered, open) = admitted.inspect_err(|refusal| {
             count_refusal(refusal.code);
-            // What the caller did wrong is routine: one that does so all day must not crowd out
-            // what failed here.
+            // Client errors are logged at a lower level, so that a misbehaving caller cannot crowd
+            // out the log records of server failures.
             let level = if refusal.status.is_client_error() { Level::Info } else { Level::Warn };
             log::log!(level, request_id = id, reason = refusal.code,
                 status = refusal.status.as_u16(), sent_to = 0; "{}", events::REQUEST_REFUSED);
         })?;
-        exchange::run(Arc::clone(&core), whole, between.clone(), open).await
+        exchange::run(Arc::clone(&core), buffered, connection_phase.clone(), open).await
     };
-    let mut response = outcome.await.unwrap_or_else(|refusal| refused(&core, &refusal, between));
-    // Where the framing cannot be told, nothing that follows on the connection is believed.
-    if *phase.borrow() >= PortPhase::Closing || framing == BodyFraming::Unknown {
+    let mut response =
+        result.await.unwrap_or_else(|refusal| refusal_response(&core, &refusal, connection_phase));
+    // If the framing is unknown, further bytes on the connection cannot be trusted.
+    if *phase.borrow() >= ListenerPhase::Closing || framing == BodyFraming::Unknown {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
 }
 
-/// Lets a request in and reads it whole; nothing was sent to a backend server.
+/// Admits a request and buffers its body. Nothing has been sent to a backend server if it fails.
 async fn admit(
     core: &ProxyCore,
     head: request::Parts,
@@ -218,26 +230,26 @@
         return Err(ProxyRefusal::new(StatusCode::BAD_REQUEST, refusal::BAD_REQUEST));
     }
     let open = core.gate.enter().map_err(|closed| match closed {
-        GateClosed::Draining => stopping(refusal::DRAINING),
-        GateClosed::Full => stopping(refusal::TOO_MANY_OPEN),
+        GateClosed::Draining => unavailable(refusal::DRAINING),
+        GateClosed::Full => unavailable(refusal::TOO_MANY_OPEN),
     })?;
     Ok((read_request(core, head, body, limits).await?, open))
 }
 
-fn stopping(code: &'static str) -> ProxyRefusal {
-    ProxyRefusal::new(StatusCode::SERVICE_UNAVAILABLE, code).after(STOPPING_PAUSE)
+fn unavailable(code: &'static str) -> ProxyRefusal {
+    ProxyRefusal::new(StatusCode::SERVICE_UNAVAILABLE, code).retry_after(STOPPING_RETRY_AFTER)
 }
 
-fn refused(
+fn refusal_response(
     core: &ProxyCore,
     refusal: &ProxyRefusal,
-    between: ConnectionPhase,
+    connection_phase: ConnectionPhase,
 ) -> Response<ResponseBody> {
     let response = core.dialect.refusal(refusal);
     let (mut parts, text) = response.into_parts();
     if matches!(refusal.status.as_u16(), 400 | 408 | 413) {
-        // What is left of the request must not be taken for the next one.
+        // The rest of the request must not be interpreted as the next request.
         parts.headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    Response::from_parts(parts, ResponseBody::whole(Bytes::from(text), between, None))
+    Response::from_parts(parts, ResponseBody::full(Bytes::from(text), connection_phase, None))
 }
--- a/src/reverse_proxy/pool.rs
+++ b/src/reverse_proxy/pool.rs
@@ -1,11 +1,10 @@
-//! Kept connections to backend servers.
+//! Connection pool for backend servers.
 //!
-//! Where each new connection costs a server milliseconds, they are kept. That brings back the
-//! problem that fresh ones avoid: a server may close a kept connection just as a request is written
-//! to it, and nothing tells whether it read the request. So a connection is used again only well
-//! within the time that its server promises to keep it, what must run once gets one that was used
-//! just now or a new one, and only a request of which the library has not begun to write a byte is
-//! sent again.
+//! Connections are reused, because a new one can cost a server milliseconds. A server may however
+//! close an idle connection while a request is written to it, and then it is unknown whether the
+//! server has read the request. Therefore a connection is reused only well within the server's idle
+//! timeout, a non-repeatable request uses only a recently used or a new connection, and a request
+//! is sent again only if the HTTP library has not begun to write it.
 
 use {
     bytes::Bytes,
@@ -31,40 +30,41 @@
     },
 };
 
-/// A server within the region accepts within a few milliseconds, a full one within some tens. A lost
-/// first packet is sent again after a second, so waiting longer than this is waiting for that, while
-/// another server could have answered.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(200);
-/// Bytes that a server did not confirm for so long show that it, or the way to it, is gone: several
-/// round trips and lost packets; a server that works but is silent confirms them.
-const UNCONFIRMED_LIMIT: Duration = Duration::from_millis(1_000);
-/// A connection without traffic is probed after this, so that a server that fell silent while it
-/// worked is found within about two seconds.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// Connections are kept no longer than this where the server does not say how long it keeps them.
-const USUAL_IDLE: Duration = Duration::from_secs(2);
-/// A connection is not used in the last part of the time that its server keeps it: the server's
-/// close may be on its way.
+/// A server in the region accepts within a few milliseconds, an overloaded one within some tens of
+/// them. A longer wait only covers the retransmission of a lost SYN after a second, in which time
+/// another server could have responded.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time without an acknowledgement of sent bytes after which a connection counts as broken. It
+/// covers several round trips and lost packets; a server that is busy still acknowledges bytes.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// TCP keepalive time and interval, so that a server that becomes unresponsive while it processes a
+/// request is detected within about two seconds.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum idle time of connections to servers that do not report their idle timeout.
+const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(2);
+/// Part of a server's idle timeout in which a connection is no longer used, because the server may
+/// already be closing it.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// What must run once goes out on a connection that was idle no longer than this, or a new one.
-const ONCE_IDLE: Duration = Duration::from_millis(400);
-/// Idle connections kept for one server; more are closed.
+/// Maximum idle time of a connection that is reused for a non-repeatable request.
+const NON_REPEATABLE_IDLE_LIMIT: Duration = Duration::from_millis(400);
+/// Maximum number of idle connections per server; more are closed.
 const MAX_IDLE: usize = 48;
-/// Addresses with connections: several times the servers that one entry speaks to.
+/// Maximum number of addresses with connections: several times the servers of a proxy process.
 const MAX_ADDRESSES: usize = 4_096;
-/// A kept connection that the library has not yet made ready for another request is given this.
-const READY_WAIT: Duration = Duration::from_millis(2);
-/// Heads of answers fit in; events are a few hundred bytes, and each open stream holds one.
+/// How long to wait until the HTTP library is ready to reuse an idle connection.
+const READY_TIMEOUT: Duration = Duration::from_millis(2);
+/// Size of a read buffer, of which each open stream has one. Response heads fit in; events are a
+/// few hundred bytes.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
 type RequestSender = SendRequest<Full<Bytes>>;
 
-/// Why there is no answer's head.
+/// Reason for which a request got no response head.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum PoolError {
-    /// no connection was made, and not a byte was sent
+    /// the connection could not be established, and no byte was sent
     NotConnected,
-    /// as many connections are open to the server as may be, and not a byte was sent
+    /// the connection limit of the server is reached, and no byte was sent
     Full,
     /// the connection broke after bytes were sent; the server may have run the request
     Broken,
@@ -72,147 +72,160 @@
 
 impl std::error::Error for PoolError {}
 
-/// A connection that carries one exchange; dropping it closes it.
+/// A connection that is in use by one request; dropping it closes the connection.
 pub struct LeasedConnection {
     sender: RequestSender,
-    task: JoinHandle<()>,
+    driver: JoinHandle<()>,
     address: SocketAddr,
     pool: Option<ConnectionPool>,
 }
 
 impl Drop for LeasedConnection {
     fn drop(&mut self) {
-        // A server must see at once that nobody waits, or it works for nobody.
-        self.task.abort();
+        // The connection is closed at once, so that the server stops working on an abandoned
+        // request.
+        self.driver.abort();
         if let Some(pool) = &self.pool {
-            pool.note_closed(self.address);
+            pool.release_slot(self.address);
         }
     }
 }
 
 impl LeasedConnection {
-    /// Keeps the connection for another exchange; the answer's body must have been read whole.
-    pub fn keep(mut self, idle_limit: Option<Duration>) {
-        let limit = idle_limit.map_or(USUAL_IDLE, |limit| limit.saturating_sub(IDLE_MARGIN));
+    /// Returns the connection to the pool for reuse; the response body must have been read to its
+    /// end.
+    pub fn return_to_pool(mut self, idle_limit: Option<Duration>) {
+        let limit =
+            idle_limit.map_or(DEFAULT_IDLE_LIMIT, |limit| limit.saturating_sub(IDLE_MARGIN));
         if self.sender.is_closed() || limit.is_zero() {
             return;
         }
         if let Some(pool) = self.pool.take() {
-            let until = Instant::now() + limit;
-            pool.store(IdleConnection { leased: self, since: Instant::now(), until });
+            let expires = Instant::now() + limit;
+            pool.store_idle(IdleConnection {
+                connection: self,
+                idle_since: Instant::now(),
+                expires,
+            });
         }
     }
 }
 
 struct IdleConnection {
-    /// Without its pool, which would be a circle.
-    leased: LeasedConnection,
-    since: Instant,
-    until: Instant,
+    /// Its `pool` is `None`, which avoids a reference cycle.
+    connection: LeasedConnection,
+    idle_since: Instant,
+    expires: Instant,
 }
 
 #[derive(Default)]
 struct AddressPool {
-    /// The one used last comes last; at most [`MAX_IDLE`].
+    /// Idle connections, with the most recently used one last; at most [`MAX_IDLE`].
     idle: Vec<IdleConnection>,
-    /// Open connections, idle ones included.
+    /// Number of open connections, including idle ones.
     open: u32,
 }
 
-/// The connections of one daemon; clones share them.
+/// The connections of a process; clones share them.
 #[derive(Clone, Default)]
 pub struct ConnectionPool {
-    /// At most [`MAX_ADDRESSES`].
+    /// At most [`MAX_ADDRESSES`] entries.
     addresses: Arc<Mutex<BTreeMap<SocketAddr, AddressPool>>>,
 }
 
 impl ConnectionPool {
-    /// Sends a request and waits for the answer's head. `once` says that it must not run twice, and
-    /// `most` how many connections this daemon may hold open to the server.
+    /// Sends a request and waits for the head of the response. A `non_repeatable` request uses only
+    /// new or recently used connections. `connection_limit` is the maximum number of connections of
+    /// this process to the server.
     ///
     /// # Errors
-    /// All but [`PoolError::Broken`] promise that not a byte was sent.
+    /// All errors except [`PoolError::Broken`] guarantee that no byte was sent.
     pub async fn send(
         &self,
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
-        once: bool,
-        most: u32,
+        non_repeatable: bool,
+        connection_limit: u32,
     ) -> Result<(Response<Incoming>, LeasedConnection), PoolError> {
-        while let Some(mut leased) = self.take_idle(address, once).await {
-            match leased.sender.try_send_request(request).await {
-                Ok(response) => return Ok((response, leased)),
+        while let Some(mut connection) = self.take_idle(address, non_repeatable).await {
+            match connection.sender.try_send_request(request).await {
+                Ok(response) => return Ok((response, connection)),
                 Err(mut error) => match error.take_message() {
-                    // The library gives back only what it has not begun to write.
+                    // The HTTP library returns only requests that it has not begun to write.
                     Some(unsent) => request = unsent,
                     None => {
                         log::debug!(address:% = address, error:% = error.error();
-                            "a kept connection broke");
+                            "a reused connection broke");
                         return Err(PoolError::Broken);
                     }
                 },
             }
         }
-        let mut leased = self.connect(address, most).await?;
-        match leased.sender.try_send_request(request).await {
-            Ok(response) => Ok((response, leased)),
+        let mut connection = self.connect(address, connection_limit).await?;
+        match connection.sender.try_send_request(request).await {
+            Ok(response) => Ok((response, connection)),
             Err(mut error) => {
-                log::debug!(address:% = address, error:% = error.error(); "an exchange broke");
+                log::debug!(address:% = address, error:% = error.error(); "a new connection broke");
                 let unsent = error.take_message().is_some();
                 Err(if unsent { PoolError::NotConnected } else { PoolError::Broken })
             }
         }
     }
 
-    /// Opens a connection and keeps it, to see whether a server is there.
+    /// Checks whether a server is reachable by opening a connection, which is added to the pool.
     pub async fn probe(&self, address: SocketAddr) -> bool {
         match self.connect(address, u32::MAX).await {
-            Ok(leased) => {
-                leased.keep(None);
+            Ok(connection) => {
+                connection.return_to_pool(None);
                 true
             }
             Err(_) => false,
         }
     }
 
-    /// Closes idle connections that are past their time or whose address is not in use.
+    /// Closes idle connections that have expired or whose address is not in `used`.
     pub fn close_unused(&self, used: &BTreeSet<SocketAddr>) {
         let now = Instant::now();
-        let mut dropped = Vec::new();
+        let mut closed_connections = Vec::new();
         let mut addresses = self.lock();
         for (address, entry) in addresses.iter_mut() {
             let known = used.contains(address);
-            let (kept, gone): (Vec<_>, Vec<_>) =
-                entry.idle.drain(..).partition(|idle| known && now < idle.until);
-            entry.open = entry.open.saturating_sub(gone.len() as u32);
+            let (kept, closed): (Vec<_>, Vec<_>) =
+                entry.idle.drain(..).partition(|idle| known && now < idle.expires);
+            entry.open = entry.open.saturating_sub(closed.len() as u32);
             entry.idle = kept;
-            dropped.extend(gone);
+            closed_connections.extend(closed);
         }
         addresses.retain(|_, entry| entry.open > 0);
     }
 
-    async fn take_idle(&self, address: SocketAddr, once: bool) -> Option<LeasedConnection> {
+    async fn take_idle(
+        &self,
+        address: SocketAddr,
+        non_repeatable: bool,
+    ) -> Option<LeasedConnection> {
         loop {
-            let mut leased = self.pop_idle(address, once)?;
-            leased.pool = Some(self.clone());
-            if matches!(timeout(READY_WAIT, leased.sender.ready()).await, Ok(Ok(()))) {
-                return Some(leased);
+            let mut connection = self.pop_idle(address, non_repeatable)?;
+            connection.pool = Some(self.clone());
+            if matches!(timeout(READY_TIMEOUT, connection.sender.ready()).await, Ok(Ok(()))) {
+                return Some(connection);
             }
         }
     }
 
-    fn pop_idle(&self, address: SocketAddr, once: bool) -> Option<LeasedConnection> {
+    fn pop_idle(&self, address: SocketAddr, non_repeatable: bool) -> Option<LeasedConnection> {
         let now = Instant::now();
         let mut addresses = self.lock();
         let entry = addresses.get_mut(&address)?;
         while let Some(idle) = entry.idle.pop() {
-            let young = !once || now < idle.since + ONCE_IDLE;
-            let usable = now < idle.until && !idle.leased.sender.is_closed();
-            if usable && young {
-                return Some(idle.leased);
+            let fresh = !non_repeatable || now < idle.idle_since + NON_REPEATABLE_IDLE_LIMIT;
+            let usable = now < idle.expires && !idle.connection.sender.is_closed();
+            if usable && fresh {
+                return Some(idle.connection);
             }
             if usable {
-                // Too old for this request, and so are all below it.
+                // The connection has been idle for too long for this request, and so have all
+                // before it.
                 entry.idle.push(idle);
                 return None;
             }
@@ -221,46 +234,50 @@
         None
     }
 
-    async fn connect(&self, address: SocketAddr, most: u32) -> Result<LeasedConnection, PoolError> {
-        self.note_opening(address, most)?;
-        match timeout(CONNECT_LIMIT, open(address)).await {
-            Ok(Ok((sender, task))) => {
-                Ok(LeasedConnection { sender, task, address, pool: Some(self.clone()) })
+    async fn connect(
+        &self,
+        address: SocketAddr,
+        connection_limit: u32,
+    ) -> Result<LeasedConnection, PoolError> {
+        self.reserve_slot(address, connection_limit)?;
+        match timeout(CONNECT_TIMEOUT, open(address)).await {
+            Ok(Ok((sender, driver))) => {
+                Ok(LeasedConnection { sender, driver, address, pool: Some(self.clone()) })
             }
             failed => {
-                self.note_closed(address);
+                self.release_slot(address);
                 let reason = match failed {
                     Ok(Err(error)) => error.to_string(),
-                    _ => "no answer".to_owned(),
+                    _ => "timed out".to_owned(),
                 };
-                log::debug!(address:% = address, reason = reason.as_str(); "not connected");
+                log::debug!(address:% = address, reason = reason.as_str(); "failed to connect");
                 Err(PoolError::NotConnected)
             }
         }
     }
 
-    fn note_opening(&self, address: SocketAddr, most: u32) -> Result<(), PoolError> {
+    fn reserve_slot(&self, address: SocketAddr, connection_limit: u32) -> Result<(), PoolError> {
         let mut addresses = self.lock();
         if addresses.len() >= MAX_ADDRESSES && !addresses.contains_key(&address) {
             return Err(PoolError::Full);
         }
         let entry = addresses.entry(address).or_default();
-        if entry.open >= most && entry.idle.pop().is_none() {
+        if entry.open >= connection_limit && entry.idle.pop().is_none() {
             return Err(PoolError::Full);
         }
-        entry.open = entry.open.min(most.saturating_sub(1)) + 1;
+        entry.open = entry.open.min(connection_limit.saturating_sub(1)) + 1;
         Ok(())
     }
 
-    fn note_closed(&self, address: SocketAddr) {
+    fn release_slot(&self, address: SocketAddr) {
         if let Some(entry) = self.lock().get_mut(&address) {
             entry.open = entry.open.saturating_sub(1);
         }
     }
 
-    fn store(&self, idle: IdleConnection) {
+    fn store_idle(&self, idle: IdleConnection) {
         let mut addresses = self.lock();
-        let Some(entry) = addresses.get_mut(&idle.leased.address) else { return };
+        let Some(entry) = addresses.get_mut(&idle.connection.address) else { return };
         if entry.idle.len() >= MAX_IDLE {
             entry.open = entry.open.saturating_sub(1);
             return;
@@ -277,18 +294,19 @@
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let socket = SockRef::from(&stream);
-    socket.set_tcp_user_timeout(Some(UNCONFIRMED_LIMIT))?;
-    let probes = TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_AFTER);
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
+    let probes =
+        TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&probes)?;
     let (sender, connection) = Builder::new()
         .read_buf_exact_size(Some(READ_BUFFER_BYTES))
         .handshake(TokioIo::new(stream))
         .await
         .map_err(std::io::Error::other)?;
-    let task = tokio::spawn(async move {
+    let driver = tokio::spawn(async move {
         if let Err(error) = connection.await {
             log::debug!(error:% = error; "a connection to a backend server ended");
         }
     });
-    Ok((sender, task))
+    Ok((sender, driver))
 }
--- a/src/reverse_proxy/raw_head.rs
+++ b/src/reverse_proxy/raw_head.rs
@@ -1,40 +1,44 @@
-//! The head of a request as its bytes came, to see a body that is framed in two ways.
+//! Raw bytes of request heads, to detect request smuggling by conflicting body framing.
 //!
-//! The HTTP library drops a `Content-Length` that follows a `Transfer-Encoding`, so the service above
-//! it cannot tell that a caller announced both. A proxy before this one may have believed the length
-//! and taken the rest of the body for the next caller's request. The guard below the library keeps
-//! the bytes of the head that is awaited, and the service looks at them.
+//! The HTTP library drops a `Content-Length` that follows a `Transfer-Encoding`, so that the
+//! service above it cannot see that a request has both. A proxy in front of this one may have used
+//! the length and interpreted the rest of the body as another caller's request. Therefore the
+//! stream below the library keeps the bytes of the next head, and the service checks them.
 
 use {
     http::{header, request},
     std::sync::{Arc, Mutex, PoisonError},
 };
 
-/// What the head of a request says of the length of its body.
+/// How the head of a request frames its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// One length, or none.
+    /// At most one of `Content-Length` and `Transfer-Encoding`.
     Single,
-    /// Both a length and chunks: whoever reads the one sees other requests than who reads the other.
+    /// Both `Content-Length` and `Transfer-Encoding`: recipients that use different ones disagree
+    /// on where the next request begins.
     Conflicting,
-    /// Chunks, and the bytes of the head were not kept: they came while an earlier request of the
-    /// connection was served. Whether there was a length as well cannot be told.
+    /// `Transfer-Encoding`, and the bytes of the head were not kept, because they arrived while an
+    /// earlier request of the connection was processed. Whether there was a `Content-Length` as
+    /// well is unknown.
     Unknown,
 }
 
-/// The bytes of the head that a connection awaits, shared by the guard and the service above it.
+/// The bytes of the next head of a connection, shared by the stream and the service above it.
 #[derive(Clone, Debug, Default)]
 pub struct RawHead(Arc<Mutex<Vec<u8>>>);
 
 impl RawHead {
-    /// Keeps bytes of a head that has not ended, `most` in all. The library refuses longer heads.
-    pub fn push(&self, bytes: &[u8], most: usize) {
+    /// Appends bytes of an incomplete head, up to a total of `max_bytes`. The HTTP library rejects
+    /// longer heads.
+    pub fn push(&self, bytes: &[u8], max_bytes: usize) {
         let mut kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let room = most.saturating_sub(kept.len());
+        let room = max_bytes.saturating_sub(kept.len());
         kept.extend_from_slice(&bytes[..bytes.len().min(room)]);
     }
 
-    /// Judges the request that the library made of these bytes, and forgets them.
+    /// Determines the framing of the request that the library parsed from these bytes, and clears
+    /// them.
     pub fn body_framing(&self, head: &request::Parts) -> BodyFraming {
         let bytes = std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner));
         if !head.headers.contains_key(header::TRANSFER_ENCODING) {
--- a/src/reverse_proxy/recheck.rs
+++ b/src/reverse_proxy/recheck.rs
@@ -1,8 +1,8 @@
-//! Looks whether a server is back after a connection to it broke.
+//! Probes servers after a connection failure until they are reachable again.
 //!
-//! The dispatcher gives a server whose connection broke nothing until it shows a sign of life. A
-//! server that died stays on the list for seconds, so the list is no such sign; an accepted
-//! connection is, and it costs less than a request that fails.
+//! The dispatcher sends no requests to a server after a connection failure until a health check
+//! succeeds. The server list is no such check, because a crashed server remains listed for seconds.
+//! An accepted connection is one, and it costs less than a failed request.
 
 use {
     super::core::ProxyCore,
@@ -15,43 +15,44 @@
     tokio::time::{Instant, sleep},
 };
 
-/// Before the first look: a server that was restarted is not back sooner.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-/// After an answer that contradicts the list: the list is read once a second.
-const LIST_PAUSE: Duration = Duration::from_secs(1);
-/// Between two looks at a server that does not answer.
-const NEXT_PAUSE: Duration = Duration::from_millis(700);
-/// Looks at one server; after them the list has long dropped it, or asks for it anew.
-const MOST_LOOKS: usize = 16;
+/// Delay before the first probe; restarting a server takes at least this long.
+const FIRST_DELAY: Duration = Duration::from_millis(200);
+/// Delay after a response that contradicts the server list, which is refreshed once a second.
+const REFRESH_DELAY: Duration = Duration::from_secs(1);
+/// Interval between probes of an unreachable server.
+const PROBE_INTERVAL: Duration = Duration::from_millis(700);
+/// Maximum number of probes of a server. By then the server list no longer contains it, or the
+/// dispatcher has requested a new probe.
+const MAX_PROBES: usize = 16;
 
-/// Servers that are looked at now; each at most once, so it is bounded by the view.
+/// Servers that are being probed. Each is listed once, so that the view bounds their number.
 #[derive(Default)]
 pub struct RecheckList(Mutex<BTreeSet<ServerId>>);
 
 impl ProxyCore {
-    /// Looks after a server whose connection broke until it answers or leaves the list.
+    /// Probes a server after a connection failure until it is reachable or no longer listed.
     pub fn recheck(self: &Arc<Self>, server: &ServerId) {
-        self.recheck_after(server, FIRST_PAUSE);
+        self.recheck_after(server, FIRST_DELAY);
     }
 
-    /// Looks after a server that was not the one, or had not the weights, that the list told: by
-    /// then the list tells more.
-    pub fn recheck_later(self: &Arc<Self>, server: &ServerId) {
-        self.recheck_after(server, LIST_PAUSE);
+    /// Probes a server whose identity or weights differ from the server list, after the list has
+    /// been refreshed.
+    pub fn recheck_after_refresh(self: &Arc<Self>, server: &ServerId) {
+        self.recheck_after(server, REFRESH_DELAY);
     }
 
-    fn recheck_after(self: &Arc<Self>, server: &ServerId, pause: Duration) {
+    fn recheck_after(self: &Arc<Self>, server: &ServerId, delay: Duration) {
         let mut servers = self.recheck.0.lock().unwrap_or_else(PoisonError::into_inner);
         if servers.insert(server.clone()) {
             log::warn!(server = server.as_str(); "{}", events::SERVER_LOST);
-            tokio::spawn(Arc::clone(self).run_recheck(server.clone(), pause));
+            tokio::spawn(Arc::clone(self).run_recheck(server.clone(), delay));
         }
     }
 
-    async fn run_recheck(self: Arc<Self>, server: ServerId, pause: Duration) {
+    async fn run_recheck(self: Arc<Self>, server: ServerId, delay: Duration) {
         let since = Instant::now();
-        sleep(pause).await;
-        for _ in 0..MOST_LOOKS {
+        sleep(delay).await;
+        for _ in 0..MAX_PROBES {
             let view = self.view();
             let Some(listed) = view.servers.get(&server) else { break };
             if self.pool.probe(listed.address).await {
@@ -60,12 +61,12 @@
                 self.dispatcher.notify(view.health_input(listed));
                 break;
             }
-            sleep(NEXT_PAUSE).await;
+            sleep(PROBE_INTERVAL).await;
         }
         self.recheck.0.lock().unwrap_or_else(PoisonError::into_inner).remove(&server);
     }
 
-    /// Answers the dispatcher's question for a sign of life.
+    /// Runs a health check for the dispatcher and reports its result.
     pub async fn probe(&self, server: ServerId) {
         let address = self.view().servers.get(&server).map(|listed| listed.address);
         let answered = match address {
--- a/src/reverse_proxy/relay.rs
+++ b/src/reverse_proxy/relay.rs
@@ -1,12 +1,12 @@
-//! Passes a stream of events on as it arrives, and goes on at another server where it may.
+//! Relays event streams to callers and resumes interrupted streams at another server.
 //!
-//! Where another server can go on after a given event, only whole events are passed on, so that the
-//! two parts fit together without a gap or a piece sent twice. Other streams pass as bytes.
+//! If a stream can be resumed, only complete events are relayed, so that the events of two servers
+//! join without a gap or a duplicate. Other streams are relayed as bytes.
 
 use {
     super::{
         dialect::ResponseHead,
-        exchange::{HttpExchange, ResumeFrom},
+        exchange::{HttpExchange, ResumePosition},
         pool::LeasedConnection,
         response::TruncatedResponse,
     },
@@ -24,152 +24,160 @@
     tokio::time::sleep_until,
 };
 
-/// The longest event; a longer one is passed on in pieces and the stream is not resumed.
-const EVENT_BYTES: usize = 256 * 1024;
+/// Maximum length of an event. A longer event is relayed in parts and the stream is not resumed.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// A stream whose first bytes have arrived.
 pub(super) struct StreamStart {
     pub parts: response::Parts,
     pub head: ResponseHead,
     pub body: Incoming,
-    pub leased: LeasedConnection,
+    pub connection: LeasedConnection,
     pub first: Bytes,
     pub order: SendOrder,
 }
 
-/// A stream on its way to the caller.
+/// A stream that is relayed to the caller.
 pub(super) struct RelayedStream {
     exchange: HttpExchange,
     order: SendOrder,
-    /// The server's answer; `None` once it has ended.
+    /// The body of the current server's response; `None` once it has ended.
     source: Option<(Incoming, LeasedConnection)>,
     head: ResponseHead,
-    /// Bytes that wait to be passed on.
-    arrived: Option<Bytes>,
-    /// An event that has not ended; only where the stream can be resumed, and within bounds.
-    partial: BytesMut,
+    /// Received bytes that have not been relayed yet.
+    received: Option<Bytes>,
+    /// The beginning of an incomplete event, of at most [`MAX_EVENT_BYTES`]; used only if the
+    /// stream can be resumed.
+    incomplete: BytesMut,
     resumable: bool,
-    from: ResumeFrom,
-    is_over: bool,
-    pace: StreamPace,
+    position: ResumePosition,
+    is_finished: bool,
+    timing: StreamTiming,
 }
 
-/// When a stream's pieces came.
-struct StreamPace {
+/// Arrival times of the data of a stream.
+struct StreamTiming {
     first: Duration,
-    latest: Instant,
-    longest_pause: Duration,
+    last_arrival: Instant,
+    longest_gap: Duration,
 }
 
-impl StreamPace {
-    fn begin(arrived: Instant) -> Self {
-        let latest = Instant::now();
-        StreamPace { first: latest - arrived, latest, longest_pause: Duration::ZERO }
+impl StreamTiming {
+    fn begin(received: Instant) -> Self {
+        let last_arrival = Instant::now();
+        StreamTiming { first: last_arrival - received, last_arrival, longest_gap: Duration::ZERO }
     }
 
-    fn note(&mut self) {
+    fn record_arrival(&mut self) {
         let now = Instant::now();
-        self.longest_pause = self.longest_pause.max(now - self.latest);
-        self.latest = now;
+        self.longest_gap = self.longest_gap.max(now - self.last_arrival);
+        self.last_arrival = now;
     }
 }
 
 impl RelayedStream {
     pub(super) fn new(exchange: HttpExchange, start: StreamStart) -> Self {
-        let StreamStart { head, body, leased, first, order, .. } = start;
+        let StreamStart { head, body, connection, first, order, .. } = start;
         exchange
-            .route
+            .handle
             .notify(PolicyInput::FirstToken { attempt: order.attempt, cached_tokens: None });
-        let pace = StreamPace::begin(exchange.request.arrived);
+        let timing = StreamTiming::begin(exchange.request.arrived);
         let caller = &exchange.request.caller;
         if let Some(work) = &caller.work {
-            record_first_token(work.model.as_str(), caller.class, pace.first);
+            record_first_token(work.model.as_str(), caller.class, timing.first);
         }
         RelayedStream {
             resumable: exchange.request.caller.route.kind.is_repeatable(),
-            from: ResumeFrom { weights: head.weights, ..ResumeFrom::default() },
+            position: ResumePosition { weights: head.weights, ..ResumePosition::default() },
             exchange,
             order,
-            source: Some((body, leased)),
+            source: Some((body, connection)),
             head,
-            arrived: Some(first),
-            partial: BytesMut::new(),
-            is_over: false,
-            pace,
+            received: Some(first),
+            incomplete: BytesMut::new(),
+            is_finished: false,
+            timing,
         }
     }
 
-    /// The stream in the form of a body. Dropping it ends the request: the caller has left.
-    pub(super) fn into_pieces(self) -> BoxStream<'static, Result<Bytes, TruncatedResponse>> {
+    /// Converts the stream into chunks of a response body. Dropping them ends the request, because
+    /// the caller has disconnected.
+    pub(super) fn into_chunks(self) -> BoxStream<'static, Result<Bytes, TruncatedResponse>> {
         stream::unfold(self, |mut relay| async move {
-            let piece = relay.next().await?;
-            Some((piece, relay))
+            let chunk = relay.next().await?;
+            Some((chunk, relay))
         })
         .boxed()
     }
 
     async fn next(&mut self) -> Option<Result<Bytes, TruncatedResponse>> {
         loop {
-            if self.is_over {
+            if self.is_finished {
                 return None;
             }
-            if let Some(bytes) = self.arrived.take() {
-                let ready = self.whole_events(bytes);
+            if let Some(bytes) = self.received.take() {
+                let ready = self.complete_events(bytes);
                 if !ready.is_empty() {
                     return Some(Ok(ready));
                 }
             }
             match self.read().await {
-                Ok(Some(bytes)) => self.arrived = Some(bytes),
+                Ok(Some(bytes)) => self.received = Some(bytes),
                 Ok(None) => {
-                    self.is_over = true;
-                    let rest = std::mem::take(&mut self.partial).freeze();
+                    self.is_finished = true;
+                    let rest = std::mem::take(&mut self.incomplete).freeze();
                     return (!rest.is_empty()).then_some(Ok(rest));
                 }
-                Err(cut) => {
-                    self.is_over = true;
-                    return Some(Err(cut));
+                Err(error) => {
+                    self.is_finished = true;
+                    return Some(Err(error));
                 }
             }
         }
     }
 
-    /// The next bytes of the present server, or of the one that goes on for it.
+    /// Reads the next bytes from the current server, or from the one that resumes the stream.
     async fn read(&mut self) -> Result<Option<Bytes>, TruncatedResponse> {
-        let ends = self.exchange.request.ends;
+        let deadline = self.exchange.request.deadline;
         let Some((body, _)) = &mut self.source else { return Ok(None) };
         let frame = tokio::select! {
             frame = body.frame() => frame,
-            () = sleep_until(ends.into()) => {
-                self.exchange.log_truncated(&self.order, RefusalReason::DeadlinePassed, self.from.events);
-                return Err(TruncatedResponse::TimeOver);
+            () = sleep_until(deadline.into()) => {
+                self.exchange.log_truncated(
+                    &self.order,
+                    RefusalReason::DeadlinePassed,
+                    self.position.events,
+                );
+                return Err(TruncatedResponse::DeadlinePassed);
             }
         };
         match frame {
             Some(Ok(frame)) => {
-                self.pace.note();
+                self.timing.record_arrival();
                 Ok(Some(frame.into_data().unwrap_or_default()))
             }
             None => {
                 let ended = self.source.take();
                 self.exchange.count_completed();
-                self.log_end();
-                self.exchange.finish(self.order.attempt, self.from.events);
-                ended.into_iter().for_each(|(_, leased)| leased.keep(self.head.idle_limit));
+                self.log_completed_stream();
+                self.exchange.finish(self.order.attempt, self.position.events);
+                ended
+                    .into_iter()
+                    .for_each(|(_, connection)| connection.return_to_pool(self.head.idle_limit));
                 Ok(None)
             }
             Some(Err(error)) => {
-                log::debug!(error:% = error; "a stream broke");
+                log::debug!(error:% = error; "a backend server's stream broke");
                 self.source = None;
-                self.partial.clear();
-                self.go_on().await.map(Some)
+                self.incomplete.clear();
+                self.resume().await.map(Some)
             }
         }
     }
 
-    fn log_end(&self) {
+    fn log_completed_stream(&self) {
         let request = &self.exchange.request;
-        let weights = self.from.weights.map(|version| version.to_string());
+        let weights = self.position.weights.map(|version| version.to_string());
         log::info!(
             request_id = request.caller.id.as_str(),
             route = request.caller.route.name.as_str(),
@@ -177,46 +185,54 @@
             document = request.document,
             weights = weights.as_deref(),
             sent_to = self.exchange.runs,
-            first_event_ms = self.pace.first.as_millis() as u64,
-            longest_pause_ms = self.pace.longest_pause.as_millis() as u64,
+            first_event_ms = self.timing.first.as_millis() as u64,
+            longest_pause_ms = self.timing.longest_gap.as_millis() as u64,
             total_ms = self.exchange.waited_ms(),
             expected_hit = self.order.expected_hit,
-            relayed_events = self.from.events;
+            relayed_events = self.position.events;
             "{}", events::STREAM_WHOLE
         );
     }
 
-    /// Lets another server go on after the last event that was passed on.
-    async fn go_on(&mut self) -> Result<Bytes, TruncatedResponse> {
+    /// Resumes the stream at another server after the last relayed event.
+    async fn resume(&mut self) -> Result<Bytes, TruncatedResponse> {
         let exchange = &mut self.exchange;
         exchange.core.recheck(&self.order.server);
-        exchange.report(&self.order, AttemptFailure::Broken, &self.from, None);
-        if !self.resumable || !exchange.may_run_again() || self.from.event.is_none() {
-            exchange.log_truncated(&self.order, RefusalReason::ServerFailed, self.from.events);
+        exchange.report(&self.order, AttemptFailure::Broken, &self.position, None);
+        if !self.resumable || !exchange.may_run_again() || self.position.event.is_none() {
+            exchange.log_truncated(&self.order, RefusalReason::ServerFailed, self.position.events);
             return Err(TruncatedResponse::BackendFailed);
         }
         loop {
             let directive = tokio::select! {
-                directive = exchange.route.next() => directive,
-                () = sleep_until(exchange.request.ends.into()) => {
-                    exchange.log_truncated(&self.order, RefusalReason::DeadlinePassed, self.from.events);
-                    return Err(TruncatedResponse::TimeOver);
+                directive = exchange.handle.next() => directive,
+                () = sleep_until(exchange.request.deadline.into()) => {
+                    exchange.log_truncated(
+                        &self.order,
+                        RefusalReason::DeadlinePassed,
+                        self.position.events,
+                    );
+                    return Err(TruncatedResponse::DeadlinePassed);
                 }
             };
             let order = match directive {
                 DispatchDirective::Send(order) => *order,
                 DispatchDirective::Cancel(_) => continue,
                 DispatchDirective::Refuse { reason, .. } => {
-                    exchange.log_truncated(&self.order, reason, self.from.events);
+                    exchange.log_truncated(&self.order, reason, self.position.events);
                     return Err(TruncatedResponse::BackendFailed);
                 }
             };
-            let begun = exchange.begin(&order, &self.from).await;
-            let answer = match begun {
-                Ok(answer) if answer.parts.status.is_success() => answer,
+            let started = exchange.begin(&order, &self.position).await;
+            let response = match started {
+                Ok(response) if response.parts.status.is_success() => response,
                 Ok(_) => {
-                    exchange.report(&order, AttemptFailure::ServerError, &self.from, None);
-                    exchange.log_truncated(&order, RefusalReason::ServerFailed, self.from.events);
+                    exchange.report(&order, AttemptFailure::ServerError, &self.position, None);
+                    exchange.log_truncated(
+                        &order,
+                        RefusalReason::ServerFailed,
+                        self.position.events,
+                    );
                     return Err(TruncatedResponse::BackendFailed);
                 }
                 Err(
@@ -226,61 +242,65 @@
                 }
                 Err(_) if exchange.may_run_again() => continue,
                 Err(_) => {
-                    exchange.log_truncated(&order, RefusalReason::ServerFailed, self.from.events);
+                    exchange.log_truncated(
+                        &order,
+                        RefusalReason::ServerFailed,
+                        self.position.events,
+                    );
                     return Err(TruncatedResponse::BackendFailed);
                 }
             };
             log::warn!(request_id = exchange.request.caller.id.as_str(),
-                server = order.server.as_str(), relayed_events = self.from.events;
+                server = order.server.as_str(), relayed_events = self.position.events;
                 "{}", events::STREAM_RESUMED);
             let attempt = order.attempt;
-            exchange.route.notify(PolicyInput::FirstToken { attempt, cached_tokens: None });
-            self.head = answer.head;
-            self.source = Some((answer.body, answer.leased));
+            exchange.handle.notify(PolicyInput::FirstToken { attempt, cached_tokens: None });
+            self.head = response.head;
+            self.source = Some((response.body, response.connection));
             self.order = order;
             return Ok(Bytes::new());
         }
     }
 
-    /// The whole events among what has arrived; the rest waits for its end.
-    fn whole_events(&mut self, bytes: Bytes) -> Bytes {
+    /// Adds received bytes and returns all complete events; an incomplete one is kept.
+    fn complete_events(&mut self, bytes: Bytes) -> Bytes {
         if !self.resumable {
-            self.from.events += 1;
+            self.position.events += 1;
             return bytes;
         }
-        self.partial.extend_from_slice(&bytes);
-        let Some(end) = last_event_end(&self.partial) else {
-            if self.partial.len() > EVENT_BYTES {
+        self.incomplete.extend_from_slice(&bytes);
+        let Some(end) = last_event_end(&self.incomplete) else {
+            if self.incomplete.len() > MAX_EVENT_BYTES {
                 self.resumable = false;
-                return std::mem::take(&mut self.partial).freeze();
+                return std::mem::take(&mut self.incomplete).freeze();
             }
             return Bytes::new();
         };
-        let whole = self.partial.split_to(end).freeze();
-        for event in split_events(&whole) {
+        let complete = self.incomplete.split_to(end).freeze();
+        for event in split_events(&complete) {
             let (id, weights) = self.exchange.core.dialect.read_event(event);
-            self.from.events += 1;
-            self.from.event = id.or(self.from.event.take());
-            self.from.weights = weights.or(self.from.weights);
+            self.position.events += 1;
+            self.position.event = id.or(self.position.event.take());
+            self.position.weights = weights.or(self.position.weights);
         }
-        whole
+        complete
     }
 }
 
-/// Where the last whole event ends: after an empty line.
+/// The end of the last complete event, which is after an empty line.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
-    let plain = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
-    let returns = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| at + 4);
-    plain.max(returns)
+    let lf = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
+    let crlf = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| at + 4);
+    lf.max(crlf)
 }
 
 fn split_events(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut rest = bytes;
     std::iter::from_fn(move || {
-        let plain = rest.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
-        let returns = rest.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4);
-        let end = match (plain, returns) {
-            (Some(plain), Some(returns)) => plain.min(returns),
+        let lf = rest.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
+        let crlf = rest.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4);
+        let end = match (lf, crlf) {
+            (Some(lf), Some(crlf)) => lf.min(crlf),
             (found, None) | (None, found) => found?,
         };
         let (event, after) = rest.split_at(end);
--- a/src/reverse_proxy/request.rs
+++ b/src/reverse_proxy/request.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request: its head by the dialect, its body within the limits.
+//! Reads callers' requests: decodes the head by the dialect and buffers the body within the limits.
 
 use {
     super::{
@@ -24,33 +24,33 @@
     xxhash_rust::xxh3::Xxh3,
 };
 
-/// When to come back while no routes are known: a restarted entry learns them within this.
-const NO_ROUTES_PAUSE: Duration = Duration::from_millis(500);
-/// A body's announced length sets aside no more than this before its bytes arrive.
-const FIRST_BODY_BYTES: u64 = 64 * 1024;
+/// `Retry-After` while no routes are known: a restarted proxy receives them within this time.
+const NO_ROUTES_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Maximum buffer size that is allocated for a declared body length before any bytes arrive.
+const MAX_INITIAL_CAPACITY: u64 = 64 * 1024;
 
-/// A request that was read whole.
+/// A request with a buffered body.
 pub struct BufferedRequest {
-    /// What its head says.
+    /// The decoded head.
     pub caller: CallerRequest,
-    /// Its head.
+    /// The head as received.
     pub head: request::Parts,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
-    /// The service that serves it.
+    /// The service that the request is forwarded to.
     pub service: ServiceId,
-    /// The number of the configuration that it is served by.
+    /// The number of the configuration document that the request is processed by.
     pub document: DocumentNumber,
-    /// When its head had arrived.
+    /// When the head had arrived.
     pub arrived: Instant,
-    /// When it must have its whole answer, or be told that there is none.
-    pub ends: Instant,
+    /// When the response has to be complete or refused.
+    pub deadline: Instant,
 }
 
-/// Reads a request whole.
+/// Decodes the head of a request and buffers its body.
 ///
 /// # Errors
-/// What the caller is told; in all cases nothing was sent to a backend server.
+/// The refusal for the caller; nothing has been sent to a backend server in this case.
 pub async fn read_request(
     core: &ProxyCore,
     head: request::Parts,
@@ -61,7 +61,7 @@
     let view = core.view();
     let Some(index) = &view.index else {
         let refusal = ProxyRefusal::new(StatusCode::SERVICE_UNAVAILABLE, refusal::NO_ROUTES);
-        return Err(refusal.after(NO_ROUTES_PAUSE));
+        return Err(refusal.retry_after(NO_ROUTES_RETRY_AFTER));
     };
     if head.method == Method::CONNECT {
         return Err(ProxyRefusal::new(StatusCode::BAD_REQUEST, refusal::BAD_REQUEST));
@@ -71,32 +71,40 @@
     let Some(service) = service else {
         return Err(ProxyRefusal::new(StatusCode::NOT_FOUND, refusal::NOT_FOUND));
     };
-    // A route may be split between engines and a plain service, which has no prompt cache and no
-    // weights: placed as a prompt, the part of its requests that falls to that service would find no
-    // server.
+    // A route may be split between engines and a plain service, which has neither a prompt cache
+    // nor weights. Requests to the plain service must not be placed as prompts, because no server
+    // would match.
     if !view.is_engine(&service) {
         caller.work = None;
     }
     let body = read_body(body, limits).await?;
-    let given = caller.time_left.unwrap_or(caller.route.timeout).min(caller.route.timeout);
+    let time_limit = caller.time_left.unwrap_or(caller.route.timeout).min(caller.route.timeout);
     let document = index.table.number;
-    Ok(BufferedRequest { caller, head, body, service, document, arrived, ends: arrived + given })
+    Ok(BufferedRequest {
+        caller,
+        head,
+        body,
+        service,
+        document,
+        arrived,
+        deadline: arrived + time_limit,
+    })
 }
 
 async fn read_body(mut body: Incoming, limits: CallerLimits) -> Result<Bytes, ProxyRefusal> {
     let too_large = || ProxyRefusal::new(StatusCode::PAYLOAD_TOO_LARGE, refusal::TOO_LARGE);
-    let announced = body.size_hint().lower();
-    if announced > limits.body_bytes as u64 {
+    let declared_length = body.size_hint().lower();
+    if declared_length > limits.body_bytes as u64 {
         return Err(too_large());
     }
-    let mut bytes = BytesMut::with_capacity(announced.min(FIRST_BODY_BYTES) as usize);
+    let mut bytes = BytesMut::with_capacity(declared_length.min(MAX_INITIAL_CAPACITY) as usize);
     loop {
         let frame = match timeout(limits.idle_time, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(None) => return Ok(bytes.freeze()),
-            // A body that does not end as announced; the connection is of no more use.
+            // The body is shorter than declared or malformed, so the connection cannot be reused.
             Ok(Some(Err(error))) => {
-                log::debug!(error:% = error; "a body could not be read");
+                log::debug!(error:% = error; "failed to read a request body");
                 return Err(ProxyRefusal::new(StatusCode::BAD_REQUEST, refusal::BAD_REQUEST));
             }
             Err(_elapsed) => {
@@ -112,7 +120,7 @@
 }
 
 impl BufferedRequest {
-    /// What the dispatcher is told.
+    /// The request as the dispatcher sees it.
     pub fn ticket(&self) -> RequestTicket {
         let caller = &self.caller;
         let first = self.arrived + caller.response_start_timeout;
@@ -120,7 +128,7 @@
             request: caller.id.clone(),
             organisation: caller.organisation.clone(),
             class: caller.class,
-            deadline: first.min(self.ends),
+            deadline: first.min(self.deadline),
             repeatable: caller.route.kind.is_repeatable(),
             fingerprint: self.fingerprint(),
             work: match &caller.work {
@@ -136,7 +144,8 @@
         }
     }
 
-    /// Who shares cached prompts with this request: everybody, unless its organisation is isolated.
+    /// The scope within which cached prompts are shared: its organisation if that is isolated, and
+    /// otherwise the empty string for all organisations.
     pub fn cache_owner(&self) -> &str {
         if self.caller.isolated { &self.caller.organisation } else { "" }
     }
@@ -150,7 +159,7 @@
         prefix::levels(self.cache_owner(), &work.model, None, &segments)
     }
 
-    /// The same for each resend of the request, whatever its id.
+    /// Hash of the request without its id, equal for retries by the caller.
     fn fingerprint(&self) -> u64 {
         let mut hash = Xxh3::new();
         hash.update(self.caller.organisation.as_bytes());
--- a/src/reverse_proxy/response.rs
+++ b/src/reverse_proxy/response.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to a caller.
+//! Responses to callers.
 
 use {
     super::{dialect::ProxyRefusal, timeout_stream::ConnectionPhase},
@@ -18,53 +18,52 @@
     },
 };
 
-/// When to come back after a refusal that names no time of its own: about what a server takes to
-/// be listed anew.
-const USUAL_PAUSE: Duration = Duration::from_millis(500);
-/// When to come back with a request that crashes servers: after the servers are up again.
-const CRASH_PAUSE: Duration = Duration::from_secs(5);
+/// Default `Retry-After` of refusals: about the time until a restarted server is listed again.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// `Retry-After` for a request that crashes servers: the time until the servers have restarted.
+const CRASH_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// An answer that began and cannot be finished. The library then ends the connection without the
-/// mark of a whole body, so that the caller cannot take it for one.
+/// Error of a response that has begun and cannot be completed. The HTTP library then closes the
+/// connection without the end marker of the body, so that the caller detects the truncation.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum TruncatedResponse {
-    /// the backend server's answer broke off and cannot be gone on with
+    /// the backend server's response was interrupted and cannot be resumed
     BackendFailed,
-    /// the time for the request is over
-    TimeOver,
+    /// the deadline of the request has passed
+    DeadlinePassed,
 }
 
 impl std::error::Error for TruncatedResponse {}
 
-enum BodyBytes {
-    Whole(Option<Bytes>),
+enum BodySource {
+    Full(Option<Bytes>),
     Stream(BoxStream<'static, Result<Bytes, TruncatedResponse>>),
 }
 
-/// The body of an answer; it holds the request open until it is sent or dropped.
+/// The body of a response. The request counts as open until the body is sent or dropped.
 pub struct ResponseBody {
-    bytes: BodyBytes,
+    bytes: BodySource,
     phase: ConnectionPhase,
     _open: Option<OpenRequest>,
 }
 
 impl ResponseBody {
-    /// A body that is whole already.
-    pub fn whole(bytes: Bytes, phase: ConnectionPhase, open: Option<OpenRequest>) -> Self {
-        ResponseBody { bytes: BodyBytes::Whole(Some(bytes)), phase, _open: open }
+    /// Creates a body from bytes that are already complete.
+    pub fn full(bytes: Bytes, phase: ConnectionPhase, open: Option<OpenRequest>) -> Self {
+        ResponseBody { bytes: BodySource::Full(Some(bytes)), phase, _open: open }
     }
 
-    /// A body that arrives in pieces.
+    /// Creates a body from a stream of chunks.
     pub fn stream(
-        pieces: BoxStream<'static, Result<Bytes, TruncatedResponse>>,
+        chunks: BoxStream<'static, Result<Bytes, TruncatedResponse>>,
         phase: ConnectionPhase,
         open: Option<OpenRequest>,
     ) -> Self {
-        ResponseBody { bytes: BodyBytes::Stream(pieces), phase, _open: open }
+        ResponseBody { bytes: BodySource::Stream(chunks), phase, _open: open }
     }
 
-    /// The same body, holding `open` and ending the request on `phase`.
-    pub fn held_by(mut self, phase: ConnectionPhase, open: OpenRequest) -> Self {
+    /// Attaches the request that the body keeps open, and the connection whose phase it ends.
+    pub fn with_request(mut self, phase: ConnectionPhase, open: OpenRequest) -> Self {
         self.phase = phase;
         self._open = Some(open);
         self
@@ -86,39 +85,39 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
         match &mut self.bytes {
-            BodyBytes::Whole(bytes) => {
+            BodySource::Full(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
-            BodyBytes::Stream(pieces) => pieces
+            BodySource::Stream(chunks) => chunks
                 .poll_next_unpin(context)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.bytes {
-            BodyBytes::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            BodyBytes::Stream(_) => false,
+            BodySource::Full(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            BodySource::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.bytes {
-            BodyBytes::Whole(bytes) => {
+            BodySource::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            BodyBytes::Stream(_) => SizeHint::default(),
+            BodySource::Stream(_) => SizeHint::default(),
         }
     }
 }
 
-/// What a caller gets: an answer, or the reason why there is none.
+/// A response to the caller, or the reason why there is none.
 pub type ProxyResult = Result<Response<ResponseBody>, ProxyRefusal>;
 
-/// What the caller is told when the dispatcher gives a request up.
+/// Maps a refusal of the dispatcher to the response for the caller.
 ///
-/// 503 promises that the request has not run and never will, so it is said only where the
-/// dispatcher is certain; 502 and 504 promise nothing.
+/// 503 guarantees that the request has not run and never will, so that it is used only if the
+/// dispatcher is certain; 502 and 504 make no such guarantee.
 pub fn dispatch_refusal(
     reason: RefusalReason,
     retry_after: Option<Duration>,
@@ -127,12 +126,12 @@
     let code = reason.as_str();
     count_refusal(code);
     if did_run == DidRun::No {
-        let usual = match reason {
-            RefusalReason::CrashesServers => CRASH_PAUSE,
-            _ => USUAL_PAUSE,
+        let default = match reason {
+            RefusalReason::CrashesServers => CRASH_RETRY_AFTER,
+            _ => DEFAULT_RETRY_AFTER,
         };
         let refusal = ProxyRefusal::new(StatusCode::SERVICE_UNAVAILABLE, code);
-        return refusal.after(retry_after.unwrap_or(usual));
+        return refusal.retry_after(retry_after.unwrap_or(default));
     }
     let status = match reason {
         RefusalReason::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
--- a/src/reverse_proxy/store_monitor.rs
+++ b/src/reverse_proxy/store_monitor.rs
@@ -1,11 +1,12 @@
-//! Watches whether the engines' common store of KV cache can be reached.
+//! Monitors whether the engines' shared KV cache store is reachable.
 //!
-//! An engine that is told to fetch from a store that is away waits some hundred milliseconds for it,
-//! with every long prompt. The store is on no list, so an entry keeps one idle connection to it: its
-//! end shows at once that the store has crashed, and an accepted connection that it is back.
+//! An engine that is directed to import from an unreachable store waits some hundred milliseconds
+//! for it with every long prompt. The store is not on the server list. Therefore each proxy process
+//! holds an idle connection to it: the end of the connection reveals a crash at once, and an
+//! accepted connection reveals that the store is back.
 
 use {
-    super::{core::ProxyCore, pool::CONNECT_LIMIT},
+    super::{core::ProxyCore, pool::CONNECT_TIMEOUT},
     crate::observe::events,
     socket2::{SockRef, TcpKeepalive},
     std::{io, net::SocketAddr, sync::Arc, time::Duration},
@@ -16,60 +17,60 @@
     },
 };
 
-/// Between two looks whether the configuration names a store, or another one.
-const ADDRESS_LOOK: Duration = Duration::from_secs(1);
-/// Between two tries to reach a store that is away.
-const AWAY_LOOK: Duration = Duration::from_millis(500);
-/// A store that falls silent without closing is found within about two seconds.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// A connection that ends sooner than this was refused, whatever its beginning looked like: stores
-/// close idle ones after seconds.
-const LEAST_LIFE: Duration = Duration::from_millis(50);
+/// Interval at which the configuration is checked for a store or a changed address.
+const ADDRESS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between attempts to connect to an unreachable store.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(500);
+/// TCP keepalive time and interval; an unresponsive store is detected within about two seconds.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// A connection that ends sooner than this counts as refused, even if it was accepted: stores close
+/// idle connections only after seconds.
+const MIN_CONNECTION_TIME: Duration = Duration::from_millis(50);
 
-/// Watches the store for as long as the task runs.
+/// Monitors the store; never returns.
 pub async fn monitor_cache_store(core: Arc<ProxyCore>) {
-    let mut reached = false;
+    let mut reachable = false;
     loop {
         let Some((address, _)) = core.view().cache_store() else {
-            if std::mem::take(&mut reached) {
+            if std::mem::take(&mut reachable) {
                 core.set_store_reachable(false);
             }
-            sleep(ADDRESS_LOOK).await;
+            sleep(ADDRESS_CHECK_INTERVAL).await;
             continue;
         };
         let began = Instant::now();
-        let connected = timeout(CONNECT_LIMIT, connect(address)).await;
+        let connected = timeout(CONNECT_TIMEOUT, connect(address)).await;
         if let Ok(Ok(mut stream)) = connected {
-            note(&core, &mut reached, true, address);
-            stay(&core, &mut stream, address).await;
-            if began.elapsed() >= LEAST_LIFE {
+            set_reachable(&core, &mut reachable, true, address);
+            wait_closed(&core, &mut stream, address).await;
+            if began.elapsed() >= MIN_CONNECTION_TIME {
                 continue;
             }
         }
-        note(&core, &mut reached, false, address);
-        sleep(AWAY_LOOK).await;
+        set_reachable(&core, &mut reachable, false, address);
+        sleep(RECONNECT_INTERVAL).await;
     }
 }
 
-/// Waits until the connection ends, or the configuration names another store.
-async fn stay(core: &ProxyCore, stream: &mut TcpStream, address: SocketAddr) {
+/// Waits until the connection ends or the configured address changes.
+async fn wait_closed(core: &ProxyCore, stream: &mut TcpStream, address: SocketAddr) {
     let mut bytes = [0; 1];
     loop {
-        // Nothing was asked, so whatever is read ends the connection's use.
-        if timeout(ADDRESS_LOOK, stream.read(&mut bytes)).await.is_ok() {
+        // No request was sent, so that any result of a read ends the use of the connection.
+        if timeout(ADDRESS_CHECK_INTERVAL, stream.read(&mut bytes)).await.is_ok() {
             return;
         }
-        if core.view().cache_store().is_none_or(|(named, _)| named != address) {
+        if core.view().cache_store().is_none_or(|(configured, _)| configured != address) {
             return;
         }
     }
 }
 
-fn note(core: &ProxyCore, reached: &mut bool, now: bool, address: SocketAddr) {
-    if *reached == now {
+fn set_reachable(core: &ProxyCore, reachable: &mut bool, now: bool, address: SocketAddr) {
+    if *reachable == now {
         return;
     }
-    *reached = now;
+    *reachable = now;
     core.set_store_reachable(now);
     match now {
         true => log::info!(address:% = address; "{}", events::KEEP_BACK),
@@ -79,7 +80,8 @@
 
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
-    let probes = TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_AFTER);
+    let probes =
+        TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
     SockRef::from(&stream).set_tcp_keepalive(&probes.with_retries(1))?;
     Ok(stream)
 }
--- a/src/reverse_proxy/timeout_stream.rs
+++ b/src/reverse_proxy/timeout_stream.rs
@@ -1,8 +1,9 @@
-//! Bounds how long a caller may take for a head, and how long its connection may stay idle.
+//! Timeouts for request heads and for idle connections of callers.
 //!
-//! The HTTP library cuts a slow head off without an answer. The guard sits below it, sees which
-//! bytes come when, and answers 408 itself, so that the caller learns that nothing ran. It looks at
-//! the time only while the library waits for a head; a request in progress is never cut here.
+//! The HTTP library closes the connection of a slow head without a response. This stream below the
+//! library tracks the arrival of bytes and responds with 408 itself, so that the caller learns that
+//! nothing ran. Timeouts apply only while the library waits for a head, never to a request in
+//! progress.
 
 use {
     super::raw_head::RawHead,
@@ -29,29 +30,30 @@
     },
 };
 
-/// What a caller whose head does not end is told.
-const HEAD_TOO_SLOW: &[u8] =
+/// Response to a head that is not complete in time.
+const HEAD_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
 const IDLE: u32 = 0;
 const HEAD: u32 = 1;
 const BUSY: u32 = 2;
-/// The bits that hold one of the three; the others count the changes, so that a phase that came
-/// back between two looks is not taken for the one before.
+/// Number of bits that hold the phase. The other bits count changes, so that a phase that was left
+/// and entered again between two checks is not mistaken for the earlier one.
 const PHASE_BITS: u32 = 2;
 const PHASE_MASK: u32 = (1 << PHASE_BITS) - 1;
 
-/// Where a connection is between two requests; shared by the guard and the service above it.
+/// The phase of a connection: idle, receiving a head, or processing a request. It is shared by the
+/// stream and the service above it.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionPhase(Arc<AtomicU32>);
 
 impl ConnectionPhase {
-    /// A whole head has arrived.
+    /// Marks that a complete head has arrived.
     pub fn begin_request(&self) {
         self.change(BUSY);
     }
 
-    /// The answer has left.
+    /// Marks that the response has been sent.
     pub fn end_request(&self) {
         self.change(IDLE);
     }
@@ -61,45 +63,45 @@
         self.0.store((changes << PHASE_BITS) | phase, Ordering::Relaxed);
     }
 
-    /// The phase with its count.
+    /// The phase with the count of changes.
     fn get(&self) -> u32 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// How long a caller may take.
+/// Timeouts and limits of a caller's connection.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamTimeouts {
-    /// From the first byte of a head to its last.
+    /// Maximum time from the first byte of a head to its last.
     pub head: Duration,
-    /// Without a byte between two requests.
+    /// Maximum time without a byte between two requests.
     pub idle: Duration,
-    /// The longest head, in bytes.
+    /// Maximum length of a head in bytes.
     pub head_bytes: usize,
 }
 
-/// A caller's connection under guard.
+/// A caller's connection with timeouts.
 pub struct TimeoutStream {
     stream: TcpStream,
     phase: ConnectionPhase,
     raw: RawHead,
     limits: StreamTimeouts,
-    /// Since when the present phase lasts, as far as reads have shown.
-    seen: (u32, Instant),
+    /// The phase at the last read, and when it was first observed.
+    observed: (u32, Instant),
     /// Runs while the library waits for a head.
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl TimeoutStream {
-    /// A guarded connection in the library's form.
+    /// Wraps a connection for use by the HTTP library.
     pub fn wrap(
         stream: TcpStream,
         phase: ConnectionPhase,
         raw: RawHead,
         limits: StreamTimeouts,
     ) -> TokioIo<TimeoutStream> {
-        let seen = (IDLE, Instant::now());
-        TokioIo::new(TimeoutStream { stream, phase, raw, limits, seen, timer: None })
+        let observed = (IDLE, Instant::now());
+        TokioIo::new(TimeoutStream { stream, phase, raw, limits, observed, timer: None })
     }
 
     fn stream(self: Pin<&mut Self>) -> Pin<&mut TcpStream> {
@@ -127,8 +129,8 @@
             return Poll::Ready(result);
         }
         let phase = this.phase.get();
-        if this.seen.0 != phase {
-            this.seen = (phase, Instant::now());
+        if this.observed.0 != phase {
+            this.observed = (phase, Instant::now());
             this.timer = None;
         }
         let limit = match phase & PHASE_MASK {
@@ -136,9 +138,9 @@
             IDLE => this.limits.idle,
             _ => return Poll::Pending,
         };
-        let due = this.seen.1 + limit;
-        let timer = this.timer.get_or_insert_with(|| Box::pin(sleep_until(due)));
-        // Looking at the timer registers the wake-up.
+        let expires = this.observed.1 + limit;
+        let timer = this.timer.get_or_insert_with(|| Box::pin(sleep_until(expires)));
+        // Polling the timer registers the wakeup.
         if timer.as_mut().poll(context).is_pending() {
             return Poll::Pending;
         }
@@ -146,10 +148,11 @@
             count_refusal(refusal::HEAD_TIMEOUT);
             log::info!(reason = refusal::HEAD_TIMEOUT, status = 408, sent_to = 0;
                 "{}", events::REQUEST_REFUSED);
-            // A full send buffer means that the caller does not read either.
-            let _ = this.stream.try_write(HEAD_TOO_SLOW);
+            // The write can be lost only if the send buffer is full, that is if the caller does not
+            // read either.
+            let _ = this.stream.try_write(HEAD_TIMEOUT_RESPONSE);
         }
-        // An empty read ends the connection for the library above.
+        // An empty read makes the HTTP library close the connection.
         Poll::Ready(Ok(()))
     }
 }
--- a/src/reverse_proxy/view.rs
+++ b/src/reverse_proxy/view.rs
@@ -1,4 +1,4 @@
-//! What requests and the dispatcher need of the shared state, made once for each change of it.
+//! The parts of the shared state that requests and the dispatcher use, rebuilt on each change.
 
 use {
     crate::{
@@ -16,46 +16,46 @@
     },
 };
 
-/// The part of a service's connections that all daemons together use; the rest is for probes, and
-/// for connections that a server has not yet noticed to be closed.
-const CONNECTION_PART: f64 = 0.9;
-/// A fetch from another failure domain takes so many times as long.
-const DISTANT_FETCH: f64 = 2.0;
-/// A daemon may always open so many connections to a server.
-const LEAST_CONNECTIONS: u32 = 2;
+/// Share of a service's connection limit that all daemons use together. The rest is left for probes
+/// and for closed connections that a server has not detected yet.
+const CONNECTION_SHARE: f64 = 0.9;
+/// Factor by which an import from another failure domain takes longer.
+const REMOTE_FETCH_FACTOR: f64 = 2.0;
+/// Number of connections that a daemon may always open to a server.
+const MIN_CONNECTIONS: u32 = 2;
 
-/// The shared state as one entry serves by it.
+/// The shared state as used by a proxy process.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyView {
-    /// The routes; `None` until a table is known.
+    /// The routes; `None` until a routing table has been received.
     pub index: Option<Arc<RouteIndex>>,
-    /// The backend servers that routes lead to, by name.
+    /// The backend servers of all routed services.
     pub servers: BTreeMap<ServerId, ListedServer>,
-    /// The newest weights that operators have named, by model.
+    /// The newest weights that operators have announced, by model.
     pub named: NamedWeights,
-    /// Servers whose weights are too old to begin anything on, while others have newer ones.
+    /// Servers whose weights are too old for new requests while other servers have newer ones.
     pub outdated: BTreeSet<ServerId>,
-    /// Entries that share the servers; at least 1.
-    pub entries: u32,
+    /// Number of proxy processes that share the servers; at least 1.
+    pub proxy_count: u32,
 }
 
-/// The name of a model's pool: a service's servers never serve another service's requests, not even
-/// for a model of the same name.
+/// Qualifies a model name with its service, because servers of one service never run requests of
+/// another one, not even for a model of the same name.
 pub fn qualified_model(service: &ServiceId, model: &ModelId) -> ModelId {
     format!("{service}/{model}")
 }
 
 impl ProxyView {
-    /// The view of a table, a list of servers, the named weights, and those of them that were named so
-    /// long ago that nothing may begin on older ones any more.
+    /// Builds a view from the routes, the server list, the announced weights, and the `required`
+    /// weights, which were announced so long ago that new requests must not run on older ones.
     pub fn new(
         index: Option<Arc<RouteIndex>>,
         fleet: &FleetSnapshot,
         named: &NamedWeights,
         required: &NamedWeights,
-        entries: u32,
+        proxy_count: u32,
     ) -> Self {
-        let Some(index) = index else { return ProxyView { entries, ..ProxyView::default() } };
+        let Some(index) = index else { return ProxyView { proxy_count, ..ProxyView::default() } };
         let routed: BTreeSet<&ServiceId> = index
             .table
             .routes
@@ -74,7 +74,7 @@
             servers,
             named: named.clone(),
             outdated,
-            entries: entries.max(1),
+            proxy_count: proxy_count.max(1),
         }
     }
 
@@ -96,36 +96,36 @@
             .collect()
     }
 
-    /// Tokens a second that engines fetch from each other, between failure domains.
+    /// Rate in tokens per second at which engines import from engines of other failure domains.
     fn fetch_rate(&self) -> Option<f64> {
         let services = self.index.as_ref()?.table.services.values();
         let rates = services.filter_map(|rule| rule.engine.as_ref()?.fetch_rate);
-        rates.min_by(f64::total_cmp).map(|rate| rate / DISTANT_FETCH)
+        rates.min_by(f64::total_cmp).map(|rate| rate / REMOTE_FETCH_FACTOR)
     }
 
-    /// The engines' common store: where it is, and tokens a second of its link that are this daemon's
-    /// part.
+    /// The address of the engines' shared cache store, and this process's share of its link rate in
+    /// tokens per second.
     pub fn cache_store(&self) -> Option<(SocketAddr, f64)> {
         let services = || self.index.iter().flat_map(|index| index.table.services.values());
         let store = services().find_map(|rule| rule.cache_store.as_ref())?;
         let token = services().find_map(|rule| rule.engine.as_ref()?.token_bytes)?;
-        Some((store.address, store.link_bytes? / token / f64::from(self.entries.max(1))))
+        Some((store.address, store.link_bytes? / token / f64::from(self.proxy_count.max(1))))
     }
 
-    /// Connections that this daemon may hold open to one server of a service.
+    /// Maximum number of connections of this process to a server of the service.
     pub fn connections(&self, service: &ServiceId) -> u32 {
         let rule = self.index.as_ref().and_then(|index| index.table.services.get(service));
         let Some(all) = rule.and_then(|rule| rule.connections) else { return u32::MAX };
-        let part = f64::from(all) * CONNECTION_PART / f64::from(self.entries.max(1));
-        (part as u32).max(LEAST_CONNECTIONS)
+        let part = f64::from(all) * CONNECTION_SHARE / f64::from(self.proxy_count.max(1));
+        (part as u32).max(MIN_CONNECTIONS)
     }
 
-    /// What the dispatcher is told when this view comes into force; `former` is the one before.
+    /// The dispatcher inputs for the change from the `previous` view to this one.
     pub fn inputs(
         &self,
         vm: &VmId,
         objective: DecisionObjective,
-        former: &ProxyView,
+        previous: &ProxyView,
     ) -> Vec<PolicyInput> {
         let view = Arc::new(self.policy_view(vm, objective));
         let rate = self.fetch_rate();
@@ -133,22 +133,23 @@
         let mut inputs =
             vec![PolicyInput::Configure(view), PolicyInput::PeerFetch { rate, newest }];
         for server in self.servers.values() {
-            let known = former.servers.get(&server.id);
-            let was_outdated = former.outdated.contains(&server.id);
+            let known = previous.servers.get(&server.id);
+            let was_outdated = previous.outdated.contains(&server.id);
             if known == Some(server) && was_outdated == self.outdated.contains(&server.id) {
                 continue;
             }
             let restarted = known.is_none_or(|known| known.life != server.life);
             inputs.push(self.health_input(server));
             if restarted || known.is_none_or(|known| known.weights != server.weights) {
-                inputs.push(self.first_report(server));
+                inputs.push(self.initial_load(server));
             }
         }
         inputs
     }
 
-    /// What the list tells of a server's weights; of its load it tells nothing.
-    fn first_report(&self, server: &ListedServer) -> PolicyInput {
+    /// A load report with the weights from the server list. Its load is zero, because the list does
+    /// not contain the load.
+    fn initial_load(&self, server: &ListedServer) -> PolicyInput {
         PolicyInput::Load(LoadReport {
             server: server.id.clone(),
             incarnation: server.life,
@@ -167,7 +168,7 @@
         })
     }
 
-    /// What membership says of a listed server.
+    /// The health of a listed server as an input for the dispatcher.
     pub fn health_input(&self, server: &ListedServer) -> PolicyInput {
         let health = match server.phase {
             _ if self.outdated.contains(&server.id) => ServerHealth::Leaving,
@@ -191,8 +192,8 @@
             };
             (server.id.clone(), view)
         });
-        // Only their number counts: the share of each server that falls to this daemon.
-        let others = (1..self.entries).map(|number| (format!("{vm}+{number}"), 1.0));
+        // The dispatcher uses only the number of daemons, to compute its share of each server.
+        let others = (1..self.proxy_count).map(|number| (format!("{vm}+{number}"), 1.0));
         let daemons = others.chain([(vm.clone(), 1.0)]).collect();
         PolicyView {
             revision: self.index.as_ref().map_or(0, |index| index.table.number),
@@ -200,14 +201,14 @@
             servers: servers.collect(),
             shares: BTreeMap::new(),
             daemons: [(String::new(), daemons)].into(),
-            // Each server's own weights count: a request is held to them when it is sent.
+            // Empty, because each attempt requires the weights that its server reports.
             weights: BTreeMap::new(),
         }
     }
 }
 
-/// Servers with older weights than the required ones. Where a service has no server with newer ones,
-/// none of its servers counts as outdated: an answer on old weights is better than none.
+/// Servers with older weights than the required ones. If no server of a service is up to date, none
+/// counts as outdated, because a response from old weights is better than none.
 fn outdated(
     servers: &BTreeMap<ServerId, ListedServer>,
     required: &NamedWeights,
