--- a/examples/fake_engine.rs
+++ b/examples/fake_engine.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-in engine as a process: `fake_engine --listen ADDR --model M --weights V`.
+//! Runs the fake engine as a process: `fake_engine --listen ADDR --model M --weights V`.
 
 #[path = "fakes/engine.rs"]
 mod engine;
@@ -10,27 +10,29 @@
 };
 
 fn behaviour() -> bpaf::OptionParser<EngineBehaviour> {
-    let usual = EngineBehaviour::default();
+    let defaults = EngineBehaviour::default();
     let listen = long("listen")
-        .help("Where to listen; port 0 lets the kernel choose")
+        .help("The address to listen on; with port 0 the kernel chooses a port")
         .argument::<SocketAddr>("ADDR")
-        .fallback(usual.listen);
-    let model =
-        long("model").help("The model it runs").argument::<String>("MODEL").fallback(usual.model);
+        .fallback(defaults.listen);
+    let model = long("model")
+        .help("The model to serve")
+        .argument::<String>("MODEL")
+        .fallback(defaults.model);
     let weights = long("weights")
-        .help("The weights it starts with")
+        .help("The initial weights version")
         .argument::<String>("VERSION")
-        .fallback(usual.weights);
-    let prefill = milliseconds("prefill-ms", "Time for the prompt");
-    let token = milliseconds("token-ms", "Time for each token");
+        .fallback(defaults.weights);
+    let prefill = milliseconds("prefill-ms", "Time until the first token");
+    let token = milliseconds("token-ms", "Time between two tokens");
     let tokens = long("tokens")
-        .help("Tokens of an answer without a limit")
+        .help("Number of generated tokens if the request sets no limit")
         .argument::<u64>("N")
-        .fallback(usual.tokens);
+        .fallback(defaults.tokens);
     let checks_fencing = bpaf::pure(true);
     construct!(EngineBehaviour { listen, model, weights, prefill, token, tokens, checks_fencing })
         .to_options()
-        .descr("A stand-in engine for the quick start and for tests.")
+        .descr("A fake engine for the quick start and for tests.")
 }
 
 fn milliseconds(name: &'static str, help: &'static str) -> impl Parser<Duration> {
--- a/examples/fake_service.rs
+++ b/examples/fake_service.rs
@@ -1,4 +1,5 @@
-//! Runs the stand-in service as a process: `fake_service --listen ADDR`. GET /runs counts.
+//! Runs the fake service as a process: `fake_service --listen ADDR`. `GET /runs` returns the number
+//! of runs by idempotency key.
 
 #[path = "fakes/service.rs"]
 mod service;
@@ -12,11 +13,11 @@
 #[tokio::main]
 async fn main() -> std::io::Result<()> {
     let listen = long("listen")
-        .help("Where to listen; port 0 lets the kernel choose")
+        .help("The address to listen on; with port 0 the kernel chooses a port")
         .argument::<SocketAddr>("ADDR")
         .fallback(([127, 0, 0, 1], 0).into())
         .to_options()
-        .descr("A stand-in plain service that counts runs by idempotency key.")
+        .descr("A fake plain service that counts runs by idempotency key.")
         .run();
     let service = FakeService::start(listen).await?;
     println!("{}", service.address());
--- a/examples/fakes/engine.rs
+++ b/examples/fakes/engine.rs
@@ -1,8 +1,9 @@
-//! A stand-in for an engine: docs/BACKENDS.md in a few hundred lines, with knobs for failures.
+//! Fake inference engine that implements the protocol of docs/BACKENDS.md, with fault injection.
 //!
-//! What it generates depends on the prompt alone, so that any two stand-ins continue each other.
+//! Its output depends only on the prompt, so that any fake engine can continue the stream of
+//! another.
 
-// Each program that includes this file uses a part of it.
+// Programs that include this file use only parts of it.
 #![allow(dead_code)]
 
 use {
@@ -30,27 +31,27 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Bytes of prompt that count as one token, as in the router's estimate.
+/// Prompt bytes per token, as in the router's estimate.
 const BYTES_PER_TOKEN: usize = 4;
-/// Prefixes remembered; the stand-in forgets all at the bound, as a full cache would.
+/// Maximum number of cached prefixes; at the limit the cache is cleared.
 const CACHED_PREFIXES: usize = 4096;
 
-/// How a stand-in behaves.
+/// Configuration of a fake engine.
 #[derive(Clone, Debug)]
 pub struct EngineBehaviour {
-    /// Where it listens; port 0 lets the kernel choose.
+    /// The address to listen on; with port 0 the kernel chooses a port.
     pub listen: SocketAddr,
-    /// The model it runs.
+    /// The model that it serves.
     pub model: String,
-    /// The weights it starts with.
+    /// The initial weights version.
     pub weights: String,
-    /// Time for the prompt.
+    /// Time until the first token.
     pub prefill: Duration,
-    /// Time for each token.
+    /// Time between two tokens.
     pub token: Duration,
-    /// Tokens of an answer when the caller sets no limit.
+    /// Number of generated tokens if the request sets no limit.
     pub tokens: u64,
-    /// Whether it refuses orders with a lower fencing number.
+    /// Whether weight orders with a lower fencing number are rejected.
     pub checks_fencing: bool,
 }
 
@@ -68,29 +69,29 @@
     }
 }
 
-/// What a test sees and changes while the stand-in runs.
+/// Fault injection and counters for tests while the fake engine runs.
 #[derive(Default)]
 pub struct EngineControls {
-    /// Break each stream off after this many events; 0 never does.
+    /// Number of events after which each stream breaks; 0 for never.
     pub break_after: AtomicU64,
-    /// Answer with another attempt's id; 0 does not.
+    /// If not 0, responses carry the id of another attempt.
     pub mismatch_attempt: AtomicU64,
-    /// Hold each stream before its first token until [`EngineControls::release`]; 0 does not.
+    /// If not 0, streams wait before their first token until [`EngineControls::release`].
     pub hold: AtomicU64,
-    /// Signalled to let held streams go on.
+    /// Notified to continue held streams.
     pub released: Notify,
-    /// Generations begun.
+    /// Number of generation requests received.
     pub started: AtomicU64,
-    /// Cancel calls received.
+    /// Number of cancel calls received.
     pub cancelled: AtomicU64,
-    /// Streams dropped by the other side before they were whole.
+    /// Number of streams that the client closed before they were complete.
     pub dropped: AtomicU64,
-    /// Whether it says that it is leaving; 0 does not.
+    /// If not 0, the engine reports that it is leaving.
     pub leaving: AtomicU64,
 }
 
 impl EngineControls {
-    /// Lets all held streams go on.
+    /// Continues all held streams.
     pub fn release(&self) {
         self.hold.store(0, Ordering::SeqCst);
         self.released.notify_waiters();
@@ -106,18 +107,18 @@
     weights: Mutex<(String, FencingNumber)>,
 }
 
-/// A running stand-in.
+/// A running fake engine.
 pub struct FakeEngine {
     server: HttpServer,
-    /// Its knobs.
+    /// Fault injection and counters.
     pub controls: Arc<EngineControls>,
 }
 
 impl FakeEngine {
-    /// Starts a stand-in.
+    /// Starts a fake engine.
     ///
     /// # Errors
-    /// When the address cannot be listened on.
+    /// The error of binding the address.
     pub async fn start(behaviour: EngineBehaviour) -> io::Result<Self> {
         let controls = Arc::new(EngineControls::default());
         let listen = behaviour.listen;
@@ -134,41 +135,41 @@
         Ok(FakeEngine { server, controls })
     }
 
-    /// Where it listens.
+    /// The local address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Stops it after its open streams.
+    /// Stops the engine after its open streams have ended.
     pub async fn stop(self) {
         self.server.stop().await;
     }
 }
 
 fn router(state: Arc<EngineState>) -> Router {
-    let on = |run: fn(Arc<EngineState>, Request) -> AnswerFuture| {
+    let bind = |run: fn(Arc<EngineState>, Request) -> ResponseFuture| {
         let state = Arc::clone(&state);
         move |request: Request| {
-            let answer = run(Arc::clone(&state), request);
-            async move { answer.await as Result<Response> }
+            let response = run(Arc::clone(&state), request);
+            async move { response.await as Result<Response> }
         }
     };
     Router::new()
-        .post("/v1/chat/completions", on(|state, request| Box::pin(generate(state, request))))
-        .post("/v1/completions", on(|state, request| Box::pin(generate(state, request))))
-        .get("/v1/load", on(|state, _| Box::pin(async move { Ok(load(&state)) })))
-        .get("/v1/cache_events", on(|state, _| Box::pin(async move { Ok(cache_events(&state)) })))
-        .post("/v1/weights", on(|state, request| Box::pin(order_weights(state, request))))
+        .post("/v1/chat/completions", bind(|state, request| Box::pin(generate(state, request))))
+        .post("/v1/completions", bind(|state, request| Box::pin(generate(state, request))))
+        .get("/v1/load", bind(|state, _| Box::pin(async move { Ok(load(&state)) })))
+        .get("/v1/cache_events", bind(|state, _| Box::pin(async move { Ok(cache_events(&state)) })))
+        .post("/v1/weights", bind(|state, request| Box::pin(order_weights(state, request))))
         .post(
             "/v1/attempts/:id/cancel",
-            on(|state, _| {
+            bind(|state, _| {
                 state.controls.cancelled.fetch_add(1, Ordering::SeqCst);
                 Box::pin(async { Ok(json_response(200, &json!({}))) })
             }),
         )
 }
 
-type AnswerFuture = futures::future::BoxFuture<'static, Result<Response>>;
+type ResponseFuture = futures::future::BoxFuture<'static, Result<Response>>;
 
 fn json_response(status: u16, body: &Value) -> Response {
     let mut response = Response::new(Body::Full(Bytes::from(body.to_string()).into()));
@@ -200,30 +201,30 @@
         serde_json::from_value(order["fencing"].clone()).unwrap_or_default();
     let mut weights = state.weights.lock().expect("no holder panics");
     if state.behaviour.checks_fencing && fencing < weights.1 {
-        return Ok(json_response(409, &json!({ "error": "an order with a higher number came" })));
+        return Ok(json_response(409, &json!({ "error": "fencing number is outdated" })));
     }
     *weights = (order["weights"].as_str().unwrap_or_default().to_owned(), fencing);
     state.cache.lock().expect("no holder panics").clear();
     Ok(json_response(200, &json!({})))
 }
 
-/// What one generation needs to know.
+/// State of a generation.
 struct Generation {
     state: Arc<EngineState>,
-    /// Seeds the words: the hash of the prompt alone.
+    /// Seed of the generated words, which is a hash of the prompt.
     seed: u64,
     tokens: u64,
     next: u64,
     prompt_tokens: u64,
     cached_tokens: u64,
-    /// Set when the last event has gone out.
-    whole: bool,
+    /// Whether the last event has been generated.
+    is_complete: bool,
 }
 
 impl Drop for Generation {
     fn drop(&mut self) {
         self.state.running.fetch_sub(1, Ordering::SeqCst);
-        if !self.whole {
+        if !self.is_complete {
             self.state.controls.dropped.fetch_add(1, Ordering::SeqCst);
         }
     }
@@ -247,19 +248,19 @@
         next: resumed + 1,
         prompt_tokens,
         cached_tokens,
-        whole: false,
+        is_complete: false,
         state: Arc::clone(&state),
     };
-    let mut response = Response::new(Body::from_stream(stream::unfold(generation, step)));
+    let mut response = Response::new(Body::from_stream(stream::unfold(generation, next_event)));
     if let Some(attempt) = attempt {
-        let crossed = state.controls.mismatch_attempt.load(Ordering::SeqCst) != 0;
-        let echo = if crossed { "0".repeat(32).parse().expect("digits") } else { attempt };
+        let mismatched = state.controls.mismatch_attempt.load(Ordering::SeqCst) != 0;
+        let echo = if mismatched { "0".repeat(32).parse().expect("digits") } else { attempt };
         response.headers_mut().insert(ATTEMPT_HEADER, echo);
     }
     Ok(response)
 }
 
-/// Counts prompt tokens and those found in the cache under the salt, and remembers the prompt.
+/// Returns the number of prompt tokens and of those cached under the salt, and caches the prompt.
 fn prefill(state: &EngineState, body: &Value) -> (u64, u64) {
     let salt = body["cache_salt"].as_str().unwrap_or_default();
     let parts: Vec<String> = match body["messages"].as_array() {
@@ -279,9 +280,9 @@
     })
 }
 
-/// Makes the next event of a stream.
-async fn step(mut generation: Generation) -> Option<(io::Result<Bytes>, Generation)> {
-    if generation.whole {
+/// Generates the next event of a stream.
+async fn next_event(mut generation: Generation) -> Option<(io::Result<Bytes>, Generation)> {
+    if generation.is_complete {
         return None;
     }
     let state = Arc::clone(&generation.state);
@@ -298,7 +299,7 @@
     }
     let break_after = state.controls.break_after.load(Ordering::SeqCst);
     if break_after != 0 && generation.next > break_after {
-        return Some((Err(io::Error::other("the stand-in breaks off")), generation));
+        return Some((Err(io::Error::other("stream broken by the test")), generation));
     }
     let number = generation.next;
     generation.next += 1;
@@ -306,7 +307,7 @@
         let word = format!("w{number}-{:04x} ", (generation.seed ^ number) & 0xffff);
         chunk_event(number, &word, number == generation.tokens)
     } else {
-        generation.whole = true;
+        generation.is_complete = true;
         usage_event(&generation)
     };
     Some((Ok(Bytes::from(text)), generation))
--- a/examples/fakes/http_client.rs
+++ b/examples/fakes/http_client.rs
@@ -1,6 +1,6 @@
-//! A small HTTP client for tests and load programs: one connection for each request.
+//! HTTP client for tests and load generators, with one connection per request.
 
-// Each program that includes this file uses a part of it.
+// Programs that include this file use only parts of it.
 #![allow(dead_code)]
 
 use {
@@ -13,7 +13,7 @@
     tokio::{net::TcpStream, task::JoinHandle},
 };
 
-/// An answer whose body is still to be read; dropping it closes the connection.
+/// A response whose body has not been read; dropping it closes the connection.
 pub struct OpenResponse {
     pub response: Response<Incoming>,
     connection: JoinHandle<()>,
@@ -25,7 +25,7 @@
     }
 }
 
-/// An answer read whole.
+/// A response with its complete body.
 #[derive(Debug)]
 pub struct BufferedResponse {
     pub status: StatusCode,
@@ -34,21 +34,21 @@
 }
 
 impl BufferedResponse {
-    /// The body as JSON; `Null` if it is none.
+    /// The body as JSON; `Null` if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// The code of a refusal.
+    /// The error code of a refusal; empty for other responses.
     pub fn code(&self) -> String {
         self.json()["error"]["code"].as_str().unwrap_or_default().to_owned()
     }
 }
 
-/// Sends a request and waits for the head of the answer.
+/// Sends a request and waits for the head of the response.
 ///
 /// # Errors
-/// From the connection.
+/// The error of the connection.
 pub async fn open(
     address: SocketAddr,
     method: &str,
@@ -61,7 +61,7 @@
     let (mut sender, connection) =
         handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
     let connection = tokio::spawn(async move {
-        // The caller sees the failure as the end of its exchange.
+        // A failure is also returned by the request or by reading its body.
         let _ = connection.await;
     });
     let builder = Request::builder().method(method).uri(path).header("host", "router");
@@ -72,10 +72,10 @@
     Ok(OpenResponse { response, connection })
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the complete response.
 ///
 /// # Errors
-/// From the connection; also when the body is cut short.
+/// The error of the connection, also if the body is truncated.
 pub async fn send(
     address: SocketAddr,
     method: &str,
--- a/examples/fakes/lone_daemon.rs
+++ b/examples/fakes/lone_daemon.rs
@@ -1,6 +1,6 @@
-//! One daemon in this process, with its own keys, data folder and configuration.
+//! A single daemon in this process, with its own keys, data directory and configuration.
 
-// Each program that includes this file uses a part of it.
+// Programs that include this file use only parts of it.
 #![allow(dead_code)]
 
 use {
@@ -21,7 +21,7 @@
     tokio::time::sleep,
 };
 
-/// The only VM and the only failure domain.
+/// The name of the only VM.
 const VM: &str = "solo-1";
 /// The model of all engines.
 pub const MODEL: &str = "basket-llm";
@@ -29,100 +29,101 @@
 pub const SERVICE: &str = "dispatch-app";
 /// The bearer key of the organisation `firm`.
 pub const KEY: &str = "Bearer firm-key";
-/// Pause between two looks at a condition.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+/// Interval at which conditions are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A daemon that serves.
+/// A serving daemon.
 pub struct LoneDaemon {
     daemon: Daemon<Serving>,
-    _folder: TempDir,
+    _directory: TempDir,
 }
 
 impl LoneDaemon {
-    /// Starts a daemon before these backend servers and waits until it serves them.
+    /// Starts a daemon for these backend servers and waits until all of them are alive.
     pub async fn start(engines: &[SocketAddr], services: &[SocketAddr]) -> Self {
-        let folder = TempDir::new().expect("a folder can be made");
-        let daemon = Daemon::new(options(&folder)).start().await.expect("the daemon starts");
-        let lone = LoneDaemon { daemon, _folder: folder };
+        let directory = TempDir::new().expect("a temporary directory can be created");
+        let daemon = Daemon::new(options(&directory)).start().await.expect("the daemon starts");
+        let started = LoneDaemon { daemon, _directory: directory };
         let register = json!(register(engines, services));
         let change = json!({ "operation": "r", "expected": 0, "register": register });
-        lone.apply("/v1/register", change).await;
-        lone.apply(
-            "/v1/rules",
-            json!({ "operation": "s", "expected": 1, "rules": rules(services) }),
-        )
-        .await;
-        lone.wait_revision(2).await;
-        lone.wait_servers(engines.len() + services.len()).await;
-        lone
+        started.apply("/v1/register", change).await;
+        started
+            .apply(
+                "/v1/rules",
+                json!({ "operation": "s", "expected": 1, "rules": rules(services) }),
+            )
+            .await;
+        started.wait_revision(2).await;
+        started.wait_servers(engines.len() + services.len()).await;
+        started
     }
 
-    /// Where callers reach it.
+    /// The address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.daemon.caller_address()
     }
 
-    /// Where operators reach it.
+    /// The address for operators.
     pub fn operators(&self) -> SocketAddr {
         self.daemon.admin_address()
     }
 
-    /// Begins to drain it; the folder lives on in the result.
+    /// Begins to drain the daemon. The returned directory must be kept until it has stopped.
     pub fn drain(self) -> (Daemon<Draining>, TempDir) {
-        (self.daemon.drain(), self._folder)
+        (self.daemon.drain(), self._directory)
     }
 
-    /// The rendered measures.
+    /// The metrics in the Prometheus text format.
     pub async fn metrics(&self) -> String {
-        let answer = http_client::send(self.operators(), "GET", "/metrics", &[], "").await;
-        String::from_utf8_lossy(&answer.expect("operators are answered").body).into_owned()
+        let response = http_client::send(self.operators(), "GET", "/metrics", &[], "").await;
+        String::from_utf8_lossy(&response.expect("a response").body).into_owned()
     }
 
-    /// Puts a change until it is taken: the first quorum takes a moment to form.
+    /// Applies a change, with retries until the first quorum has formed.
     async fn apply(&self, path: &str, change: Value) {
         loop {
             let json = [("content-type", "application/json")];
-            let answer =
+            let response =
                 http_client::send(self.operators(), "PUT", path, &json, change.to_string()).await;
-            let answer = answer.expect("operators are answered");
-            match answer.status.as_u16() {
+            let response = response.expect("a response");
+            match response.status.as_u16() {
                 200 => return,
-                503 | 504 => sleep(LOOK_AGAIN).await,
-                status => panic!("{path}: {status} {}", String::from_utf8_lossy(&answer.body)),
+                503 | 504 => sleep(POLL_INTERVAL).await,
+                status => panic!("{path}: {status} {}", String::from_utf8_lossy(&response.body)),
             }
         }
     }
 
-    async fn wait_revision(&self, wanted: u64) {
+    async fn wait_revision(&self, expected: u64) {
         loop {
-            let answer = http_client::send(self.operators(), "GET", "/v1/status", &[], "").await;
-            if answer.expect("operators are answered").json()["revision"] == wanted {
+            let response = http_client::send(self.operators(), "GET", "/v1/status", &[], "").await;
+            if response.expect("a response").json()["revision"] == expected {
                 return;
             }
-            sleep(LOOK_AGAIN).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn wait_servers(&self, wanted: usize) {
+    async fn wait_servers(&self, expected: usize) {
         loop {
-            let answer = http_client::send(self.operators(), "GET", "/v1/servers", &[], "").await;
-            let servers = answer.expect("operators are answered").json();
+            let response = http_client::send(self.operators(), "GET", "/v1/servers", &[], "").await;
+            let servers = response.expect("a response").json();
             let alive = servers.as_array().into_iter().flatten();
-            if alive.filter(|server| server["health"] == "alive").count() >= wanted {
+            if alive.filter(|server| server["health"] == "alive").count() >= expected {
                 return;
             }
-            sleep(LOOK_AGAIN).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-fn options(folder: &TempDir) -> DaemonOptions {
-    let authority = create_authority().expect("an authority can be made");
-    let pair = create_certificate(&authority, &VM.to_owned()).expect("a key can be made");
-    let path = |name: &str| folder.path().join(name);
-    fs::write(path("authority.pem"), &authority.certificate).expect("the folder is writable");
-    fs::write(path("vm.pem"), &pair.certificate).expect("the folder is writable");
-    fs::write(path("vm.key"), &pair.key).expect("the folder is writable");
+fn options(directory: &TempDir) -> DaemonOptions {
+    let authority = create_authority().expect("a certificate authority can be created");
+    let pair = create_certificate(&authority, &VM.to_owned()).expect("a key can be created");
+    let path = |name: &str| directory.path().join(name);
+    fs::write(path("authority.pem"), &authority.certificate).expect("the directory is writable");
+    fs::write(path("vm.pem"), &pair.certificate).expect("the directory is writable");
+    fs::write(path("vm.key"), &pair.key).expect("the directory is writable");
     let [data, authority, certificate, key] = ["data", "authority.pem", "vm.pem", "vm.key"]
         .map(|name| path(name).to_string_lossy().into_owned());
     let arguments = [
--- a/examples/fakes/service.rs
+++ b/examples/fakes/service.rs
@@ -1,6 +1,6 @@
-//! A stand-in for a plain service that counts how often each idempotency key ran.
+//! Fake plain service that counts how often each idempotency key was run.
 
-// Each program that includes this file uses a part of it.
+// Programs that include this file use only parts of it.
 #![allow(dead_code)]
 
 use {
@@ -21,46 +21,46 @@
     viz::{Body, Request, RequestExt, Response, Result, Router, StatusCode},
 };
 
-/// What a test sees and changes while the stand-in runs.
+/// Fault injection and counters for tests while the fake service runs.
 #[derive(Default)]
 pub struct ServiceControls {
-    /// Runs by idempotency key; bounded by the test that sends them.
+    /// Number of runs by idempotency key; bounded by the requests of the test.
     pub runs: Mutex<BTreeMap<String, u64>>,
-    /// Hold each answer after the run until [`ServiceControls::release`]; 0 does not.
+    /// If not 0, responses wait after the run until [`ServiceControls::release`].
     pub hold: AtomicU64,
-    /// Signalled to let held answers go.
+    /// Notified to send held responses.
     pub released: Notify,
-    /// Answer with this status after the run; 0 means 200.
+    /// HTTP status of responses; 0 for 200.
     pub status: AtomicU64,
-    /// Break the connection after the run, without an answer; 0 does not.
-    pub break_off: AtomicU64,
+    /// If not 0, the connection breaks after the run, without a response.
+    pub break_connection: AtomicU64,
 }
 
 impl ServiceControls {
-    /// Lets all held answers go.
+    /// Sends all held responses.
     pub fn release(&self) {
         self.hold.store(0, Ordering::SeqCst);
         self.released.notify_waiters();
     }
 
-    /// Runs of one key.
+    /// The number of runs of a key.
     pub fn runs_of(&self, key: &str) -> u64 {
         self.runs.lock().expect("no holder panics").get(key).copied().unwrap_or(0)
     }
 }
 
-/// A running stand-in.
+/// A running fake service.
 pub struct FakeService {
     server: HttpServer,
-    /// Its knobs.
+    /// Fault injection and counters.
     pub controls: Arc<ServiceControls>,
 }
 
 impl FakeService {
-    /// Starts a stand-in.
+    /// Starts a fake service.
     ///
     /// # Errors
-    /// When the address cannot be listened on.
+    /// The error of binding the address.
     pub async fn start(listen: SocketAddr) -> io::Result<Self> {
         let controls = Arc::new(ServiceControls::default());
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -69,7 +69,7 @@
         Ok(FakeService { server, controls })
     }
 
-    /// Where it listens.
+    /// The local address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
@@ -77,7 +77,7 @@
 
 fn router(controls: Arc<ServiceControls>, incarnation: u64) -> Router {
     let counted = Arc::clone(&controls);
-    let switched = Arc::clone(&controls);
+    let switchable = Arc::clone(&controls);
     Router::new()
         .get("/v1/load", move |_: Request| async move {
             Ok::<_, viz::Error>(json_response(200, &json!({ "incarnation": incarnation })))
@@ -87,23 +87,23 @@
             let runs = counted.runs.lock().expect("no holder panics").clone();
             async move { Ok::<_, viz::Error>(json_response(200, &json!(runs))) as Result<Response> }
         })
-        // Switches for tests of whole processes: /knobs/hold/1, /knobs/status/500 and so on.
+        // Fault injection for tests with separate processes, such as POST /knobs/status/500.
         .post("/knobs/:name/:value", move |request: Request| {
-            let answer = turn_knob(&switched, &request);
-            async move { Ok::<_, viz::Error>(answer) as Result<Response> }
+            let response = set_control(&switchable, &request);
+            async move { Ok::<_, viz::Error>(response) as Result<Response> }
         })
         .any("/*", move |request: Request| run(Arc::clone(&controls), request))
 }
 
-fn turn_knob(controls: &ServiceControls, request: &Request) -> Response {
+fn set_control(controls: &ServiceControls, request: &Request) -> Response {
     let name: String = request.param("name").unwrap_or_default();
     let value: u64 = request.param("value").unwrap_or_default();
     match name.as_str() {
         "hold" if value == 0 => controls.release(),
         "hold" => controls.hold.store(value, Ordering::SeqCst),
         "status" => controls.status.store(value, Ordering::SeqCst),
-        "break_off" => controls.break_off.store(value, Ordering::SeqCst),
-        _ => return json_response(404, &json!({ "error": "no such knob" })),
+        "break_off" => controls.break_connection.store(value, Ordering::SeqCst),
+        _ => return json_response(404, &json!({ "error": "unknown control" })),
     }
     json_response(200, &json!({ name: value }))
 }
@@ -135,8 +135,8 @@
             released.await;
         }
     }
-    if controls.break_off.load(Ordering::SeqCst) != 0 {
-        let broken = futures::stream::iter([Err::<Bytes, _>(io::Error::other("broken off"))]);
+    if controls.break_connection.load(Ordering::SeqCst) != 0 {
+        let broken = futures::stream::iter([Err::<Bytes, _>(io::Error::other("broken by test"))]);
         return Ok(Response::new(Body::from_stream(broken)));
     }
     let status = match controls.status.load(Ordering::SeqCst) {
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,5 +1,6 @@
-//! A caller sends something that cannot be served. It must get a 4xx that says what to change and
-//! that nothing ran; the daemon must not panic, hang or lose other callers' requests.
+//! Invalid requests must be refused with a 4xx status, a message that states what to change, and
+//! the information that nothing ran. The daemon must not panic, hang or lose other callers'
+//! requests.
 
 #[path = "../examples/fakes/engine.rs"]
 mod engine;
@@ -25,11 +26,11 @@
     tokio::io::{AsyncReadExt, AsyncWriteExt},
 };
 
-const CHAT: &str = "/v1/chat/completions";
-const BOOKING: &str = "/services/dispatch-app/bookings";
-const GOOD: &str = r#"{"model":"basket-llm","messages":[{"role":"user","content":"x"}]}"#;
+const CHAT_PATH: &str = "/v1/chat/completions";
+const CALL_PATH: &str = "/services/dispatch-app/bookings";
+const VALID_BODY: &str = r#"{"model":"basket-llm","messages":[{"role":"user","content":"x"}]}"#;
 
-/// Method, path, headers, body, then the expected status and code.
+/// Method, path, headers, body, expected status and expected error code.
 type BadCase = (
     &'static str,
     &'static str,
@@ -39,75 +40,80 @@
     &'static str,
 );
 
-const KEYED: &[(&str, &str)] = &[("authorization", KEY)];
+const WITH_KEY: &[(&str, &str)] = &[("authorization", KEY)];
 
 const CASES: [BadCase; 17] = [
-    ("POST", CHAT, &[], GOOD, 401, "no_key"),
-    ("POST", CHAT, &[("authorization", "Basic firm-key")], GOOD, 401, "no_key"),
-    ("POST", CHAT, &[("authorization", "Bearer stolen")], GOOD, 401, "unknown_key"),
-    ("POST", CHAT, &[("authorization", "Bearer rival-key")], GOOD, 403, "not_allowed"),
-    ("POST", CHAT, KEYED, "{", 400, "bad_request"),
-    ("POST", CHAT, KEYED, "[]", 400, "bad_request"),
-    ("POST", CHAT, KEYED, r#"{"messages":[]}"#, 400, "bad_request"),
-    ("POST", CHAT, KEYED, r#"{"model":"basket-llm","messages":[]}"#, 400, "bad_request"),
-    ("POST", CHAT, KEYED, r#"{"model":"basket-llm","messages":[1]}"#, 400, "bad_request"),
-    ("POST", "/v1/completions", KEYED, r#"{"model":"basket-llm"}"#, 400, "bad_request"),
-    ("POST", "/v1/completions", KEYED, r#"{"model":"no","prompt":"x"}"#, 404, "not_found"),
+    ("POST", CHAT_PATH, &[], VALID_BODY, 401, "no_key"),
+    ("POST", CHAT_PATH, &[("authorization", "Basic firm-key")], VALID_BODY, 401, "no_key"),
+    ("POST", CHAT_PATH, &[("authorization", "Bearer stolen")], VALID_BODY, 401, "unknown_key"),
+    ("POST", CHAT_PATH, &[("authorization", "Bearer rival-key")], VALID_BODY, 403, "not_allowed"),
+    ("POST", CHAT_PATH, WITH_KEY, "{", 400, "bad_request"),
+    ("POST", CHAT_PATH, WITH_KEY, "[]", 400, "bad_request"),
+    ("POST", CHAT_PATH, WITH_KEY, r#"{"messages":[]}"#, 400, "bad_request"),
+    ("POST", CHAT_PATH, WITH_KEY, r#"{"model":"basket-llm","messages":[]}"#, 400, "bad_request"),
+    ("POST", CHAT_PATH, WITH_KEY, r#"{"model":"basket-llm","messages":[1]}"#, 400, "bad_request"),
+    ("POST", "/v1/completions", WITH_KEY, r#"{"model":"basket-llm"}"#, 400, "bad_request"),
+    ("POST", "/v1/completions", WITH_KEY, r#"{"model":"no","prompt":"x"}"#, 404, "not_found"),
     (
         "POST",
-        CHAT,
+        CHAT_PATH,
         &[("authorization", KEY), ("x-oleandermount-class", "vip")],
-        GOOD,
+        VALID_BODY,
         400,
         "bad_request",
     ),
     (
         "POST",
-        CHAT,
+        CHAT_PATH,
         &[("authorization", KEY), ("x-oleandermount-deadline-ms", "-1")],
-        GOOD,
+        VALID_BODY,
         400,
         "bad_request",
     ),
-    ("POST", BOOKING, KEYED, "{}", 428, "key_missing"),
+    ("POST", CALL_PATH, WITH_KEY, "{}", 428, "key_missing"),
     (
         "POST",
-        BOOKING,
+        CALL_PATH,
         &[("authorization", KEY), ("idempotency-key", " ")],
         "{}",
         400,
         "bad_request",
     ),
-    ("GET", "/services/no-app/x", KEYED, "", 404, "not_found"),
-    ("PATCH", "/v1/chat", KEYED, "", 404, "not_found"),
+    ("GET", "/services/no-app/x", WITH_KEY, "", 404, "not_found"),
+    ("PATCH", "/v1/chat", WITH_KEY, "", 404, "not_found"),
 ];
 
-async fn refused(callers: SocketAddr, case: &BadCase) {
+async fn check_refusal(callers: SocketAddr, case: &BadCase) {
     let (method, path, headers, body, status, code) = case;
-    let answer = http_client::send(callers, method, path, headers, *body).await;
-    let answer = answer.expect("an answer");
-    let text = String::from_utf8_lossy(&answer.body);
-    assert_eq!((answer.status.as_u16(), answer.code().as_str()), (*status, *code), "{body} {text}");
-    assert_eq!(answer.json()["error"]["did_run"], "no", "{text}");
-    let message = answer.json()["error"]["message"].as_str().unwrap_or_default().len();
+    let response = http_client::send(callers, method, path, headers, *body).await;
+    let response = response.expect("a response");
+    let text = String::from_utf8_lossy(&response.body);
+    assert_eq!(
+        (response.status.as_u16(), response.code().as_str()),
+        (*status, *code),
+        "{body} {text}"
+    );
+    assert_eq!(response.json()["error"]["did_run"], "no", "{text}");
+    let message = response.json()["error"]["message"].as_str().unwrap_or_default().len();
     assert!(message > 10, "the message names no remedy: {text}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_bad_request_gets_a_remedy() {
+async fn each_invalid_request_gets_a_remedy() {
     let engine = FakeEngine::start(EngineBehaviour::default()).await.expect("it starts");
     let service = FakeService::start(([127, 0, 0, 1], 0).into()).await.expect("it starts");
     let daemon = LoneDaemon::start(&[engine.address()], &[service.address()]).await;
     for case in &CASES {
-        refused(daemon.callers(), case).await;
+        check_refusal(daemon.callers(), case).await;
     }
     let long: &'static str = Box::leak("x".repeat(300_000).into_boxed_str());
-    refused(daemon.callers(), &("POST", CHAT, KEYED, long, 413, "too_large")).await;
+    check_refusal(daemon.callers(), &("POST", CHAT_PATH, WITH_KEY, long, 413, "too_large")).await;
     let many: Vec<(&str, &str)> = [("authorization", KEY)].repeat(120);
     let many: &'static [(&str, &str)] = Box::leak(many.into_boxed_slice());
-    refused(daemon.callers(), &("POST", CHAT, many, GOOD, 431, "too_large")).await;
-    let answer = http_client::send(daemon.callers(), "POST", CHAT, KEYED, GOOD).await;
-    assert_eq!(answer.expect("an answer").status, 200);
+    check_refusal(daemon.callers(), &("POST", CHAT_PATH, many, VALID_BODY, 431, "too_large")).await;
+    let response =
+        http_client::send(daemon.callers(), "POST", CHAT_PATH, WITH_KEY, VALID_BODY).await;
+    assert_eq!(response.expect("a response").status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -116,25 +122,25 @@
     let daemon = LoneDaemon::start(&[], &[service.address()]).await;
     let headers = [("authorization", KEY), ("idempotency-key", "k")];
     let send =
-        |body: &'static str| http_client::send(daemon.callers(), "POST", BOOKING, &headers, body);
-    assert_eq!(send("{}").await.expect("an answer").status, 200);
-    let other = send(r#"{"slot":2}"#).await.expect("an answer");
+        |body: &'static str| http_client::send(daemon.callers(), "POST", CALL_PATH, &headers, body);
+    assert_eq!(send("{}").await.expect("a response").status, 200);
+    let other = send(r#"{"slot":2}"#).await.expect("a response");
     assert_eq!((other.status.as_u16(), other.code().as_str()), (409, "key_reused"));
     assert_eq!(service.controls.runs_of("k"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_body_is_cut() {
+async fn slow_body_times_out() {
     let engine = FakeEngine::start(EngineBehaviour::default()).await.expect("it starts");
     let daemon = LoneDaemon::start(&[engine.address()], &[]).await;
     let mut stream = tokio::net::TcpStream::connect(daemon.callers()).await.expect("it accepts");
     let head = format!(
-        "POST {CHAT} HTTP/1.1\r\nhost: r\r\nauthorization: {KEY}\r\ncontent-length: 50\r\n\r\n{{"
+        "POST {CHAT_PATH} HTTP/1.1\r\nhost: r\r\nauthorization: {KEY}\r\ncontent-length: 50\r\n\r\n{{"
     );
     stream.write_all(head.as_bytes()).await.expect("it reads");
-    let mut answer = vec![0; 12];
-    stream.read_exact(&mut answer).await.expect("it answers");
-    assert_eq!(String::from_utf8_lossy(&answer), "HTTP/1.1 408");
+    let mut response = vec![0; 12];
+    stream.read_exact(&mut response).await.expect("a response");
+    assert_eq!(String::from_utf8_lossy(&response), "HTTP/1.1 408");
 }
 
 fn check() -> QuickCheck {
@@ -142,7 +148,7 @@
 }
 
 #[test]
-fn prompt_parser_takes_any_bytes() {
+fn prompt_parser_accepts_any_bytes() {
     fn property(bytes: Vec<u8>, form: bool) -> bool {
         let form = if form { PromptFormat::Chat } else { PromptFormat::Text };
         ParsedPrompt::parse(form, &bytes).map_or_else(|refusal| refusal.status == 400, |_| true)
@@ -151,7 +157,7 @@
 }
 
 #[test]
-fn events_do_not_depend_on_where_bytes_are_cut() {
+fn events_are_independent_of_chunk_boundaries() {
     fn property(words: Vec<String>, cuts: Vec<usize>) -> bool {
         let words: Vec<String> =
             words.into_iter().map(|word| word.replace(['\n', '\r'], "")).collect();
--- a/tests/caller_disconnect.rs
+++ b/tests/caller_disconnect.rs
@@ -1,5 +1,6 @@
-//! A caller leaves while its request runs. The engine must be told to stop, or it generates for
-//! nobody and the next caller waits; a booking goes on, and the caller's resend gets its answer.
+//! A caller disconnects while its request runs. A generation must be cancelled at the engine, so
+//! that it does not delay other callers. A non-repeatable call must continue, and a retry by the
+//! caller must get its response.
 
 #[path = "../examples/fakes/engine.rs"]
 mod engine;
@@ -22,18 +23,18 @@
     tokio::{task::yield_now, time::timeout},
 };
 
-/// Waits for the condition; the limit only turns a hang into a failure.
+/// Waits for the condition; the timeout only turns a hang into a failure.
 async fn until(condition: impl Fn() -> bool) {
     let wait = async {
         while !condition() {
             yield_now().await;
         }
     };
-    timeout(Duration::from_secs(60), wait).await.expect("the condition comes about");
+    timeout(Duration::from_secs(60), wait).await.expect("the condition holds in time");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn engine_is_told_to_stop() {
+async fn generation_is_cancelled() {
     let behaviour = EngineBehaviour { token: Duration::from_millis(5), ..Default::default() };
     let engine = FakeEngine::start(behaviour).await.expect("it starts");
     let daemon = LoneDaemon::start(&[engine.address()], &[]).await;
@@ -45,14 +46,14 @@
     let path = "/v1/chat/completions";
     let open = http_client::open(daemon.callers(), "POST", path, &headers, body.to_string()).await;
     let mut open = open.expect("the stream opens");
-    open.response.body_mut().frame().await.expect("a first event").expect("it is whole");
+    open.response.body_mut().frame().await.expect("a first event").expect("no connection error");
     drop(open);
     until(|| engine.controls.cancelled.load(Ordering::SeqCst) == 1).await;
     until(|| engine.controls.dropped.load(Ordering::SeqCst) == 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn booking_goes_on_without_its_caller() {
+async fn non_repeatable_call_continues_without_its_caller() {
     let service = FakeService::start(([127, 0, 0, 1], 0).into()).await.expect("it starts");
     let daemon = LoneDaemon::start(&[], &[service.address()]).await;
     service.controls.hold.store(1, Ordering::SeqCst);
@@ -65,8 +66,8 @@
     until(|| service.controls.runs_of("gone") == 1).await;
     first.abort();
     service.controls.release();
-    let resent = http_client::send(callers, "POST", path, &headers, "{}").await;
-    let resent = resent.expect("an answer");
-    assert_eq!((resent.status.as_u16(), &resent.json()["run"]), (200, &json!(1)));
+    let retried = http_client::send(callers, "POST", path, &headers, "{}").await;
+    let retried = retried.expect("a response");
+    assert_eq!((retried.status.as_u16(), &retried.json()["run"]), (200, &json!(1)));
     assert_eq!(service.controls.runs_of("gone"), 1);
 }
--- a/tests/claim_release.rs
+++ b/tests/claim_release.rs
@@ -1,5 +1,5 @@
-//! A claim ends when its daemon gives it up, however late and in whatever order its messages reach
-//! the ledger: daemons share a ledger whose network holds proposals back.
+//! Abandoned claims must be released, however late and in whatever order the proposals of a daemon
+//! reach the ledger. The daemons share a ledger, and proposals to it are delayed or lost.
 
 use {
     futures::future::BoxFuture,
@@ -29,23 +29,23 @@
     },
 };
 
-/// Long enough for a few questions to the ledger.
-const HASTY: Duration = Duration::from_millis(400);
-/// Far longer than a claim that nobody else holds takes.
-const PATIENT: Duration = Duration::from_secs(20);
+/// Long enough for a few proposals to the ledger.
+const SHORT_WAIT: Duration = Duration::from_millis(400);
+/// Far longer than claiming a call takes that no other daemon has claimed.
+const LONG_WAIT: Duration = Duration::from_secs(20);
 
-/// More than the pauses between two tries take to become the longest.
-const LOST_ENDS: u32 = 20;
-/// Between two looks at a condition.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+/// More retries than it takes until the interval between them has reached its maximum.
+const LOST_OUTCOMES: u32 = 20;
+/// Interval at which conditions are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One ledger for all daemons.
+/// The ledger that all daemons share.
 #[derive(Default)]
 struct SharedLedger {
     state: Mutex<ControlState>,
-    /// First proposals that a slow network holds, in order.
-    held: Mutex<Vec<Command>>,
-    /// Ends of claims that got lost.
+    /// Delayed proposals, in order.
+    delayed: Mutex<Vec<Command>>,
+    /// Number of lost proposals of claim outcomes.
     lost: AtomicU32,
 }
 
@@ -54,53 +54,53 @@
         self.state.lock().expect("no holder panics").apply(FencingNumber::default(), command)
     }
 
-    /// Lets the held proposals arrive.
-    fn deliver_held(&self) -> Vec<CommandOutcome> {
-        let held = std::mem::take(&mut *self.held.lock().expect("no holder panics"));
-        held.iter().map(|command| self.apply(command)).collect()
+    /// Applies the delayed proposals.
+    fn deliver_delayed(&self) -> Vec<CommandOutcome> {
+        let delayed = std::mem::take(&mut *self.delayed.lock().expect("no holder panics"));
+        delayed.iter().map(|command| self.apply(command)).collect()
     }
 }
 
-/// What happens to a daemon's proposals on their way.
+/// Faults that affect the proposals of a daemon.
 #[derive(Clone, Copy, Default)]
-struct RouteFaults {
-    /// Reservations that are held back, each with an unknown outcome.
-    delays: u32,
-    /// Reservations after these that are held back without any reply.
-    stalls: u32,
-    /// Proposals of claims' ends that get lost before they reach a replica.
-    lost_ends: u32,
+struct LedgerFaults {
+    /// Number of reservations that are delayed and return an unknown outcome.
+    delayed_reservations: u32,
+    /// Number of further reservations that are delayed and get no reply.
+    unanswered_reservations: u32,
+    /// Number of proposals of claim outcomes that are lost before they reach a replica.
+    lost_outcomes: u32,
 }
 
-/// A daemon's way to the ledger.
-struct LedgerRoute {
+/// A daemon's access to the ledger.
+struct FaultyLedger {
     ledger: Arc<SharedLedger>,
-    faults: Mutex<RouteFaults>,
+    faults: Mutex<LedgerFaults>,
 }
 
-impl LedgerRoute {
-    fn hold(&self, command: Command) {
-        self.ledger.held.lock().expect("no holder panics").push(command);
+impl FaultyLedger {
+    fn delay(&self, command: Command) {
+        self.ledger.delayed.lock().expect("no holder panics").push(command);
     }
 }
 
-impl ControlPort for LedgerRoute {
+impl ControlPort for FaultyLedger {
     fn propose(&self, command: Command) -> BoxFuture<'_, Result<CommandOutcome, ProposeError>> {
         let mut faults = self.faults.lock().expect("no holder panics");
-        let is_end = matches!(command, Command::Release { .. } | Command::MarkUnknown { .. });
+        let is_outcome = matches!(command, Command::Release { .. } | Command::MarkUnknown { .. });
         let outcome = match command {
-            Command::Reserve { .. } if faults.delays > 0 => {
-                faults.delays -= 1;
-                self.hold(command);
+            Command::Reserve { .. } if faults.delayed_reservations > 0 => {
+                faults.delayed_reservations -= 1;
+                self.delay(command);
                 Err(ProposeError::OutcomeUnknown)
             }
-            Command::Reserve { .. } if faults.stalls > 0 => {
-                faults.stalls -= 1;
-                self.hold(command);
+            Command::Reserve { .. } if faults.unanswered_reservations > 0 => {
+                faults.unanswered_reservations -= 1;
+                self.delay(command);
                 return Box::pin(std::future::pending());
             }
-            _ if is_end && faults.lost_ends > 0 => {
-                faults.lost_ends -= 1;
+            _ if is_outcome && faults.lost_outcomes > 0 => {
+                faults.lost_outcomes -= 1;
                 self.ledger.lost.fetch_add(1, Ordering::SeqCst);
                 Err(ProposeError::NoQuorum)
             }
@@ -110,8 +110,8 @@
     }
 }
 
-/// A daemon that reaches the ledger.
-fn daemon(ledger: &Arc<SharedLedger>, vm: &str, faults: RouteFaults) -> Arc<PipelineCore> {
+/// Creates a daemon with access to the ledger.
+fn daemon(ledger: &Arc<SharedLedger>, vm: &str, faults: LedgerFaults) -> Arc<PipelineCore> {
     let trace = Arc::new(TraceLog::default());
     let dispatcher = Dispatcher::new(DispatcherSettings {
         daemon: vm.to_owned(),
@@ -123,113 +123,130 @@
         vm: vm.to_owned(),
         incarnation: 1,
         dispatcher: DispatcherHandle::new(dispatcher, mpsc::channel(1).0, Arc::clone(&trace)),
-        control: Arc::new(LedgerRoute { ledger: Arc::clone(ledger), faults: Mutex::new(faults) }),
+        control: Arc::new(FaultyLedger { ledger: Arc::clone(ledger), faults: Mutex::new(faults) }),
         gate: DrainGate::default(),
         trace,
     })
 }
 
 /// Claims the call; `None` if the deadline passes first.
-async fn book(core: &Arc<PipelineCore>, wait: Duration) -> Option<ClaimResult> {
+async fn try_claim(core: &Arc<PipelineCore>, wait: Duration) -> Option<ClaimResult> {
     let arrived = Instant::now();
-    let terms = CallerContext {
+    let caller = CallerContext {
         organisation: "firm".to_owned(),
         class: RequestClass::Interactive,
         arrived,
         deadline: arrived + wait,
     };
     let fuse = SendState::default();
-    claim(core, &terms, "slot".to_owned(), "f1".to_owned(), &fuse).await.ok()
+    claim(core, &caller, "slot".to_owned(), "f1".to_owned(), &fuse).await.ok()
 }
 
-async fn granted(core: &Arc<PipelineCore>, wait: Duration) -> CallClaim<Claimed> {
-    match book(core, wait).await {
+async fn grant_claim(core: &Arc<PipelineCore>, wait: Duration) -> CallClaim<Claimed> {
+    match try_claim(core, wait).await {
         Some(ClaimResult::Granted(claim)) => claim,
         Some(ClaimResult::Answered(answer)) => panic!("answered: {answer:?}"),
-        None => panic!("nobody runs the call, and it is not granted"),
+        None => panic!("no daemon runs the call, but it is not granted"),
     }
 }
 
-async fn until(holds: impl Fn() -> bool) {
-    let mut ticks = interval(LOOK_AGAIN);
+async fn wait_until(holds: impl Fn() -> bool) {
+    let mut ticks = interval(POLL_INTERVAL);
     while !holds() {
         ticks.tick().await;
     }
 }
 
-// Guards against a claim for nobody by a reservation that arrives after its daemon has dropped it.
+// Guards against an abandoned claim by a reservation that is applied after its daemon has dropped
+// the attempt.
 #[tokio::test]
-async fn dropped_attempt_claims_nothing() {
+async fn late_reservation_of_dropped_attempt_is_released() {
     let ledger = Arc::new(SharedLedger::default());
-    let [a, c] = ["a-1", "c-1"].map(|vm| daemon(&ledger, vm, RouteFaults::default()));
-    let b = daemon(&ledger, "b-1", RouteFaults { delays: 1, ..RouteFaults::default() });
-    let first = granted(&a, HASTY).await;
-    assert!(book(&b, HASTY).await.is_none(), "another daemon holds the call");
+    let [a, c] = ["a-1", "c-1"].map(|vm| daemon(&ledger, vm, LedgerFaults::default()));
+    let b =
+        daemon(&ledger, "b-1", LedgerFaults { delayed_reservations: 1, ..LedgerFaults::default() });
+    let first = grant_claim(&a, SHORT_WAIT).await;
+    assert!(try_claim(&b, SHORT_WAIT).await.is_none(), "another daemon holds the call");
     first.release();
     tokio::task::yield_now().await;
-    assert_eq!(ledger.deliver_held(), [CommandOutcome::Released], "nobody waits for this grant");
-    granted(&c, PATIENT).await.release();
+    assert_eq!(ledger.deliver_delayed(), [CommandOutcome::Released], "the attempt was dropped");
+    grant_claim(&c, LONG_WAIT).await.release();
 }
 
-// Guards against the same where the ledger is never told that the attempt was given back.
+// Guards against an abandoned claim if in addition the release of the attempt never reaches the
+// ledger.
 #[tokio::test(start_paused = true)]
-async fn floor_frees_late_grant() {
+async fn attempt_floor_releases_late_grant() {
     let ledger = Arc::new(SharedLedger::default());
-    let [a, c] = ["a-1", "c-1"].map(|vm| daemon(&ledger, vm, RouteFaults::default()));
-    let lost = RouteFaults { delays: 1, lost_ends: u32::MAX, ..RouteFaults::default() };
+    let [a, c] = ["a-1", "c-1"].map(|vm| daemon(&ledger, vm, LedgerFaults::default()));
+    let lost = LedgerFaults {
+        delayed_reservations: 1,
+        lost_outcomes: u32::MAX,
+        ..LedgerFaults::default()
+    };
     let b = daemon(&ledger, "b-1", lost);
     tokio::spawn(report_attempt_floor(Arc::clone(&b)));
-    let first = granted(&a, HASTY).await;
-    assert!(book(&b, HASTY).await.is_none(), "another daemon holds the call");
+    let first = grant_claim(&a, SHORT_WAIT).await;
+    assert!(try_claim(&b, SHORT_WAIT).await.is_none(), "another daemon holds the call");
     first.release();
     tokio::task::yield_now().await;
-    ledger.deliver_held();
-    granted(&c, PATIENT).await.release();
+    ledger.deliver_delayed();
+    grant_claim(&c, LONG_WAIT).await.release();
 }
 
-// Guards against a claim for nobody when a caller's task ends while its reservation is under way.
+// Guards against an abandoned claim if a caller's task ends while its reservation is being
+// proposed.
 #[tokio::test(start_paused = true)]
-async fn ended_task_claims_nothing() {
+async fn ended_task_releases_its_reservation() {
     let ledger = Arc::new(SharedLedger::default());
-    let a = daemon(&ledger, "a-1", RouteFaults { stalls: 1, ..RouteFaults::default() });
-    let c = daemon(&ledger, "c-1", RouteFaults::default());
-    let ended = timeout(HASTY, book(&a, PATIENT)).await;
+    let a = daemon(
+        &ledger,
+        "a-1",
+        LedgerFaults { unanswered_reservations: 1, ..LedgerFaults::default() },
+    );
+    let c = daemon(&ledger, "c-1", LedgerFaults::default());
+    let ended = timeout(SHORT_WAIT, try_claim(&a, LONG_WAIT)).await;
     assert!(ended.is_err(), "the reservation has no reply");
-    ledger.deliver_held();
-    granted(&c, PATIENT).await.release();
+    ledger.deliver_delayed();
+    grant_claim(&c, LONG_WAIT).await.release();
 }
 
-// Guards against a second run of a sent call whose task ends before it tells what became of it.
+// Guards against a second run of a sent call whose task ends before it has recorded the outcome.
 #[tokio::test(start_paused = true)]
-async fn ended_task_keeps_sent_call() {
+async fn ended_task_records_sent_call() {
     let ledger = Arc::new(SharedLedger::default());
-    let a = daemon(&ledger, "a-1", RouteFaults { lost_ends: LOST_ENDS, ..RouteFaults::default() });
-    let c = daemon(&ledger, "c-1", RouteFaults::default());
+    let a = daemon(
+        &ledger,
+        "a-1",
+        LedgerFaults { lost_outcomes: LOST_OUTCOMES, ..LedgerFaults::default() },
+    );
+    let c = daemon(&ledger, "c-1", LedgerFaults::default());
     tokio::spawn(report_attempt_floor(Arc::clone(&a)));
     let floor = a.claims.floor();
-    let sent = granted(&a, HASTY).await.send();
+    let sent = grant_claim(&a, SHORT_WAIT).await.send();
     drop(sent);
-    until(|| {
-        assert_eq!(a.claims.floor(), floor, "the ledger does not know yet what became of the call");
-        ledger.lost.load(Ordering::SeqCst) == LOST_ENDS
+    wait_until(|| {
+        assert_eq!(a.claims.floor(), floor, "the outcome of the call is not in the ledger yet");
+        ledger.lost.load(Ordering::SeqCst) == LOST_OUTCOMES
     })
     .await;
-    until(|| a.claims.floor() > floor).await;
-    assert!(book(&c, HASTY).await.is_none(), "it may have run");
+    wait_until(|| a.claims.floor() > floor).await;
+    assert!(try_claim(&c, SHORT_WAIT).await.is_none(), "the call may have run");
 }
 
-// Guards against bookings refused for good at a daemon that the ledger has forgotten.
+// Guards against permanently refused calls at a daemon that the ledger has evicted.
 #[tokio::test(start_paused = true)]
-async fn forgotten_daemon_books_again() {
+async fn forgotten_daemon_claims_again() {
     let ledger = Arc::new(SharedLedger::default());
-    let a = daemon(&ledger, "a-1", RouteFaults { delays: 1, ..RouteFaults::default() });
-    granted(&a, PATIENT).await.release();
+    let a =
+        daemon(&ledger, "a-1", LedgerFaults { delayed_reservations: 1, ..LedgerFaults::default() });
+    grant_claim(&a, LONG_WAIT).await.release();
     tokio::task::yield_now().await;
     for number in 0..2 * 1024 {
         let (vm, now_ms) = (format!("other-{number}"), u64::MAX / 2);
         ledger.apply(&Command::NoteLife { vm, incarnation: 1, now_ms });
     }
-    let late = ledger.deliver_held();
+    let late = ledger.deliver_delayed();
     assert!(matches!(late[..], [CommandOutcome::Forgotten { .. }]), "{late:?}");
-    granted(&a, PATIENT).await.release();
+    grant_claim(&a, LONG_WAIT).await.release();
 }
--- a/tests/graceful_drain.rs
+++ b/tests/graceful_drain.rs
@@ -1,6 +1,5 @@
-//! A daemon is told to stop while callers read streams from it. Each stream must arrive whole, new
-//! requests are refused as not run, and the balancer reads from `/readyz` that it should go
-//! elsewhere; a stream cut by a restart is a chat reply that an office never gets.
+//! A draining daemon must complete its open streams, refuse new requests as not run, and report on
+//! `/readyz` that it is not ready, so that a restart does not truncate responses.
 
 #[path = "../examples/fakes/engine.rs"]
 mod engine;
@@ -22,23 +21,23 @@
 
 const STREAMS: u64 = 24;
 
-async fn ask(callers: SocketAddr, question: u64) -> http_client::BufferedResponse {
+async fn chat(callers: SocketAddr, question: u64) -> http_client::BufferedResponse {
     let body = json!({
         "model": MODEL, "stream": true, "max_tokens": 30,
         "messages": [{ "role": "user", "content": question.to_string() }],
     });
     let headers = [("authorization", KEY)];
     let path = "/v1/chat/completions";
-    http_client::send(callers, "POST", path, &headers, body.to_string()).await.expect("an answer")
+    http_client::send(callers, "POST", path, &headers, body.to_string()).await.expect("a response")
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn drain_cuts_no_stream() {
+async fn drain_completes_open_streams() {
     let engine = FakeEngine::start(EngineBehaviour::default()).await.expect("it starts");
     engine.controls.hold.store(1, Ordering::SeqCst);
     let daemon = LoneDaemon::start(&[engine.address()], &[]).await;
     let callers = daemon.callers();
-    let streams: Vec<_> = (0..STREAMS).map(|number| tokio::spawn(ask(callers, number))).collect();
+    let streams: Vec<_> = (0..STREAMS).map(|number| tokio::spawn(chat(callers, number))).collect();
     while engine.controls.started.load(Ordering::SeqCst) < 1 {
         yield_now().await;
     }
@@ -46,22 +45,22 @@
     while !daemon.metrics().await.contains(in_flight) {
         yield_now().await;
     }
-    let (draining, _folder) = daemon.drain();
+    let (draining, _directory) = daemon.drain();
     let finishing = tokio::spawn(draining.finish(std::future::pending()));
-    // The streams are held, so the daemon has to go on answering on its port.
+    // The streams are held, so that the daemon has to keep responding on its port.
     for _ in 0..20 {
         let ready = http_client::send(callers, "GET", "/readyz", &[], "").await;
-        assert_eq!(ready.expect("an answer").status, 503);
-        let refused = ask(callers, 99).await;
+        assert_eq!(ready.expect("a response").status, 503);
+        let refused = chat(callers, 99).await;
         assert_eq!((refused.status.as_u16(), refused.code().as_str()), (503, "draining"));
         assert_eq!(refused.json()["error"]["did_run"], "no");
         assert!(refused.retry_after.is_some());
     }
-    assert!(!finishing.is_finished(), "the daemon stopped before its streams were whole");
+    assert!(!finishing.is_finished(), "the daemon stopped before its streams were complete");
     engine.controls.release();
     assert_eq!(finishing.await.expect("no panic").cut, 0);
-    for answer in join_all(streams).await {
-        let text = String::from_utf8_lossy(&answer.expect("no panic").body).into_owned();
+    for response in join_all(streams).await {
+        let text = String::from_utf8_lossy(&response.expect("no panic").body).into_owned();
         assert_eq!(text.matches("\"content\"").count(), 30, "{text}");
         assert!(text.ends_with("data: [DONE]\n\n"), "{text}");
     }
--- a/tests/stream_order.rs
+++ b/tests/stream_order.rs
@@ -1,6 +1,6 @@
-//! A caller reads a streamed answer while its engine breaks off in the middle. It must get every
-//! word once and in order and then `[DONE]`, or an error event and no `[DONE]`: half an answer
-//! that looks whole makes a dispatcher send a wrong reply.
+//! An engine's stream breaks in the middle. The caller must receive each word once, in order and
+//! followed by `[DONE]`, or an error event without `[DONE]`, so that it does not mistake a partial
+//! response for the complete one.
 
 #[path = "../examples/fakes/engine.rs"]
 mod engine;
@@ -20,17 +20,17 @@
 
 const TOKENS: u64 = 40;
 
-async fn ask(callers: SocketAddr, question: &str, stream: bool) -> http_client::BufferedResponse {
+async fn chat(callers: SocketAddr, question: &str, stream: bool) -> http_client::BufferedResponse {
     let body = json!({
         "model": MODEL, "stream": stream, "max_tokens": TOKENS,
         "messages": [{ "role": "user", "content": question }],
     });
     let headers = [("authorization", KEY)];
     let path = "/v1/chat/completions";
-    http_client::send(callers, "POST", path, &headers, body.to_string()).await.expect("an answer")
+    http_client::send(callers, "POST", path, &headers, body.to_string()).await.expect("a response")
 }
 
-/// The words of a stream, in the order of arrival.
+/// The words of a streamed response, in the order of arrival.
 fn streamed_words(body: &[u8]) -> String {
     String::from_utf8_lossy(body)
         .lines()
@@ -54,41 +54,41 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_stream_goes_on_elsewhere() {
+async fn broken_stream_resumes_on_another_engine() {
     let engines = engines(2).await;
     let daemon = daemon_before(&engines).await;
     let questions: Vec<String> = (0..8).map(|number| format!("question {number}")).collect();
     engines[0].controls.break_after.store(25, Ordering::SeqCst);
     let mut broken = Vec::new();
     for question in &questions {
-        broken.push(ask(daemon.callers(), question, true).await);
+        broken.push(chat(daemon.callers(), question, true).await);
     }
     let resumed = "oleandermount_retries_total{reason=\"stream_resumed\"} ";
     let metrics = daemon.metrics().await;
     let count = metrics.lines().find_map(|line| line.strip_prefix(resumed));
-    assert_ne!(count, Some("0"), "no stream met the engine that breaks off");
+    assert_ne!(count, Some("0"), "no stream used the engine that breaks streams");
     engines[0].controls.break_after.store(0, Ordering::SeqCst);
-    for (question, answer) in questions.iter().zip(broken) {
-        let whole = streamed_words(&ask(daemon.callers(), question, true).await.body);
-        assert_eq!(whole.split_whitespace().count() as u64, TOKENS);
-        let text = String::from_utf8_lossy(&answer.body);
-        assert_eq!(streamed_words(&answer.body), whole, "{text}");
+    for (question, response) in questions.iter().zip(broken) {
+        let complete = streamed_words(&chat(daemon.callers(), question, true).await.body);
+        assert_eq!(complete.split_whitespace().count() as u64, TOKENS);
+        let text = String::from_utf8_lossy(&response.body);
+        assert_eq!(streamed_words(&response.body), complete, "{text}");
         assert!(text.ends_with("data: [DONE]\n\n"), "{text}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn stream_without_another_engine_ends_truthfully() {
+async fn stream_without_another_engine_ends_with_an_error() {
     let engines = engines(1).await;
     let daemon = daemon_before(&engines).await;
-    let whole = streamed_words(&ask(daemon.callers(), "first", true).await.body);
+    let complete = streamed_words(&chat(daemon.callers(), "first", true).await.body);
     engines[0].controls.break_after.store(25, Ordering::SeqCst);
-    let answer = ask(daemon.callers(), "first", true).await;
-    let text = String::from_utf8_lossy(&answer.body);
-    assert!(whole.starts_with(&streamed_words(&answer.body)), "{text}");
+    let response = chat(daemon.callers(), "first", true).await;
+    let text = String::from_utf8_lossy(&response.body);
+    assert!(complete.starts_with(&streamed_words(&response.body)), "{text}");
     assert!(text.contains("event: error\n"), "{text}");
     assert!(!text.contains("[DONE]"), "{text}");
-    // Not streamed, the same break must not give a short answer.
-    let answer = ask(daemon.callers(), "second", false).await;
-    assert_eq!(answer.status, 502, "{}", String::from_utf8_lossy(&answer.body));
+    // Without streaming, the same failure must not yield a truncated response.
+    let response = chat(daemon.callers(), "second", false).await;
+    assert_eq!(response.status, 502, "{}", String::from_utf8_lossy(&response.body));
 }
--- a/tests/uncertain_refusal.rs
+++ b/tests/uncertain_refusal.rs
@@ -1,6 +1,6 @@
-//! A caller books, loses the answer and sends again through another daemon. That daemon sees the
-//! first run in the ledger and waits for it; then the quorum is lost. It must not say that the
-//! booking did not run: the run it saw may be the caller's own.
+//! A caller retries a call through another daemon, which finds the first run in the ledger and
+//! waits for it. Then the quorum is lost. The refusal must not state that the call did not run,
+//! because the observed run may be the caller's own.
 
 use {
     futures::future::BoxFuture,
@@ -24,15 +24,15 @@
     tokio::sync::mpsc,
 };
 
-/// A ledger that has the call running at its first answers, and then loses its quorum.
-struct FadingLedger {
-    answers: AtomicU32,
+/// A ledger that reports the call as running in its first replies and then loses its quorum.
+struct LossyLedger {
+    replies: AtomicU32,
 }
 
-impl ControlPort for FadingLedger {
+impl ControlPort for LossyLedger {
     fn propose(&self, _command: Command) -> BoxFuture<'_, Result<CommandOutcome, ProposeError>> {
         let left = self
-            .answers
+            .replies
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| left.checked_sub(1));
         let running = CommandOutcome::Running { holder: "b-1".to_owned(), incarnation: 1 };
         let outcome = left.map(|_| running).map_err(|_| ProposeError::NoQuorum);
@@ -40,7 +40,7 @@
     }
 }
 
-async fn refused_after(answers: u32) -> DidRun {
+async fn did_run_after(replies: u32) -> DidRun {
     let trace = Arc::new(TraceLog::default());
     let dispatcher = Dispatcher::new(DispatcherSettings {
         daemon: "a-1".to_owned(),
@@ -52,24 +52,24 @@
         vm: "a-1".to_owned(),
         incarnation: 1,
         dispatcher: DispatcherHandle::new(dispatcher, mpsc::channel(1).0, Arc::clone(&trace)),
-        control: Arc::new(FadingLedger { answers: AtomicU32::new(answers) }),
+        control: Arc::new(LossyLedger { replies: AtomicU32::new(replies) }),
         gate: DrainGate::default(),
         trace,
     });
     let arrived = Instant::now();
-    let terms = CallerContext {
+    let caller = CallerContext {
         organisation: "firm".to_owned(),
         class: RequestClass::Interactive,
         arrived,
         deadline: arrived + Duration::from_secs(600),
     };
-    let fuse = SendState::default();
-    let claimed = claim(&core, &terms, "monday".to_owned(), "f1".to_owned(), &fuse).await;
-    claimed.err().expect("no quorum is left").did_run
+    let send_state = SendState::default();
+    let claimed = claim(&core, &caller, "monday".to_owned(), "f1".to_owned(), &send_state).await;
+    claimed.err().expect("a refusal without a quorum").did_run
 }
 
 #[tokio::test]
-async fn seen_run_leaves_doubt_without_a_quorum() {
-    assert_eq!(refused_after(0).await, DidRun::No, "nothing was seen and nothing was sent");
-    assert_eq!(refused_after(2).await, DidRun::Unknown, "a run under the key was seen");
+async fn observed_run_makes_refusal_uncertain() {
+    assert_eq!(did_run_after(0).await, DidRun::No, "no run was observed and nothing was sent");
+    assert_eq!(did_run_after(2).await, DidRun::Unknown, "a run with this key was observed");
 }
