--- a/src/daemon/peer_service.rs
+++ b/src/daemon/peer_service.rs
@@ -65,7 +65,7 @@
             }
             PeerMessage::Digest(digest) => {
                 parts.monitor.digest(&digest);
-                parts.core.port.tell(PolicyInput::Digest(*digest));
+                parts.core.dispatcher.notify(PolicyInput::Digest(*digest));
             }
             PeerMessage::DrainServer { server } => parts.updates.hold(&server),
             PeerMessage::ConfigNotice { revision } => parts.dissemination.notice(from, revision),
@@ -95,7 +95,7 @@
             }
             PeerRequest::Status => self.status().reply(),
             PeerRequest::Drain => {
-                self.core.gate.begin();
+                self.core.gate.begin_drain();
                 PeerReply::Draining
             }
             PeerRequest::Follow(_) => PeerReply::Refused(
--- a/src/daemon/server_updates.rs
+++ b/src/daemon/server_updates.rs
@@ -59,7 +59,7 @@
             ServerHold { since: Instant::now(), weights: report.map(|report| report.weights) };
         self.holds().insert(server.clone(), hold);
         let health = ServerHealth::Leaving;
-        self.core.port.tell(PolicyInput::Health { server: server.clone(), health });
+        self.core.dispatcher.notify(PolicyInput::Health { server: server.clone(), health });
     }
 
     /// Forwards the `findings` until the monitor ends.
@@ -84,7 +84,7 @@
         match &finding {
             PolicyInput::Health { server, health: ServerHealth::Alive { .. } }
                 if self.holds().contains_key(server) => {}
-            _ => self.core.port.tell(finding),
+            _ => self.core.dispatcher.notify(finding),
         }
     }
 
@@ -97,7 +97,7 @@
         let same = ServerHealth::Alive { incarnation: report.incarnation };
         if health == Some(same) && !self.holds().contains_key(server) {
             let server = server.clone();
-            self.core.port.tell(PolicyInput::Health { server, health: same });
+            self.core.dispatcher.notify(PolicyInput::Health { server, health: same });
         }
     }
 
@@ -122,7 +122,7 @@
         ended.into_iter().for_each(|server| {
             let health = states.get(&server).and_then(|entry| entry.health);
             health.into_iter().for_each(|health| {
-                self.core.port.tell(PolicyInput::Health { server: server.clone(), health });
+                self.core.dispatcher.notify(PolicyInput::Health { server: server.clone(), health });
             });
         });
     }
--- /dev/null
+++ b/src/reverse_proxy.rs
@@ -0,0 +1,27 @@
+//! HTTP reverse proxy that forwards requests to backend servers by route.
+//!
+//! A request is buffered, placed by the daemon's [`crate::policy::Dispatcher`], and its response is
+//! relayed unchanged. Only the [`dialect::WireDialect`] knows the names and the meaning of an
+//! installation's headers.
+
+pub mod accept;
+pub mod core;
+pub mod dialect;
+pub mod exchange;
+pub mod headers;
+pub mod listener;
+pub mod pool;
+pub mod raw_head;
+pub mod recheck;
+pub mod relay;
+pub mod request;
+pub mod response;
+pub mod store_monitor;
+pub mod timeout_stream;
+pub mod view;
+
+pub use self::{
+    core::ProxyCore,
+    dialect::{BackendCall, CallerRequest, PromptWork, ProxyRefusal, ResponseVerdict, WireDialect},
+    listener::CallerListener,
+};
--- /dev/null
+++ b/src/reverse_proxy/dialect.rs
@@ -0,0 +1,153 @@
+//! Interface to an installation's header format, for requests of callers and backend servers.
+
+use {
+    crate::{
+        ids::{ModelId, OrganisationId, RequestId, ServerId, WeightsNumber},
+        inventory::RequestClass,
+        routing::{RouteIndex, RouteRule},
+    },
+    http::{HeaderMap, Response, StatusCode, request, response},
+    std::{net::SocketAddr, sync::Arc, time::Duration},
+};
+
+/// The work that a request causes at a model engine.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PromptWork {
+    /// The requested model.
+    pub model: ModelId,
+    /// The parts of the prompt in order, each with its id and its number of tokens. Requests share
+    /// an engine's cache up to the last part that all their preceding parts have in common.
+    pub parts: Vec<(String, u32)>,
+    /// Number of tokens of the prompt.
+    pub prompt_tokens: u32,
+    /// Maximum number of tokens to generate.
+    pub max_output_tokens: u32,
+    /// Number of generated tokens that the caller expects, which is often inaccurate.
+    pub expected_output_tokens: Option<u32>,
+}
+
+/// The head of a caller's request, decoded.
+#[derive(Clone, Debug)]
+pub struct CallerRequest {
+    /// The request id that the caller assigned.
+    pub id: RequestId,
+    /// The route that matches the request.
+    pub route: Arc<RouteRule>,
+    /// The organisation of the caller; empty if the route requires no key.
+    pub organisation: OrganisationId,
+    /// Whether the organisation's cached prompts are not shared with other organisations.
+    pub isolated: bool,
+    /// The class of the request, which sets its priority.
+    pub class: RequestClass,
+    /// How long the caller waits for the complete response.
+    pub time_left: Option<Duration>,
+    /// How long the caller waits for the beginning of the response.
+    pub response_start_timeout: Duration,
+    /// The prompt; set for requests to model engines.
+    pub work: Option<PromptWork>,
+}
+
+/// An error response to a caller.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ProxyRefusal {
+    /// HTTP status. 408, 421, 429 and 503 guarantee that the request has not run and never will.
+    pub status: StatusCode,
+    /// The error code, which is also the label of the refusal counter.
+    pub code: &'static str,
+    /// When the caller may retry, if that can succeed.
+    pub retry_after: Option<Duration>,
+}
+
+impl ProxyRefusal {
+    /// Creates a refusal without `Retry-After`.
+    pub fn new(status: StatusCode, code: &'static str) -> Self {
+        ProxyRefusal { status, code, retry_after: None }
+    }
+
+    /// Sets the time after which the caller may retry.
+    pub fn retry_after(self, delay: Duration) -> Self {
+        ProxyRefusal { retry_after: Some(delay), ..self }
+    }
+}
+
+/// What a backend server receives in addition to the caller's request.
+#[derive(Clone, Debug)]
+pub struct BackendCall<'a> {
+    /// The caller's request.
+    pub request: &'a CallerRequest,
+    /// The intended server; no other server may run the request.
+    pub server: &'a ServerId,
+    /// The time until the deadline of the request.
+    pub time_left: Duration,
+    /// Separates cached prompts: only requests with equal salts share cache entries.
+    pub cache_salt: Option<String>,
+    /// A server or cache store that probably has a longer cached prefix of the prompt, for the same
+    /// weights and salt.
+    pub import_from: Option<SocketAddr>,
+    /// A cache store to which the engine exports the blocks of the prompt that it has computed.
+    pub export_to: Option<SocketAddr>,
+    /// Priority within the engine; lower values are served first.
+    pub priority: u32,
+    /// The id of the last relayed event, if a stream is resumed.
+    pub resume_after: Option<String>,
+    /// The required weights; a server with other weights must not run the request.
+    pub weights: Option<WeightsNumber>,
+}
+
+/// Whether and where the request has run, according to the head of a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ResponseVerdict {
+    /// The server ran the request, and this is its response.
+    Executed,
+    /// The server did not run the request and never will.
+    NotExecuted,
+    /// The server is not the intended one and did not run the request.
+    WrongServer,
+    /// The response belongs to another request.
+    OtherRequest,
+}
+
+/// The head of a backend server's response, decoded.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ResponseHead {
+    /// Whether and where the request has run.
+    pub verdict: ResponseVerdict,
+    /// Numbers of requests that run and that wait at the server.
+    pub load: Option<(u32, u32)>,
+    /// The weights that generate the response.
+    pub weights: Option<WeightsNumber>,
+    /// How long the server keeps idle connections open, if it reports that.
+    pub idle_limit: Option<Duration>,
+    /// When the server may be sent another request.
+    pub retry_after: Option<Duration>,
+}
+
+/// Translates between an installation's headers and the types of this crate. Implementations make
+/// no routing decisions.
+pub trait WireDialect: Send + Sync {
+    /// The request id that the caller assigned, or an empty string. Also called for requests that
+    /// cannot be served.
+    fn request_id<'a>(&self, headers: &'a HeaderMap) -> &'a str;
+
+    /// Decodes the head of a request.
+    ///
+    /// # Errors
+    /// The refusal of a request with an unknown route, an unknown key or an invalid head.
+    fn read_request(
+        &self,
+        head: &request::Parts,
+        index: &RouteIndex,
+    ) -> Result<CallerRequest, ProxyRefusal>;
+
+    /// Builds the headers for a backend server from those of the caller.
+    fn backend_headers(&self, caller: &HeaderMap, call: &BackendCall<'_>) -> HeaderMap;
+
+    /// Decodes the head of a backend server's response to the request with this id.
+    fn read_response(&self, head: &response::Parts, id: &RequestId) -> ResponseHead;
+
+    /// Builds the response for a refused request.
+    fn refusal(&self, refusal: &ProxyRefusal) -> Response<String>;
+
+    /// The id of a stream event, and the weights from that event on if the event contains them.
+    fn read_event(&self, event: &[u8]) -> (Option<String>, Option<WeightsNumber>);
+}
--- /dev/null
+++ b/src/reverse_proxy/store_monitor.rs
@@ -0,0 +1,87 @@
+//! Monitors whether the engines' shared KV cache store is reachable.
+//!
+//! An engine that is directed to import from an unreachable store waits some hundred milliseconds
+//! for it with every long prompt. The store is not on the server list. Therefore each proxy process
+//! holds an idle connection to it: the end of the connection reveals a crash at once, and an
+//! accepted connection reveals that the store is back.
+
+use {
+    super::{core::ProxyCore, pool::CONNECT_TIMEOUT},
+    crate::observe::events,
+    socket2::{SockRef, TcpKeepalive},
+    std::{io, net::SocketAddr, sync::Arc, time::Duration},
+    tokio::{
+        io::AsyncReadExt,
+        net::TcpStream,
+        time::{Instant, sleep, timeout},
+    },
+};
+
+/// Interval at which the configuration is checked for a store or a changed address.
+const ADDRESS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between attempts to connect to an unreachable store.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(500);
+/// TCP keepalive time and interval; an unresponsive store is detected within about two seconds.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// A connection that ends sooner than this counts as refused, even if it was accepted: stores close
+/// idle connections only after seconds.
+const MIN_CONNECTION_TIME: Duration = Duration::from_millis(50);
+
+/// Monitors the store; never returns.
+pub async fn monitor_cache_store(core: Arc<ProxyCore>) {
+    let mut reachable = false;
+    loop {
+        let Some((address, _)) = core.view().cache_store() else {
+            if std::mem::take(&mut reachable) {
+                core.set_store_reachable(false);
+            }
+            sleep(ADDRESS_CHECK_INTERVAL).await;
+            continue;
+        };
+        let began = Instant::now();
+        let connected = timeout(CONNECT_TIMEOUT, connect(address)).await;
+        if let Ok(Ok(mut stream)) = connected {
+            set_reachable(&core, &mut reachable, true, address);
+            wait_closed(&core, &mut stream, address).await;
+            if began.elapsed() >= MIN_CONNECTION_TIME {
+                continue;
+            }
+        }
+        set_reachable(&core, &mut reachable, false, address);
+        sleep(RECONNECT_INTERVAL).await;
+    }
+}
+
+/// Waits until the connection ends or the configured address changes.
+async fn wait_closed(core: &ProxyCore, stream: &mut TcpStream, address: SocketAddr) {
+    let mut bytes = [0; 1];
+    loop {
+        // No request was sent, so that any result of a read ends the use of the connection.
+        if timeout(ADDRESS_CHECK_INTERVAL, stream.read(&mut bytes)).await.is_ok() {
+            return;
+        }
+        if core.view().cache_store().is_none_or(|(configured, _)| configured != address) {
+            return;
+        }
+    }
+}
+
+fn set_reachable(core: &ProxyCore, reachable: &mut bool, now: bool, address: SocketAddr) {
+    if *reachable == now {
+        return;
+    }
+    *reachable = now;
+    core.set_store_reachable(now);
+    match now {
+        true => log::info!(address:% = address; "{}", events::KEEP_BACK),
+        false => log::warn!(address:% = address; "{}", events::KEEP_LOST),
+    }
+}
+
+async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
+    let stream = TcpStream::connect(address).await?;
+    let probes =
+        TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
+    SockRef::from(&stream).set_tcp_keepalive(&probes.with_retries(1))?;
+    Ok(stream)
+}
--- a/tests/fakes/daemon_process.rs
+++ b/tests/fakes/daemon_process.rs
@@ -22,7 +22,7 @@
     self::{
         daemon_log::{DaemonPorts, LogTail, log_copy, read_log},
         engine::{EngineBehaviour, FakeEngine},
-        http_client::{OpenAnswer, WholeAnswer},
+        http_client::{BufferedResponse, OpenResponse},
         key_folder::KeyFolder,
         service::FakeService,
         udp_relay::UdpRelay,
@@ -282,7 +282,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &Value,
-    ) -> io::Result<WholeAnswer> {
+    ) -> io::Result<BufferedResponse> {
         let headers = [&[KEY], headers].concat();
         let address = self.daemons[vm].ports.callers;
         let sent = http_client::send(address, method, path, &headers, body.to_string());
@@ -295,24 +295,24 @@
         vm: &str,
         key: &str,
         deadline_ms: &str,
-    ) -> io::Result<WholeAnswer> {
+    ) -> io::Result<BufferedResponse> {
         let headers = [("idempotency-key", key), ("x-oleandermount-deadline-ms", deadline_ms)];
         let path = "/services/dispatch-app/bookings";
         self.call(vm, "POST", path, &headers, &json!({ "slot": key })).await
     }
 
     /// Sends a repeatable call.
-    pub async fn look_up(&self, vm: &str) -> io::Result<WholeAnswer> {
+    pub async fn look_up(&self, vm: &str) -> io::Result<BufferedResponse> {
         self.call(vm, "GET", "/services/dispatch-app/status", &[], &Value::Null).await
     }
 
     /// Sends a chat request and reads the whole reply.
-    pub async fn chat(&self, vm: &str, question: &str) -> io::Result<WholeAnswer> {
+    pub async fn chat(&self, vm: &str, question: &str) -> io::Result<BufferedResponse> {
         self.call(vm, "POST", CHAT_PATH, &[], &chat_body(question, REPLY_TOKENS)).await
     }
 
     /// Sends a chat request with a long streamed reply and waits for the response head.
-    pub async fn stream(&self, vm: &str, question: &str) -> io::Result<OpenAnswer> {
+    pub async fn stream(&self, vm: &str, question: &str) -> io::Result<OpenResponse> {
         let address = self.daemons[vm].ports.callers;
         let body = chat_body(question, STREAM_TOKENS).to_string();
         let sent = http_client::open(address, "POST", CHAT_PATH, &[KEY], body);
@@ -326,7 +326,7 @@
         method: &str,
         path: &str,
         body: &Value,
-    ) -> io::Result<WholeAnswer> {
+    ) -> io::Result<BufferedResponse> {
         let json = [("content-type", "application/json")];
         let address = self.daemons[vm].ports.operators;
         let sent = http_client::send(address, method, path, &json, body.to_string());
@@ -347,7 +347,7 @@
         operation: &str,
         expected: u64,
         body: Value,
-    ) -> io::Result<WholeAnswer> {
+    ) -> io::Result<BufferedResponse> {
         let change = json!({ "operation": operation, "expected": expected, part: body });
         self.operate(vm, "PUT", &format!("/v1/{part}"), &change).await
     }
@@ -401,17 +401,17 @@
 
     /// How many times the services executed the call under a key.
     pub fn runs_of(&self, key: &str) -> u64 {
-        self.services.values().map(|service| service.knobs.runs_of(key)).sum()
+        self.services.values().map(|service| service.controls.runs_of(key)).sum()
     }
 
     /// Makes the services execute calls without answering them.
     pub fn hold_services(&self) {
-        self.services.values().for_each(|service| service.knobs.hold.store(1, Ordering::SeqCst));
+        self.services.values().for_each(|service| service.controls.hold.store(1, Ordering::SeqCst));
     }
 
     /// Releases the held answers.
     pub fn release_services(&self) {
-        self.services.values().for_each(|service| service.knobs.release());
+        self.services.values().for_each(|service| service.controls.release());
     }
 
     /// The register; `region` distinguishes changes.
@@ -453,7 +453,7 @@
 }
 
 /// The `did_run` field of a refusal; `"yes"` for an answer of the service.
-pub fn did_run(answer: &WholeAnswer) -> String {
+pub fn did_run(answer: &BufferedResponse) -> String {
     answer.json()["error"]["did_run"].as_str().unwrap_or("yes").to_owned()
 }
 
