--- a/src/reverse_proxy/exchange.rs
+++ b/src/reverse_proxy/exchange.rs
@@ -302,7 +302,9 @@
                 Some((_, address)) => Some(address),
                 None => source.and_then(|source| self.core.address(source)),
             },
-            export_to: store.filter(|store| store.0 == CacheStoreUse::TakeAndBring).map(|store| store.1),
+            export_to: store
+                .filter(|store| store.0 == CacheStoreUse::TakeAndBring)
+                .map(|store| store.1),
             priority: order.priority,
             resume_after: from.event.clone(),
             weights,
--- a/tests/daemon_crash.rs
+++ b/tests/daemon_crash.rs
@@ -61,7 +61,8 @@
     for key in std::iter::once("new").chain(keys.iter().map(String::as_str)) {
         group
             .wait(&format!("{key} has a response or an unknown outcome"), async || {
-                let response = group.call_once("a-1", key, SHORT_DEADLINE_MS).await.expect("a response");
+                let response =
+                    group.call_once("a-1", key, SHORT_DEADLINE_MS).await.expect("a response");
                 assert!(group.runs_of(key) <= 1, "{key} ran twice: {response:?}");
                 did_run(&response) != "no"
             })
