--- a/src/control/configuration.rs
+++ b/src/control/configuration.rs
@@ -17,7 +17,7 @@
 /// Results remembered for resends, and changes kept as history: half a day at 2,100 changes a
 /// day, while operators resend within minutes. An older resend meets a higher revision and gets
 /// a conflict, so forgetting cannot apply a change twice.
-pub const REMEMBERED_OPERATIONS: usize = 1024;
+pub const RETAINED_OPERATIONS: usize = 1024;
 /// The longest operation id.
 const OPERATION_ID_BYTES: usize = 256;
 /// The longest body: twice the several megabytes of the design size, and it still fits into one
@@ -85,11 +85,11 @@
     register_body: String,
     rules_body: String,
     revision: Revision,
-    /// Oldest first; at most [`REMEMBERED_OPERATIONS`], the oldest falls out.
+    /// Oldest first; at most [`RETAINED_OPERATIONS`], the oldest falls out.
     changes: VecDeque<ConfigChange>,
     /// Holds exactly the operations in `order`.
     results: BTreeMap<OperationId, RememberedResult>,
-    /// Oldest first; at most [`REMEMBERED_OPERATIONS`], the oldest falls out.
+    /// Oldest first; at most [`RETAINED_OPERATIONS`], the oldest falls out.
     order: VecDeque<OperationId>,
     /// The parsed form of the bodies under `revision`.
     #[serde(skip)]
@@ -231,7 +231,7 @@
 
 fn push_bounded<T>(queue: &mut VecDeque<T>, item: T) -> Option<T> {
     queue.push_back(item);
-    if queue.len() > REMEMBERED_OPERATIONS { queue.pop_front() } else { None }
+    if queue.len() > RETAINED_OPERATIONS { queue.pop_front() } else { None }
 }
 
 fn refused(reason: &str) -> CommandOutcome {
--- a/src/control/document.rs
+++ b/src/control/document.rs
@@ -63,7 +63,7 @@
     }
 
     /// Names a version if it is newer than the one named before.
-    pub fn name(&mut self, model: &ModelId, version: WeightsNumber) -> CommandOutcome {
+    pub fn name_weights(&mut self, model: &ModelId, version: WeightsNumber) -> CommandOutcome {
         if !self.weights.contains_key(model) && self.weights.len() >= NAMED_MODELS {
             let reason = "weights of too many models are named; 1,024 is the most";
             return CommandOutcome::Refused { reason: reason.to_owned() };
--- a/src/control/entry.rs
+++ b/src/control/entry.rs
@@ -27,14 +27,14 @@
 }
 
 /// What an entry or a message costs beside the bodies that it carries.
-pub const HEAD_BYTES: usize = 256;
+pub const OVERHEAD_BYTES: usize = 256;
 
 impl LogEntry {
     /// About what it takes.
     pub fn bytes(&self) -> usize {
         match &self.payload {
-            EntryPayload::Command(command) => HEAD_BYTES + command.body_bytes(),
-            EntryPayload::Opening | EntryPayload::Membership(_) => HEAD_BYTES,
+            EntryPayload::Command(command) => OVERHEAD_BYTES + command.body_bytes(),
+            EntryPayload::Opening | EntryPayload::Membership(_) => OVERHEAD_BYTES,
         }
     }
 }
@@ -124,8 +124,8 @@
     pub fn bytes(&self) -> usize {
         match self {
             DurableWrite::Entries(entries) => entries.iter().map(LogEntry::bytes).sum(),
-            DurableWrite::Snapshot(snapshot) => HEAD_BYTES + snapshot.data.len(),
-            DurableWrite::HardState(_) | DurableWrite::Commit(_) => HEAD_BYTES,
+            DurableWrite::Snapshot(snapshot) => OVERHEAD_BYTES + snapshot.data.len(),
+            DurableWrite::HardState(_) | DurableWrite::Commit(_) => OVERHEAD_BYTES,
         }
     }
 }
@@ -156,7 +156,7 @@
     /// The incarnation of the disk.
     pub incarnation: Incarnation,
     /// Term, vote and group.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// The last snapshot.
     pub snapshot: Option<SavedSnapshot>,
     /// The entries after the snapshot, without gaps.
@@ -175,7 +175,7 @@
     #[must_use]
     pub fn apply(&mut self, write: DurableWrite) -> bool {
         match write {
-            DurableWrite::HardState(hard) => self.hard = hard,
+            DurableWrite::HardState(hard_state) => self.hard_state = hard_state,
             DurableWrite::Commit(commit) => self.commit = self.commit.max(commit),
             DurableWrite::Entries(entries) => return self.put_entries(entries),
             DurableWrite::Snapshot(snapshot) => self.put_snapshot(snapshot),
--- a/src/control/healing.rs
+++ b/src/control/healing.rs
@@ -22,7 +22,7 @@
 
 /// A voter that did not reply for so long may be gone: longer than a restart takes, and short beside
 /// the seconds after which the next loss may come.
-pub const SILENCE: Duration = Duration::from_secs(2);
+pub const VOTER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Voters of a group that more control VMs are known to: two lost disks leave a quorum of the others,
 /// and each write still waits for no more than three disks.
@@ -32,9 +32,9 @@
 ///
 /// Members count though they are silent: a group that shrank whenever a failure domain is cut off
 /// would bear fewer losses just then.
-pub fn wanted_voters(status: &ReplicaStatus, founders: usize) -> usize {
+pub fn target_voters(status: &ReplicaStatus, founders: usize) -> usize {
     let members = status.members.members().count();
-    let strangers = status.outsiders.keys().filter(|vm| status.members.incarnation(vm).is_none());
+    let strangers = status.non_members.keys().filter(|vm| status.members.incarnation(vm).is_none());
     if members + strangers.count() >= LARGE_GROUP { LARGE_GROUP.max(founders) } else { founders }
 }
 
@@ -43,7 +43,7 @@
     status.lease_until.filter(|until| now < *until)?;
     let members = &status.members;
     if let Some((vm, disk)) = status
-        .outsiders
+        .non_members
         .iter()
         .find(|(vm, disk)| members.incarnation(vm).is_some_and(|known| known != **disk))
     {
@@ -64,7 +64,7 @@
         return surplus.map(|vm| Command::RemoveReplica { vm });
     }
     if members.voters.len() < voters || silent.is_some() {
-        let stranger = status.outsiders.iter().find(|(vm, _)| members.incarnation(vm).is_none());
+        let stranger = status.non_members.iter().find(|(vm, _)| members.incarnation(vm).is_none());
         return stranger.map(|(vm, disk)| take_in(vm, *disk));
     }
     None
@@ -72,32 +72,32 @@
 
 /// Repairs that a leader would make if it could.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RepairNeed {
+pub struct RepairNeeds {
     /// Voters wanted beyond those that the group has.
     pub missing: usize,
     /// Voters that do not reply.
-    pub silent: Vec<VmId>,
+    pub unresponsive: Vec<VmId>,
     /// VMs outside the group that the leader hears.
-    pub standing_by: Vec<VmId>,
+    pub spares: Vec<VmId>,
 }
 
 /// What the group lacks, as its leader sees it; `None` if nothing or on another replica.
-pub fn repair_need(now: Instant, status: &ReplicaStatus, voters: usize) -> Option<RepairNeed> {
+pub fn repair_needs(now: Instant, status: &ReplicaStatus, voters: usize) -> Option<RepairNeeds> {
     status.leader_since?;
     let silent = status
-        .heard
+        .last_replies
         .iter()
         .filter(|(vm, heard)| status.members.voters.contains_key(*vm) && is_silent(now, **heard));
-    let need = RepairNeed {
+    let need = RepairNeeds {
         missing: voters.saturating_sub(status.members.voters.len()),
-        silent: silent.map(|(vm, _)| vm.clone()).collect(),
-        standing_by: status.outsiders.keys().cloned().collect(),
+        unresponsive: silent.map(|(vm, _)| vm.clone()).collect(),
+        spares: status.non_members.keys().cloned().collect(),
     };
-    (need.missing > 0 || !need.silent.is_empty()).then_some(need)
+    (need.missing > 0 || !need.unresponsive.is_empty()).then_some(need)
 }
 
 fn is_silent(now: Instant, heard: Instant) -> bool {
-    now.saturating_duration_since(heard) > SILENCE
+    now.saturating_duration_since(heard) > VOTER_TIMEOUT
 }
 
 fn take_in(vm: &VmId, disk: Incarnation) -> Command {
@@ -119,6 +119,6 @@
     status: &ReplicaStatus,
     replicas: &BTreeMap<VmId, Incarnation>,
 ) -> Option<(VmId, Instant)> {
-    let heard = status.heard.iter().filter(|(vm, _)| replicas.contains_key(*vm));
+    let heard = status.last_replies.iter().filter(|(vm, _)| replicas.contains_key(*vm));
     heard.min_by_key(|(_, heard)| **heard).map(|(vm, heard)| (vm.clone(), *heard))
 }
--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -4,13 +4,13 @@
 //! nothing was sent, `Release` or `EndAttempts`) or when a later life of the holder's VM shows that
 //! the holder is gone, and then the outcome is unknown. No timeout frees a claim.
 
-mod daemon_lives;
-mod former_ledger;
+mod daemon_incarnations;
+mod legacy_ledger;
 
-pub use self::former_ledger::FormerLedger;
+pub use self::legacy_ledger::LegacyLedger;
 
 use {
-    self::daemon_lives::DaemonLives,
+    self::daemon_incarnations::DaemonIncarnations,
     crate::{
         control::command::{CommandOutcome, KeptAnswer},
         ids::{AttemptId, DigestHex, IdempotencyKey, Incarnation, OrganisationId, VmId},
@@ -85,13 +85,13 @@
 pub struct IdempotencyLedger {
     /// Always [`LEDGER_SHARDS`] of them.
     shards: Vec<LedgerShard>,
-    lives: DaemonLives,
+    lives: DaemonIncarnations,
 }
 
 impl Default for IdempotencyLedger {
     fn default() -> Self {
         let shards = vec![LedgerShard::default(); LEDGER_SHARDS];
-        IdempotencyLedger { shards, lives: DaemonLives::default() }
+        IdempotencyLedger { shards, lives: DaemonIncarnations::default() }
     }
 }
 
@@ -206,7 +206,7 @@
     }
 
     /// Notes the life and the clock of a daemon, unless a later life is known.
-    pub fn note_life(
+    pub fn note_incarnation(
         &mut self,
         vm: &VmId,
         incarnation: Incarnation,
@@ -267,7 +267,7 @@
     fn standing(
         &mut self,
         request: &ClaimRequest<'_>,
-        lives: &DaemonLives,
+        lives: &DaemonIncarnations,
     ) -> Option<CommandOutcome> {
         let entry = self.entries.get(&request.key)?;
         if entry.is_running() && lives.is_over(&entry.holder) {
@@ -334,7 +334,7 @@
 
     /// Frees the calls of attempts that are over, and closes those whose holder is gone, so that
     /// the retention of the latter begins.
-    fn make_room(&mut self, lives: &DaemonLives) {
+    fn make_room(&mut self, lives: &DaemonIncarnations) {
         let running = self.entries.iter().filter(|(_, entry)| entry.is_running());
         let (over, others): (Vec<_>, Vec<_>) = running
             .map(|(key, entry)| (key.clone(), entry.holder.clone()))
--- a/src/control/ledger/daemon_lives.rs
+++ b/src/control/ledger/daemon_incarnations.rs
@@ -41,7 +41,7 @@
 
 /// The lives of all daemons.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct DaemonLives {
+pub struct DaemonIncarnations {
     /// At most [`LIVES`].
     lives: BTreeMap<VmId, DaemonLife>,
     /// The second latest of the VMs' clocks; only grows. Retention ends by this clock.
@@ -57,13 +57,13 @@
 /// The form in snapshots that knew no attempts: the latest life and clock of each VM.
 pub type FormerLives = BTreeMap<VmId, (Incarnation, u64)>;
 
-impl DaemonLives {
+impl DaemonIncarnations {
     /// Takes over what former snapshots knew.
     pub fn upgrade(former: FormerLives, clock_ms: u64, latest_ms: u64) -> Self {
         let lives = former.into_iter().map(|(vm, (incarnation, clock_ms))| {
             (vm, DaemonLife { clock_ms, ..DaemonLife::new(incarnation, 0) })
         });
-        DaemonLives { lives: lives.collect(), clock_ms, latest_ms, first: 0 }
+        DaemonIncarnations { lives: lives.collect(), clock_ms, latest_ms, first: 0 }
     }
 
     /// The clock that retention goes by, in milliseconds since the Unix epoch.
--- a/src/control/ledger/former_ledger.rs
+++ b/src/control/ledger/legacy_ledger.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         ClaimHolder, IdempotencyLedger, LedgerEntry, LedgerKey, LedgerPhase, LedgerShard,
-        daemon_lives::{DaemonLives, FormerLives},
+        daemon_incarnations::{DaemonIncarnations, FormerLives},
     },
     crate::{control::command::KeptAnswer, ids::DigestHex},
     serde::Deserialize,
@@ -12,7 +12,7 @@
 
 /// The whole ledger.
 #[derive(Debug, Deserialize)]
-pub struct FormerLedger {
+pub struct LegacyLedger {
     shards: Vec<FormerShard>,
     lives: FormerLives,
     clock_ms: u64,
@@ -38,16 +38,16 @@
     Released,
 }
 
-impl From<FormerLedger> for IdempotencyLedger {
-    fn from(former: FormerLedger) -> Self {
-        let FormerLedger { shards, lives, clock_ms, latest_ms } = former;
-        let mut lives = DaemonLives::upgrade(lives, clock_ms, latest_ms);
+impl From<LegacyLedger> for IdempotencyLedger {
+    fn from(former: LegacyLedger) -> Self {
+        let LegacyLedger { shards, lives, clock_ms, latest_ms } = former;
+        let mut lives = DaemonIncarnations::upgrade(lives, clock_ms, latest_ms);
         let shards = shards.into_iter().map(|(calls, ..)| upgrade(calls, &mut lives)).collect();
         IdempotencyLedger { shards, lives }
     }
 }
 
-fn upgrade(calls: BTreeMap<LedgerKey, FormerEntry>, lives: &mut DaemonLives) -> LedgerShard {
+fn upgrade(calls: BTreeMap<LedgerKey, FormerEntry>, lives: &mut DaemonIncarnations) -> LedgerShard {
     let mut shard = LedgerShard::default();
     for (key, entry) in calls {
         let FormerEntry { fingerprint, holder, phase, closed_ms } = entry;
--- a/src/control/message.rs
+++ b/src/control/message.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        control::entry::{HEAD_BYTES, LogEntry, Membership},
+        control::entry::{LogEntry, Membership, OVERHEAD_BYTES},
         ids::{Incarnation, LogIndex, Term, VmId},
     },
     serde::{Deserialize, Serialize},
@@ -38,7 +38,7 @@
             MessageBody::SnapshotChunk { data, .. } => data.len(),
             _ => 0,
         };
-        HEAD_BYTES + bodies
+        OVERHEAD_BYTES + bodies
     }
 }
 
--- a/src/control/orders.rs
+++ b/src/control/orders.rs
@@ -18,7 +18,7 @@
 /// are to have the same one, so a change costs one log entry however many servers there are.
 pub type DesiredWeights = BTreeMap<ModelId, (WeightsVersion, FencingNumber)>;
 /// Strikes by fingerprint of requests that crash backend servers.
-pub type SuspectStrikes = BTreeMap<u64, u32>;
+pub type SuspectCrashes = BTreeMap<u64, u32>;
 
 /// The weights that servers should load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -29,13 +29,13 @@
 
 /// The desired weights in the form of earlier snapshots: for each server by itself.
 #[derive(Debug, Default, Deserialize)]
-pub struct ServerWeightOrders {
+pub struct LegacyWeightOrders {
     desired: BTreeMap<(ServerId, ModelId), (WeightsVersion, FencingNumber)>,
 }
 
-impl From<ServerWeightOrders> for WeightOrders {
+impl From<LegacyWeightOrders> for WeightOrders {
     /// Keeps the version that was noted last, under the number of its first note.
-    fn from(former: ServerWeightOrders) -> Self {
+    fn from(former: LegacyWeightOrders) -> Self {
         let mut noted: Vec<_> = former.desired.into_iter().collect();
         noted.sort_by_key(|(_, (_, number))| *number);
         let mut orders = WeightOrders::default();
@@ -84,7 +84,7 @@
 
 impl SuspectTable {
     /// The strikes by fingerprint.
-    pub fn strikes(&self) -> SuspectStrikes {
+    pub fn crashes(&self) -> SuspectCrashes {
         self.suspects.iter().map(|(fingerprint, (strikes, _))| (*fingerprint, *strikes)).collect()
     }
 
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -3,14 +3,14 @@
 //! [`Replica::handle`] takes one input and the time and returns what is to be done. Nothing that
 //! another replica will rely on is sent before the driver has reported it as synced.
 
-pub mod change;
 pub mod contacts;
 pub mod election;
-pub mod follow;
+pub mod follower;
 pub mod formation;
 pub mod freshness;
-pub mod lead;
+pub mod leader;
 pub mod log;
+pub mod membership_change;
 pub mod progress;
 mod receive;
 pub mod types;
@@ -22,8 +22,8 @@
 
 use {
     self::{
-        contacts::ContactList, follow::IncomingSnapshot, formation::PeerSighting, log::ReplicaLog,
-        progress::LeaderState,
+        contacts::ContactList, follower::IncomingSnapshot, formation::ObservedPeer,
+        log::ReplicaLog, progress::LeaderState,
     },
     crate::{
         control::{
@@ -79,7 +79,7 @@
     random: Xoshiro256PlusPlus,
     incarnation: Incarnation,
     /// As last handed out to be persisted.
-    hard: HardState,
+    hard_state: HardState,
     log: ReplicaLog,
     state: ControlState,
     /// Never falls; at most the last entry.
@@ -111,7 +111,7 @@
     durable_later: VecDeque<(u64, LogIndex)>,
     deferred: VecDeque<DeferredMessage>,
     /// Other replicas heard in this life; bounded by `formation::SIGHTINGS`.
-    sightings: BTreeMap<VmId, PeerSighting>,
+    sightings: BTreeMap<VmId, ObservedPeer>,
     /// VMs beside founders and members that a replica without a group makes itself known to; as
     /// many as the settings name.
     introduced: BTreeSet<VmId>,
@@ -148,12 +148,12 @@
         let seed = settings.seed ^ xxhash_rust::xxh3::xxh3_64(settings.vm.as_bytes());
         let random = Xoshiro256PlusPlus::seed_from_u64(seed ^ saved.incarnation);
         let role =
-            if saved.hard.group.is_some() { RoleState::Follower } else { RoleState::Waiting };
+            if saved.hard_state.group.is_some() { RoleState::Follower } else { RoleState::Waiting };
         let mut replica = Replica {
             settings,
             random,
             incarnation: saved.incarnation,
-            hard: saved.hard,
+            hard_state: saved.hard_state,
             commit: saved.commit.max(base).min(log.last_index()),
             applied: base,
             snapshot_index: base,
@@ -200,7 +200,7 @@
             ReplicaInput::Received { from, message } => self.receive(now, from, message),
             ReplicaInput::Persisted { number } => self.persisted(now, number),
             ReplicaInput::Propose { proposal, command } => self.propose(now, proposal, command),
-            ReplicaInput::Introduce { peers } => self.introduced = peers,
+            ReplicaInput::ConfiguredPeers { peers } => self.introduced = peers,
         }
         self.run_timers(now);
         self.hand_out()
@@ -248,17 +248,17 @@
         ReplicaStatus {
             role: self.role(),
             incarnation: self.incarnation,
-            term: self.hard.term,
+            term: self.hard_state.term,
             leader: self.leader.clone(),
             is_fresh: self.is_fresh(now),
             commit: self.commit,
             applied: self.applied,
             last: self.log.last_index(),
             members: self.log.membership().clone(),
-            outsiders: self.outsiders(now),
+            non_members: self.non_members(now),
             contacts: self.contacts.vms(),
             lease_until: self.lease_until(now),
-            heard: self.lead().map(LeaderState::heard).unwrap_or_default(),
+            last_replies: self.lead().map(LeaderState::last_replies).unwrap_or_default(),
             leader_since: self.lead().map(|lead| lead.since),
             failure: None,
         }
@@ -404,17 +404,17 @@
         self.writes.push(DurableWrite::Entries(entries));
     }
 
-    fn write_hard(&mut self, hard: HardState) {
-        self.hard = hard;
-        self.writes.push(DurableWrite::HardState(self.hard.clone()));
+    fn write_hard_state(&mut self, hard_state: HardState) {
+        self.hard_state = hard_state;
+        self.writes.push(DurableWrite::HardState(self.hard_state.clone()));
     }
 
     fn message(&self, to_incarnation: Option<Incarnation>, body: MessageBody) -> ReplicaMessage {
         ReplicaMessage {
-            group: self.hard.group,
+            group: self.hard_state.group,
             from_incarnation: self.incarnation,
             to_incarnation,
-            term: self.hard.term,
+            term: self.hard_state.term,
             body,
         }
     }
@@ -473,6 +473,6 @@
     }
 
     fn term(&self) -> Term {
-        self.hard.term
+        self.hard_state.term
     }
 }
--- a/src/control/replica/contacts.rs
+++ b/src/control/replica/contacts.rs
@@ -44,7 +44,8 @@
     }
 
     pub(super) fn note_contacts(&mut self, group: Option<GroupId>, mut named: BTreeSet<VmId>) {
-        let is_foreign = group.zip(self.hard.group).is_some_and(|(theirs, own)| theirs != own);
+        let is_foreign =
+            group.zip(self.hard_state.group).is_some_and(|(theirs, own)| theirs != own);
         if !is_foreign {
             named.remove(&self.settings.vm);
             self.contacts.note(named);
--- a/src/control/replica/election.rs
+++ b/src/control/replica/election.rs
@@ -93,7 +93,7 @@
     fn stand(&mut self, now: Instant) {
         let own = (self.settings.vm.clone(), self.incarnation);
         let term = self.term() + 1;
-        self.write_hard(HardState { term, vote: Some(own), group: self.hard.group });
+        self.write_hard_state(HardState { term, vote: Some(own), group: self.hard_state.group });
         let granted = BTreeSet::from([self.settings.vm.clone()]);
         self.role = RoleState::Candidate { granted, own_vote: self.issued + 1 };
         self.reset_timeout(now);
@@ -145,13 +145,13 @@
             self.become_follower(now, message.term, None);
         }
         let candidate = (from.clone(), message.from_incarnation);
-        let free = self.hard.vote.as_ref().is_none_or(|vote| *vote == candidate);
+        let free = self.hard_state.vote.as_ref().is_none_or(|vote| *vote == candidate);
         let granted = message.term == self.term()
             && free
             && matches!(self.role, RoleState::Follower)
             && self.is_up_to_date(last_index, last_term);
         if granted {
-            self.write_hard(HardState { vote: Some(candidate), ..self.hard.clone() });
+            self.write_hard_state(HardState { vote: Some(candidate), ..self.hard_state.clone() });
             self.reset_timeout(now);
         }
         self.send_synced(from, Some(message.from_incarnation), MessageBody::VoteReply { granted });
@@ -194,7 +194,7 @@
     /// Follows `leader`, or waits for one, in `term`.
     pub(super) fn become_follower(&mut self, now: Instant, term: Term, leader: Option<VmId>) {
         if term > self.term() {
-            self.write_hard(HardState { term, vote: None, group: self.hard.group });
+            self.write_hard_state(HardState { term, vote: None, group: self.hard_state.group });
         }
         let before = std::mem::replace(&mut self.role, RoleState::Follower);
         if let RoleState::Leader(lead) = before {
--- a/src/control/replica/formation.rs
+++ b/src/control/replica/formation.rs
@@ -24,7 +24,7 @@
 
 /// What was last heard from a VM.
 #[derive(Clone, Debug)]
-pub struct PeerSighting {
+pub struct ObservedPeer {
     /// Its disk.
     pub incarnation: Incarnation,
     /// When it was last heard.
@@ -44,7 +44,7 @@
             message.group.is_none() && message.to_incarnation == Some(self.incarnation);
         let empty = matches!(&message.body,
             MessageBody::Probe { founders } if to_this_disk && *founders == self.founders_digest());
-        let sighting = PeerSighting {
+        let sighting = ObservedPeer {
             incarnation: message.from_incarnation,
             at: now,
             empty_at: empty.then_some(now),
@@ -63,7 +63,7 @@
             self.answer_probe(from, message.from_incarnation);
             return false;
         };
-        match self.hard.group {
+        match self.hard_state.group {
             Some(own) => own == group,
             None => self.join(now, group, message),
         }
@@ -71,7 +71,7 @@
 
     /// A founder that lacks the founding membership gets it from any that has it.
     fn answer_probe(&mut self, from: &VmId, incarnation: Incarnation) {
-        if self.hard.group.is_none() || self.log.base() > 0 {
+        if self.hard_state.group.is_none() || self.log.base() > 0 {
             return;
         }
         let founding = self.log.membership_at(1).cloned().unwrap_or_default();
@@ -103,7 +103,7 @@
             | MessageBody::Append { .. }
             | MessageBody::Heartbeat { .. }
             | MessageBody::SnapshotChunk { .. } => {
-                self.write_hard(HardState { group: Some(group), ..self.hard.clone() });
+                self.write_hard_state(HardState { group: Some(group), ..self.hard_state.clone() });
                 self.role = RoleState::Follower;
                 self.reset_timeout(now);
                 true
@@ -114,7 +114,7 @@
 
     fn adopt_founding(&mut self, now: Instant, membership: &Membership) {
         let group = Some(membership.group());
-        self.write_hard(HardState { term: FOUNDING_TERM, vote: None, group });
+        self.write_hard_state(HardState { term: FOUNDING_TERM, vote: None, group });
         self.write_entries(vec![membership.founding_entry()]);
         self.role = RoleState::Follower;
         self.reset_timeout(now);
@@ -175,7 +175,7 @@
 
     /// Disks outside the membership that make themselves known now. One that was heard long ago may be
     /// gone: taken in, it would be found silent and taken out again, for ever, before a sound one.
-    pub(super) fn outsiders(&self, now: Instant) -> BTreeMap<VmId, Incarnation> {
+    pub(super) fn non_members(&self, now: Instant) -> BTreeMap<VmId, Incarnation> {
         let life = self.settings.timing.probe * FRESH_PROBES;
         let fresh = self.sightings.iter().filter(|(_, sighting)| now < sighting.at + life);
         let heard = fresh.map(|(vm, sighting)| (vm.clone(), sighting.incarnation));
--- a/src/control/replica/lead.rs
+++ b/src/control/replica/leader.rs
@@ -23,14 +23,14 @@
     pub(super) fn become_leader(&mut self, now: Instant) {
         let mut lead = LeaderState {
             since: now,
-            opening: self.log.last_index() + 1,
+            term_start: self.log.last_index() + 1,
             round: 0,
             rounds: BTreeMap::new(),
             heartbeat_at: now + self.settings.timing.heartbeat,
             followers: BTreeMap::new(),
             proposals: BTreeMap::new(),
         };
-        lead.adopt(self.log.membership(), &self.settings.vm, self.log.last_index(), now);
+        lead.update_followers(self.log.membership(), &self.settings.vm, self.log.last_index(), now);
         lead.begin_round(now);
         self.role = RoleState::Leader(Box::new(lead));
         self.leader = Some(self.settings.vm.clone());
@@ -78,7 +78,7 @@
             SendMode::Stream => limits.appends_in_flight,
             SendMode::Snapshot { .. } => return None,
         };
-        let is_full = progress.in_flight.len() >= allowed || progress.long_append.is_some();
+        let is_full = progress.in_flight.len() >= allowed || progress.oversized_append.is_some();
         if progress.next > last || is_full {
             return None;
         }
@@ -89,12 +89,12 @@
         let entries = self.log.batch(progress.next, limits.append_bytes);
         let sent = prev_index + entries.len() as LogIndex;
         if progress.in_flight.is_empty() {
-            progress.moved_at = now;
+            progress.last_progress_at = now;
         }
         progress.sent_at = now;
         progress.in_flight.push_back(sent);
         let length: usize = entries.iter().map(LogEntry::bytes).sum();
-        progress.long_append = (length > limits.append_bytes).then_some(sent);
+        progress.oversized_append = (length > limits.append_bytes).then_some(sent);
         progress.next = sent + 1;
         let prev_term = self.log.term(prev_index).expect("the entry before a held one is known");
         Some(MessageBody::Append { round, prev_index, prev_term, entries, commit, target })
@@ -105,8 +105,8 @@
         let progress = self.lead_mut()?.followers.get_mut(vm)?;
         progress.mode = SendMode::Snapshot { snapshot, offset: 0 };
         progress.in_flight.clear();
-        progress.long_append = None;
-        progress.moved_at = now;
+        progress.oversized_append = None;
+        progress.last_progress_at = now;
         self.next_chunk(now, vm)
     }
 
@@ -139,10 +139,10 @@
         let round = lead.round;
         let mut due = Vec::new();
         for (vm, progress) in &mut lead.followers {
-            let stuck = progress.is_stuck(now, heartbeat * RESEND_HEARTBEATS);
+            let stuck = progress.is_stalled(now, heartbeat * RESEND_HEARTBEATS);
             if stuck {
                 progress.resends += 1;
-                progress.restart(now);
+                progress.rewind(now);
             }
             // Past what the follower is known to hold its log may differ from this one.
             let commit = commit.min(progress.matched);
@@ -179,7 +179,7 @@
                 if refused >= progress.matched
                     && !matches!(progress.mode, SendMode::Snapshot { .. }) =>
             {
-                progress.restart(now);
+                progress.rewind(now);
                 progress.next = hint.min(last).max(progress.matched) + 1;
             }
             MessageBody::SnapshotReply { index, received, .. } => {
@@ -203,7 +203,7 @@
             return;
         }
         *offset = received;
-        progress.moved_at = now;
+        progress.last_progress_at = now;
         progress.resends = 0;
         if let Some(body) = self.next_chunk(now, vm) {
             self.send(vm, Some(incarnation), body);
@@ -241,8 +241,9 @@
     pub(super) fn check_quorum(&mut self, now: Instant) {
         let election = self.settings.timing.election;
         let Some(lead) = self.lead() else { return };
-        let quorum_at = lead.quorum_at(self.log.membership(), &self.settings.vm, now);
-        let with_quorum = quorum_at.unwrap_or(lead.since).max(lead.since);
+        let quorum_contact_at =
+            lead.quorum_contact_at(self.log.membership(), &self.settings.vm, now);
+        let with_quorum = quorum_contact_at.unwrap_or(lead.since).max(lead.since);
         if now >= with_quorum + election {
             self.become_follower(now, self.term(), None);
         }
@@ -250,9 +251,10 @@
 
     /// Until when no other replica can lead.
     pub(super) fn lease_until(&self, now: Instant) -> Option<Instant> {
-        let lead = self.lead().filter(|lead| self.commit >= lead.opening)?;
-        let quorum_at = lead.quorum_at(self.log.membership(), &self.settings.vm, now)?;
-        Some(quorum_at + self.settings.timing.lease)
+        let lead = self.lead().filter(|lead| self.commit >= lead.term_start)?;
+        let quorum_contact_at =
+            lead.quorum_contact_at(self.log.membership(), &self.settings.vm, now)?;
+        Some(quorum_contact_at + self.settings.timing.lease)
     }
 
     pub(super) fn propose(&mut self, now: Instant, proposal: ProposalId, command: Command) {
@@ -270,8 +272,9 @@
         let Some(lead) = self.lead() else {
             return Some(LocalProposeError::NotLeader { leader: self.leader.clone() });
         };
-        let quorum_at = lead.quorum_at(self.log.membership(), &self.settings.vm, now);
-        let with_quorum = quorum_at.unwrap_or(lead.since).max(lead.since);
+        let quorum_contact_at =
+            lead.quorum_contact_at(self.log.membership(), &self.settings.vm, now);
+        let with_quorum = quorum_contact_at.unwrap_or(lead.since).max(lead.since);
         if now >= with_quorum + self.settings.timing.lease {
             return Some(LocalProposeError::NoQuorum);
         }
--- a/src/control/replica/change.rs
+++ b/src/control/replica/membership_change.rs
@@ -51,7 +51,7 @@
     /// same old membership and find quorums that have no replica in common.
     fn may_change(&self) -> bool {
         self.log.membership_index() <= self.commit
-            && self.lead().is_some_and(|lead| self.commit >= lead.opening)
+            && self.lead().is_some_and(|lead| self.commit >= lead.term_start)
     }
 
     fn replaced(
@@ -102,12 +102,13 @@
         now: Instant,
         membership: Membership,
     ) -> Result<Membership, CommandOutcome> {
-        let quorum_at = (!membership.voters.is_empty())
+        let quorum_contact_at = (!membership.voters.is_empty())
             .then(|| {
-                self.lead().and_then(|lead| lead.quorum_at(&membership, &self.settings.vm, now))
+                self.lead()
+                    .and_then(|lead| lead.quorum_contact_at(&membership, &self.settings.vm, now))
             })
             .flatten();
-        match quorum_at {
+        match quorum_contact_at {
             Some(at) if now < at + self.settings.timing.election => Ok(membership),
             _ => refuse("too few of the remaining replicas answer; bring them back first"),
         }
@@ -116,7 +117,7 @@
     pub(super) fn change_membership(&mut self, now: Instant, membership: Membership) -> LogIndex {
         let (own, last) = (self.settings.vm.clone(), self.log.last_index());
         if let Some(lead) = self.lead_mut() {
-            lead.adopt(&membership, &own, last, now);
+            lead.update_followers(&membership, &own, last, now);
         }
         self.append(now, EntryPayload::Membership(membership))
     }
--- a/src/control/replica/progress.rs
+++ b/src/control/replica/progress.rs
@@ -29,7 +29,7 @@
     /// When it was elected.
     pub since: Instant,
     /// The entry that opens its term.
-    pub opening: LogIndex,
+    pub term_start: LogIndex,
     /// The present round.
     pub round: RoundNumber,
     /// When the last rounds began; at most [`ROUNDS`].
@@ -57,9 +57,9 @@
     pub in_flight: VecDeque<LogIndex>,
     /// The last entry of an append on its way that is longer than appends usually are. Whatever
     /// follows waits for it, since it would overtake it and be rejected.
-    pub long_append: Option<LogIndex>,
+    pub oversized_append: Option<LogIndex>,
     /// When something was first sent without anything on its way, or last got through.
-    pub moved_at: Instant,
+    pub last_progress_at: Instant,
     /// When entries or a piece of a snapshot were last sent.
     pub sent_at: Instant,
     /// Times that the same was sent again, without anything getting through.
@@ -95,8 +95,8 @@
             next,
             mode: SendMode::Probe,
             in_flight: VecDeque::new(),
-            long_append: None,
-            moved_at: now,
+            oversized_append: None,
+            last_progress_at: now,
             sent_at: now,
             resends: 0,
             replied_at: None,
@@ -108,21 +108,23 @@
     /// `wait`, doubled with each time that the same was sent again, nothing has got through.
     ///
     /// Nothing is sent again to a silent follower, since it would only pile up in queues.
-    pub fn is_stuck(&self, now: Instant, wait: Duration) -> bool {
+    pub fn is_stalled(&self, now: Instant, wait: Duration) -> bool {
         let waits = !self.in_flight.is_empty() || matches!(self.mode, SendMode::Snapshot { .. });
         let wait = wait * 2_u32.pow(self.resends.min(MOST_DOUBLINGS));
-        waits && self.replied_at.is_some_and(|at| at > self.sent_at) && now >= self.moved_at + wait
+        waits
+            && self.replied_at.is_some_and(|at| at > self.sent_at)
+            && now >= self.last_progress_at + wait
     }
 
     /// Starts again after what is known to have arrived.
-    pub fn restart(&mut self, now: Instant) {
+    pub fn rewind(&mut self, now: Instant) {
         if !matches!(self.mode, SendMode::Snapshot { .. }) {
             self.mode = SendMode::Probe;
         }
         self.next = self.matched + 1;
         self.in_flight.clear();
-        self.long_append = None;
-        self.moved_at = now;
+        self.oversized_append = None;
+        self.last_progress_at = now;
     }
 
     /// Takes in that the follower holds the log up to `matched`.
@@ -135,14 +137,14 @@
         self.mode = SendMode::Stream;
         while self.in_flight.front().is_some_and(|last| *last <= matched) {
             self.in_flight.pop_front();
-            self.moved_at = now;
+            self.last_progress_at = now;
         }
         if matched > self.matched {
             self.matched = matched;
-            self.moved_at = now;
+            self.last_progress_at = now;
             self.resends = 0;
         }
-        self.long_append = self.long_append.filter(|last| *last > matched);
+        self.oversized_append = self.oversized_append.filter(|last| *last > matched);
         self.next = self.next.max(self.matched + 1);
     }
 }
@@ -158,7 +160,13 @@
     }
 
     /// Makes the followers those of a membership.
-    pub fn adopt(&mut self, membership: &Membership, own: &VmId, last: LogIndex, now: Instant) {
+    pub fn update_followers(
+        &mut self,
+        membership: &Membership,
+        own: &VmId,
+        last: LogIndex,
+        now: Instant,
+    ) {
         self.followers.retain(|vm, progress| membership.is_member(vm, progress.incarnation));
         for (vm, incarnation) in membership.members() {
             if vm != own && !self.followers.contains_key(vm) {
@@ -170,7 +178,7 @@
 
     /// When each follower last replied, or became one: a replica that was just taken in has had no
     /// time to reply, and would else be taken out as silent before its first reply.
-    pub fn heard(&self) -> BTreeMap<VmId, Instant> {
+    pub fn last_replies(&self) -> BTreeMap<VmId, Instant> {
         let followers = self.followers.iter();
         followers
             .map(|(vm, progress)| (vm.clone(), progress.replied_at.unwrap_or(progress.since)))
@@ -179,7 +187,12 @@
 
     /// The latest time at which a quorum of `membership` is known to have followed this leader:
     /// the start of a round that a quorum replied to, never the arrival of a reply.
-    pub fn quorum_at(&self, membership: &Membership, own: &VmId, now: Instant) -> Option<Instant> {
+    pub fn quorum_contact_at(
+        &self,
+        membership: &Membership,
+        own: &VmId,
+        now: Instant,
+    ) -> Option<Instant> {
         let mut times: Vec<Instant> = membership
             .voters
             .iter()
--- a/src/control/replica/types.rs
+++ b/src/control/replica/types.rs
@@ -128,7 +128,7 @@
     },
     /// The settings name these VMs now: without a group the replica makes itself known to them as
     /// well. They found nothing.
-    Introduce {
+    ConfiguredPeers {
         /// The VMs.
         peers: BTreeSet<VmId>,
     },
@@ -239,14 +239,14 @@
     pub members: Membership,
     /// Disks that it has heard from within the last probes and that are no members: they may be taken
     /// in.
-    pub outsiders: BTreeMap<VmId, Incarnation>,
+    pub non_members: BTreeMap<VmId, Incarnation>,
     /// Control VMs that others have named in this life.
     pub contacts: BTreeSet<VmId>,
     /// Until when no other replica can lead; `None` unless this one leads.
     pub lease_until: Option<Instant>,
     /// When each other member last replied to this leader, or this leader began; empty unless it
     /// leads.
-    pub heard: BTreeMap<VmId, Instant>,
+    pub last_replies: BTreeMap<VmId, Instant>,
     /// Since when it leads; `None` unless it does.
     pub leader_since: Option<Instant>,
     /// Why it stopped, once it has: the text names the remedy.
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -6,8 +6,8 @@
             command::{Command, CommandOutcome},
             configuration::{ConfigPart, ConfigRequest, ConfigState},
             document::DocumentState,
-            ledger::{ClaimHolder, ClaimRequest, FormerLedger, IdempotencyLedger},
-            orders::{ServerWeightOrders, SuspectTable, WeightOrders},
+            ledger::{ClaimHolder, ClaimRequest, IdempotencyLedger, LegacyLedger},
+            orders::{LegacyWeightOrders, SuspectTable, WeightOrders},
         },
         ids::FencingNumber,
     },
@@ -40,7 +40,7 @@
 #[derive(Deserialize)]
 struct FormerState<O> {
     configuration: ConfigState,
-    ledger: FormerLedger,
+    ledger: LegacyLedger,
     orders: O,
     suspects: SuspectTable,
 }
@@ -54,7 +54,7 @@
 }
 
 /// What a snapshot holds whose weights are kept by server.
-type ServerState = FormerState<ServerWeightOrders>;
+type ServerState = FormerState<LegacyWeightOrders>;
 
 /// Why a snapshot cannot be read.
 #[derive(Clone, Debug, Display, PartialEq)]
@@ -111,7 +111,7 @@
             | Command::Release { .. }
             | Command::MarkUnknown { .. } => self.apply_claim(command),
             Command::NoteLife { vm, incarnation, now_ms } => {
-                self.ledger.note_life(vm, *incarnation, *now_ms)
+                self.ledger.note_incarnation(vm, *incarnation, *now_ms)
             }
             Command::EndAttempts { vm, incarnation, floor, now_ms } => {
                 self.ledger.end_attempts(vm, *incarnation, *floor, *now_ms)
@@ -122,7 +122,7 @@
                 self.suspects.note(*fingerprint, *strikes, number.index)
             }
             Command::PutDocument { number, body } => self.documents.put(*number, body),
-            Command::NameWeights { model, version } => self.documents.name(model, *version),
+            Command::NameWeights { model, version } => self.documents.name_weights(model, *version),
             Command::ReplaceReplica { .. } | Command::RemoveReplica { .. } => {
                 let reason = "the leader writes the membership itself; propose it at the leader";
                 CommandOutcome::Refused { reason: reason.to_owned() }
--- a/src/daemon/control_driver.rs
+++ b/src/daemon/control_driver.rs
@@ -15,8 +15,8 @@
             Command, CommandOutcome, ProposeError, ReplicaMessage, SavedState,
             configuration::ConfigChange,
             document::DocumentState,
-            entry::HEAD_BYTES,
-            orders::{DesiredWeights, SuspectStrikes},
+            entry::OVERHEAD_BYTES,
+            orders::{DesiredWeights, SuspectCrashes},
             replica::{Replica, ReplicaLimits, ReplicaSettings, ReplicaStatus, ReplicaTiming},
             state::ControlState,
         },
@@ -141,7 +141,7 @@
     ) -> Result<ControlHandle, DriverError> {
         let mut folder = WatchedFolder::new(opener, settings.reopen_after);
         let opened = folder.open().map_err(|reason: String| storage_error(&settings, &reason))?;
-        note_set_aside(&settings.vm, opened.set_aside.as_deref());
+        note_set_aside(&settings.vm, opened.quarantined.as_deref());
         let replica = open_replica(&settings, opened.state)?;
         let (inputs, queue) = mpsc::channel(INPUT_QUEUE);
         let (batches, batch_queue) = mpsc::channel(BATCH_QUEUE);
@@ -208,7 +208,7 @@
     config: watch::Sender<Arc<ActiveConfig>>,
     status: watch::Sender<Arc<ReplicaStatus>>,
     weights: watch::Sender<Arc<DesiredWeights>>,
-    suspects: watch::Sender<Arc<SuspectStrikes>>,
+    suspects: watch::Sender<Arc<SuspectCrashes>>,
     history: watch::Sender<Arc<Vec<ConfigChange>>>,
     documents: watch::Sender<Arc<DocumentState>>,
 }
@@ -219,7 +219,7 @@
     config: ConfigWatch,
     status: watch::Receiver<Arc<ReplicaStatus>>,
     weights: watch::Receiver<Arc<DesiredWeights>>,
-    suspects: watch::Receiver<Arc<SuspectStrikes>>,
+    suspects: watch::Receiver<Arc<SuspectCrashes>>,
     history: watch::Receiver<Arc<Vec<ConfigChange>>>,
     documents: watch::Receiver<Arc<DocumentState>>,
 }
@@ -229,7 +229,7 @@
     let (config_feed, config) = watch::channel(replica.config().clone());
     let (status_feed, status) = watch::channel(Arc::new(replica.status(Instant::now())));
     let (weights_feed, weights) = watch::channel(Arc::new(state.orders().desired().clone()));
-    let (suspects_feed, suspects) = watch::channel(Arc::new(state.suspects().strikes()));
+    let (suspects_feed, suspects) = watch::channel(Arc::new(state.suspects().crashes()));
     let (history_feed, history) = watch::channel(Arc::new(latest_changes(state)));
     let (documents_feed, documents) = watch::channel(Arc::new(state.documents().clone()));
     let feeds = StatusFeeds {
@@ -271,7 +271,7 @@
         command: Command,
     ) -> Result<CommandOutcome, LocalProposeError> {
         let (reply, outcome) = oneshot::channel();
-        let length = HEAD_BYTES + command.body_bytes();
+        let length = OVERHEAD_BYTES + command.body_bytes();
         let Some(room) = self.take_room(length) else { return Err(LocalProposeError::Busy) };
         let input = DriverInput::Propose { command: Box::new(command), reply, room };
         match self.inputs.try_send(input) {
@@ -347,7 +347,7 @@
     }
 
     /// The suspects, as far as this replica has applied them.
-    pub fn suspects(&self) -> watch::Receiver<Arc<SuspectStrikes>> {
+    pub fn suspects(&self) -> watch::Receiver<Arc<SuspectCrashes>> {
         self.watches.suspects.clone()
     }
 }
--- a/src/daemon/control_driver/runner.rs
+++ b/src/daemon/control_driver/runner.rs
@@ -136,7 +136,7 @@
 
     /// Tells a new life of the replica whom the settings name.
     async fn introduce(&mut self) -> Result<(), FilesGone> {
-        let input = ReplicaInput::Introduce { peers: self.introduced.clone() };
+        let input = ReplicaInput::ConfiguredPeers { peers: self.introduced.clone() };
         self.carry_out_all(input).await
     }
 
@@ -162,7 +162,7 @@
             }
             DriverInput::Introduce { peers } => {
                 self.introduced.clone_from(&peers);
-                ReplicaInput::Introduce { peers }
+                ReplicaInput::ConfiguredPeers { peers }
             }
         }
     }
@@ -221,7 +221,7 @@
         if **feeds.weights.borrow() != *state.orders().desired() {
             feeds.weights.send_replace(Arc::new(state.orders().desired().clone()));
         }
-        let strikes = state.suspects().strikes();
+        let strikes = state.suspects().crashes();
         if **feeds.suspects.borrow() != strikes {
             feeds.suspects.send_replace(Arc::new(strikes));
         }
--- a/src/daemon/control_driver/writer.rs
+++ b/src/daemon/control_driver/writer.rs
@@ -75,7 +75,7 @@
             life += 1;
             let Some(opened) = self.reopen(&mut queue, &reports) else { return };
             store = opened.store;
-            let (state, set_aside) = (opened.state, opened.set_aside);
+            let (state, set_aside) = (opened.state, opened.quarantined);
             if reports.blocking_send(WriteReport::Opened { life, state, set_aside }).is_err() {
                 return;
             }
--- a/src/edge/core.rs
+++ b/src/edge/core.rs
@@ -132,7 +132,7 @@
         let view = self.view();
         let Some(listed) = view.servers.get(server) else { return };
         if let Some(version) = head.weights {
-            self.lock_weights().insert(server.clone(), (listed.life, version));
+            self.lock_weights().insert(server.clone(), (listed.incarnation, version));
         }
         let Some((running, waiting)) = head.load else { return };
         let version = self.weights_of(server, &listed.service, model);
@@ -142,7 +142,7 @@
         });
         self.port.tell(PolicyInput::Load(LoadReport {
             server: server.clone(),
-            incarnation: listed.life,
+            incarnation: listed.incarnation,
             weights: weights.collect(),
             running,
             waiting,
@@ -164,7 +164,7 @@
         let listed = view.servers.get(server).filter(|listed| listed.service == *service)?;
         let told = listed.weights.get(model?).copied();
         let seen = self.lock_weights().get(server).copied();
-        let seen = seen.filter(|(life, _)| *life == listed.life).map(|(_, version)| version);
+        let seen = seen.filter(|(life, _)| *life == listed.incarnation).map(|(_, version)| version);
         told.max(seen)
     }
 
--- a/src/edge/view.rs
+++ b/src/edge/view.rs
@@ -138,7 +138,7 @@
             if known == Some(server) && was_outdated == self.outdated.contains(&server.id) {
                 continue;
             }
-            let reborn = known.is_none_or(|known| known.life != server.life);
+            let reborn = known.is_none_or(|known| known.incarnation != server.incarnation);
             inputs.push(self.health_of(server));
             if reborn || known.is_none_or(|known| known.weights != server.weights) {
                 inputs.push(self.first_report(server));
@@ -151,7 +151,7 @@
     fn first_report(&self, server: &ListedServer) -> PolicyInput {
         PolicyInput::Load(LoadReport {
             server: server.id.clone(),
-            incarnation: server.life,
+            incarnation: server.incarnation,
             weights: server
                 .weights
                 .iter()
@@ -169,8 +169,8 @@
     pub fn health_of(&self, server: &ListedServer) -> PolicyInput {
         let health = match server.phase {
             _ if self.outdated.contains(&server.id) => ServerHealth::Leaving,
-            ServerPhase::Ready => ServerHealth::Alive { incarnation: server.life },
-            ServerPhase::Loading => ServerHealth::Reserved { incarnation: server.life },
+            ServerPhase::Ready => ServerHealth::Alive { incarnation: server.incarnation },
+            ServerPhase::Loading => ServerHealth::Reserved { incarnation: server.incarnation },
             ServerPhase::Draining => ServerHealth::Leaving,
         };
         PolicyInput::Health { server: server.id.clone(), health }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -44,7 +44,8 @@
     /// What it may be given.
     pub phase: ServerPhase,
     /// Its life: a start under the same name has a later one.
-    pub life: Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     /// Weights that it had loaded when the list was made, by model; empty for plain services.
     pub weights: BTreeMap<ModelId, WeightsNumber>,
 }
@@ -78,7 +79,7 @@
             let known = former.servers.binary_search_by(|known| known.id.cmp(&server.id));
             let known = known.ok().map(|index| &former.servers[index]);
             let drains = known.is_some_and(|known| {
-                known.life == server.life && known.phase == ServerPhase::Draining
+                known.incarnation == server.incarnation && known.phase == ServerPhase::Draining
             });
             if drains {
                 server.phase = ServerPhase::Draining;
--- a/src/fleet/history.rs
+++ b/src/fleet/history.rs
@@ -27,7 +27,8 @@
     /// Servers that are new or differ.
     pub changed: Vec<ListedServer>,
     /// Servers that are no longer listed.
-    pub gone: Vec<ServerId>,
+    #[serde(rename = "gone")]
+    pub removed: Vec<ServerId>,
 }
 
 /// What a follower of the list lacks.
@@ -36,7 +37,7 @@
     /// It holds a list that was given a short while ago.
     Delta(Arc<FleetDelta>),
     /// It holds none, or one that is not known here.
-    Whole(Arc<FleetSnapshot>),
+    Full(Arc<FleetSnapshot>),
 }
 
 /// Lists by their digests.
@@ -60,7 +61,7 @@
             return Some(FleetChange::Delta(Arc::clone(delta)));
         }
         let Some((_, base)) = self.given.iter().find(|(known, _)| *known == held) else {
-            return Some(FleetChange::Whole(Arc::clone(present)));
+            return Some(FleetChange::Full(Arc::clone(present)));
         };
         let delta = Arc::new(difference((held, base), (digest, present)));
         self.deltas.insert(held, Arc::clone(&delta));
@@ -101,16 +102,16 @@
         base,
         digest,
         changed: changed.cloned().collect(),
-        gone: gone.map(|server| server.id.clone()).collect(),
+        removed: gone.map(|server| server.id.clone()).collect(),
     }
 }
 
 impl FleetSnapshot {
     /// This list with the changes of `delta`.
-    pub fn with(&self, delta: &FleetDelta) -> FleetSnapshot {
+    pub fn apply(&self, delta: &FleetDelta) -> FleetSnapshot {
         let mut servers: BTreeMap<&ServerId, &ListedServer> =
             self.servers.iter().map(|server| (&server.id, server)).collect();
-        for gone in &delta.gone {
+        for gone in &delta.removed {
             servers.remove(gone);
         }
         servers.extend(delta.changed.iter().map(|server| (&server.id, server)));
--- a/src/fleet/watch.rs
+++ b/src/fleet/watch.rs
@@ -28,10 +28,10 @@
 };
 
 /// Between two readings of the list by the VM whose turn it is.
-pub const READ_EVERY: Duration = Duration::from_secs(1);
+pub const READ_INTERVAL: Duration = Duration::from_secs(1);
 /// A follower reads by itself when the leader's list was not confirmed for so long: two readings
 /// and the time that a follower waits for a change.
-pub const LEADER_SILENCE: Duration = Duration::from_millis(2_500);
+pub const LEADER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A server that was held back for loading is given work again after this, whatever became of it:
 /// longer than any load, short enough to lose little when the leader that held it is gone.
 const HOLD_LIMIT: Duration = Duration::from_secs(5);
@@ -44,21 +44,21 @@
 
 /// Between two lists that followers are shown, for each listed server: while new weights are loaded the
 /// list changes with each server, and a follower goes over all of it at each showing.
-const SHOW_EVERY_EACH: Duration = Duration::from_micros(300);
+const PUBLISH_INTERVAL_PER_SERVER: Duration = Duration::from_micros(300);
 /// Between two lists that followers are shown, at most.
-pub const SHOW_EVERY: Duration = Duration::from_millis(100);
+pub const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The list in force on a control VM, with the servers that the leader holds back.
-pub struct FleetBoard {
+pub struct FleetView {
     merged: watch::Sender<Arc<FleetSnapshot>>,
     /// The merged list as followers are shown it, a moment later.
     shown: watch::Sender<Arc<FleetSnapshot>>,
-    state: Mutex<BoardState>,
+    state: Mutex<ViewState>,
     history: Mutex<FleetHistory>,
 }
 
 #[derive(Default)]
-struct BoardState {
+struct ViewState {
     listed: Arc<FleetSnapshot>,
     confirmed: Option<Instant>,
     /// Servers held back and since when; only of the list.
@@ -67,9 +67,9 @@
     told: BTreeMap<ServerId, (Incarnation, BTreeMap<ModelId, WeightsNumber>)>,
 }
 
-impl Default for FleetBoard {
+impl Default for FleetView {
     fn default() -> Self {
-        FleetBoard {
+        FleetView {
             merged: watch::channel(Arc::default()).0,
             shown: watch::channel(Arc::default()).0,
             state: Mutex::default(),
@@ -78,14 +78,14 @@
     }
 }
 
-impl FleetBoard {
+impl FleetView {
     /// Follows the list.
     pub fn subscribe(&self) -> watch::Receiver<Arc<FleetSnapshot>> {
         self.merged.subscribe()
     }
 
     /// Follows the list that followers are shown.
-    pub fn subscribe_shown(&self) -> watch::Receiver<Arc<FleetSnapshot>> {
+    pub fn subscribe_published(&self) -> watch::Receiver<Arc<FleetSnapshot>> {
         self.shown.subscribe()
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Takes over a reading made here.
-    pub fn take_reading(&self, snapshot: FleetSnapshot) {
+    pub fn apply_reading(&self, snapshot: FleetSnapshot) {
         let mut state = self.lock();
         state.listed = Arc::new(snapshot);
         state.confirmed = Some(Instant::now());
@@ -106,7 +106,7 @@
     }
 
     /// Takes over the leader's list, which has its own servers held back already.
-    pub fn take_leaders(&self, snapshot: Option<Arc<FleetSnapshot>>) {
+    pub fn apply_leader_list(&self, snapshot: Option<Arc<FleetSnapshot>>) {
         let mut state = self.lock();
         state.confirmed = Some(Instant::now());
         if let Some(snapshot) = snapshot
@@ -134,7 +134,7 @@
     }
 
     /// Notes the weights that a server told itself: the list lags behind it.
-    pub fn note_weights(
+    pub fn report_weights(
         &self,
         server: &ServerId,
         life: Incarnation,
@@ -153,14 +153,14 @@
         self.lock().confirmed.is_some_and(|at| at.elapsed() < age)
     }
 
-    fn show(&self, state: &mut BoardState) {
+    fn show(&self, state: &mut ViewState) {
         state.held.retain(|_, since| since.elapsed() < HOLD_LIMIT);
         let mut merged = FleetSnapshot::clone(&state.listed);
         let listed: BTreeSet<&ServerId> = merged.servers.iter().map(|server| &server.id).collect();
         state.told.retain(|server, _| listed.contains(server));
         for server in &mut merged.servers {
             if let Some((life, told)) = state.told.get(&server.id)
-                && *life == server.life
+                && *life == server.incarnation
             {
                 for (model, version) in &mut server.weights {
                     *version = told.get(model).copied().unwrap_or_default().max(*version);
@@ -179,31 +179,31 @@
         });
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, BoardState> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, ViewState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Shows followers the list whenever it changes, the more rarely the longer it is; for ever.
-pub async fn show_list(board: Arc<FleetBoard>) {
+pub async fn publish_list(board: Arc<FleetView>) {
     let mut merged = board.subscribe();
     merged.mark_changed();
     while merged.changed().await.is_ok() {
         let list = merged.borrow_and_update().clone();
         let count = u32::try_from(list.servers.len()).unwrap_or(u32::MAX);
         board.shown.send_replace(list);
-        sleep(SHOW_EVERY_EACH.saturating_mul(count).min(SHOW_EVERY)).await;
+        sleep(PUBLISH_INTERVAL_PER_SERVER.saturating_mul(count).min(PUBLISH_INTERVAL)).await;
     }
 }
 
 /// Tells in the log when the list stops being confirmed, and when it is again.
 #[derive(Debug, Default)]
-pub struct ListNotice {
+pub struct ListMonitor {
     /// Since when it is not; `None` while it is.
     lost: Option<Instant>,
 }
 
-impl ListNotice {
+impl ListMonitor {
     /// Takes in whether the list, which names `servers`, was confirmed just now. True if the log
     /// was told of a change.
     pub fn note(&mut self, confirmed: bool, servers: usize) -> bool {
@@ -226,19 +226,19 @@
 
 /// Reads the list whenever it is this VM's turn, for ever. `leads` says whether this VM leads now.
 pub async fn read_list(
-    board: Arc<FleetBoard>,
+    board: Arc<FleetView>,
     source: Arc<dyn FleetSource>,
     leads: impl Fn() -> bool,
 ) {
-    let mut notice = ListNotice::default();
+    let mut notice = ListMonitor::default();
     loop {
-        if leads() || !board.is_fresh(LEADER_SILENCE) {
+        if leads() || !board.is_fresh(LEADER_TIMEOUT) {
             let reading = source.read().await;
             let known = board.subscribe().borrow().servers.len();
             let servers = reading.as_ref().map_or(known, |snapshot| snapshot.servers.len());
             notice.note(reading.is_some(), servers);
-            reading.into_iter().for_each(|snapshot| board.take_reading(snapshot));
+            reading.into_iter().for_each(|snapshot| board.apply_reading(snapshot));
         }
-        sleep(READ_EVERY).await;
+        sleep(READ_INTERVAL).await;
     }
 }
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -155,7 +155,7 @@
             && delta.base == self.fleet_digest
         {
             let former = self.fleet.clone().unwrap_or_default();
-            self.take_fleet(former.with(&delta), delta.digest);
+            self.take_fleet(former.apply(&delta), delta.digest);
         }
         if let Some(control) = reply.control {
             self.control = control;
--- a/src/follow/desk.rs
+++ b/src/follow/desk.rs
@@ -14,7 +14,7 @@
         fleet::{
             FleetSnapshot,
             history::{FleetChange, FleetDelta},
-            watch::{FleetBoard, LEADER_SILENCE},
+            watch::{FleetView, LEADER_TIMEOUT},
         },
         ids::{FailureDomainId, Term, VmId},
         observe::metrics::{FOLLOW_DOCUMENTS, FOLLOW_LISTS, FOLLOWERS},
@@ -37,7 +37,7 @@
 /// The desk of one control VM, open once its replica runs.
 pub struct FollowDesk {
     failure_domain: FailureDomainId,
-    board: Arc<FleetBoard>,
+    board: Arc<FleetView>,
     replica: std::sync::OnceLock<ControlHandle>,
     /// The documents that followers may hold.
     documents: Mutex<DocumentHistory>,
@@ -49,7 +49,7 @@
 
 impl FollowDesk {
     /// A desk that answers with a refusal until [`Self::open`].
-    pub fn new(failure_domain: FailureDomainId, board: Arc<FleetBoard>) -> Self {
+    pub fn new(failure_domain: FailureDomainId, board: Arc<FleetView>) -> Self {
         FollowDesk {
             failure_domain,
             board,
@@ -119,7 +119,7 @@
         reply.held = state.document().number;
         reply.fresh = status.is_fresh;
         reply.term = leader_term(&status);
-        reply.list_fresh = self.board.is_fresh(LEADER_SILENCE);
+        reply.list_fresh = self.board.is_fresh(LEADER_TIMEOUT);
         reply.failure_domain.clone_from(&self.failure_domain);
         reply.entries = self.entries(&status).max(1);
         PeerReply::Followed(Box::new(reply))
@@ -128,7 +128,7 @@
     /// Ends when there is something to tell.
     async fn changed(&self, replica: &ControlHandle, request: &FollowRequest) {
         let mut documents = replica.documents();
-        let mut fleet = self.board.subscribe_shown();
+        let mut fleet = self.board.subscribe_published();
         let mut status = replica.status_watch();
         loop {
             fleet.mark_unchanged();
@@ -192,7 +192,7 @@
                 metrics::counter!(FOLLOW_LISTS, "kind" => "difference").increment(1);
                 reply.fleet_delta = Some(FleetDelta::clone(&delta));
             }
-            Some(FleetChange::Whole(fleet)) => {
+            Some(FleetChange::Full(fleet)) => {
                 metrics::counter!(FOLLOW_LISTS, "kind" => "whole").increment(1);
                 reply.fleet = Some(FleetSnapshot::clone(&fleet));
             }
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -11,14 +11,14 @@
     crate::{
         control::{
             Membership,
-            healing::{RepairNeed, next_repair, repair_need, wanted_voters},
+            healing::{RepairNeeds, next_repair, repair_needs, target_voters},
             replica::ReplicaStatus,
         },
         daemon::{
             control_driver::{ControlDriver, ControlHandle, DriverSettings},
             weight_orders::WeightOrders,
         },
-        fleet::watch::{FleetBoard, FleetSource, read_list, show_list},
+        fleet::watch::{FleetSource, FleetView, publish_list, read_list},
         follow::{
             FollowReply, FollowerKind, SharedState,
             desk::{ControlHandler, FollowDesk},
@@ -92,7 +92,7 @@
         engines: Arc<dyn EngineOrders>,
     ) -> Result<Self, NodeError> {
         let mut tasks = JoinSet::new();
-        let board = Arc::new(FleetBoard::default());
+        let board = Arc::new(FleetView::default());
         let desk = Arc::new(FollowDesk::new(settings.failure_domain.clone(), Arc::clone(&board)));
         let place = OpenNetworkSettings {
             vm: settings.vm.clone(),
@@ -105,7 +105,7 @@
         desk.open(replica.clone());
         let leads = replica.clone();
         tasks.spawn(read_list(Arc::clone(&board), source, move || leads.lease_valid()));
-        tasks.spawn(show_list(Arc::clone(&board)));
+        tasks.spawn(publish_list(Arc::clone(&board)));
         spawn_follower(&settings, &network, &replica, &desk, &board, &mut tasks);
         let (known, known_watch) = watch::channel(settings.founders.clone());
         tasks.spawn(tell_search(replica.clone(), known_watch.clone()));
@@ -172,7 +172,7 @@
     network: &PeerNetwork,
     replica: &ControlHandle,
     desk: &Arc<FollowDesk>,
-    board: &Arc<FleetBoard>,
+    board: &Arc<FleetView>,
     tasks: &mut JoinSet<()>,
 ) {
     let (candidates, candidate_watch) = watch::channel(Vec::new());
@@ -201,7 +201,7 @@
 fn spawn_orders(
     settings: &ControlSettings,
     replica: &ControlHandle,
-    board: &Arc<FleetBoard>,
+    board: &Arc<FleetView>,
     engines: Arc<dyn EngineOrders>,
     tasks: &mut JoinSet<()>,
 ) {
@@ -234,7 +234,7 @@
             let status = status.borrow_and_update();
             let members = status.members.members().map(|(vm, _)| vm);
             let named = members
-                .chain(status.outsiders.keys())
+                .chain(status.non_members.keys())
                 .chain(&status.contacts)
                 .filter_map(|vm| Some((vm.clone(), SocketAddr::new(address_of(vm)?, port))));
             named.chain(named_here).collect::<BTreeMap<_, _>>()
@@ -312,8 +312,8 @@
     loop {
         sleep(HEAL_EVERY).await;
         let status = replica.status();
-        let voters = wanted_voters(&status, founders);
-        tell_need(&mut told, repair_need(Instant::now(), &status, voters));
+        let voters = target_voters(&status, founders);
+        tell_need(&mut told, repair_needs(Instant::now(), &status, voters));
         let Some(command) = next_repair(Instant::now(), &status, voters) else {
             continue;
         };
@@ -326,13 +326,13 @@
 }
 
 /// Tells in the log what the leader misses whenever that changes.
-fn tell_need(told: &mut Option<RepairNeed>, need: Option<RepairNeed>) {
+fn tell_need(told: &mut Option<RepairNeeds>, need: Option<RepairNeeds>) {
     if *told == need {
         return;
     }
     match &need {
-        Some(need) => log::warn!(missing = need.missing, silent = need.silent.join(","),
-            standing_by = need.standing_by.join(","); "{}", events::REPAIR_NEEDED),
+        Some(need) => log::warn!(missing = need.missing, silent = need.unresponsive.join(","),
+            standing_by = need.spares.join(","); "{}", events::REPAIR_NEEDED),
         None => log::info!("{}", events::REPAIR_DONE),
     }
     *told = need;
@@ -354,7 +354,7 @@
         let mut asked: BTreeSet<VmId> = named.keys().cloned().collect();
         asked.extend(status.members.members().map(|(vm, _)| vm.clone()));
         asked.extend(status.contacts.iter().cloned());
-        Some(GroupSearch { asked, heard: status.outsiders.keys().cloned().collect() })
+        Some(GroupSearch { asked, heard: status.non_members.keys().cloned().collect() })
     }
 }
 
@@ -378,7 +378,7 @@
 
 struct ControlFollower {
     desk: Arc<FollowDesk>,
-    board: Arc<FleetBoard>,
+    board: Arc<FleetView>,
 }
 
 impl FollowerPort for ControlFollower {
@@ -389,7 +389,7 @@
     fn heard(&self, reply: &FollowReply, state: &SharedState) {
         self.desk.note_entries(reply.entries);
         if reply.list_fresh {
-            self.board.take_leaders(state.fleet.clone());
+            self.board.apply_leader_list(state.fleet.clone());
         }
     }
 }
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -10,7 +10,7 @@
             CallerPort, EdgeCore, WireDialect, core::EdgeParts, keep_watch::watch_keep,
             view::EdgeView,
         },
-        fleet::watch::ListNotice,
+        fleet::watch::ListMonitor,
         follow::{
             FollowReply, FollowerKind, SharedState,
             desk::EntryHandler,
@@ -215,7 +215,7 @@
 
 /// Tells in the log when the control VMs lose the server list.
 struct EntryFollower {
-    notice: Mutex<ListNotice>,
+    notice: Mutex<ListMonitor>,
 }
 
 impl FollowerPort for EntryFollower {
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -9,7 +9,7 @@
         },
         fleet::{
             FleetSnapshot, ServerPhase,
-            watch::{FleetBoard, SHOW_EVERY},
+            watch::{FleetView, PUBLISH_INTERVAL},
         },
         ids::{ModelId, ServerId, WeightsNumber},
         inventory::{ActiveConfig, AssetRegister, ModelRecord, RuleSet, ServerKind, ServerRecord},
@@ -52,7 +52,7 @@
 pub const FLEET_TIMING: OrderTiming = OrderTiming {
     load_limit: Duration::from_millis(4_500),
     retry_wait: Duration::from_millis(300),
-    drain_limit: Duration::from_millis(300).saturating_add(SHOW_EVERY),
+    drain_limit: Duration::from_millis(300).saturating_add(PUBLISH_INTERVAL),
     busy_look: Duration::from_millis(150),
     idle_look: Duration::from_secs(5),
 };
@@ -138,7 +138,7 @@
 
 /// Gives orders, and holds servers back from new work while they load.
 pub struct FleetOrders {
-    board: Arc<FleetBoard>,
+    board: Arc<FleetView>,
     engines: Arc<dyn EngineOrders>,
     /// The weights of each server when it was held back; only of servers that are held.
     held: Mutex<BTreeMap<ServerId, BTreeMap<ModelId, String>>>,
@@ -146,7 +146,7 @@
 
 impl FleetOrders {
     /// Orders for the servers of `board`.
-    pub fn new(board: Arc<FleetBoard>, engines: Arc<dyn EngineOrders>) -> Self {
+    pub fn new(board: Arc<FleetView>, engines: Arc<dyn EngineOrders>) -> Self {
         FleetOrders { board, engines, held: Mutex::default() }
     }
 
@@ -168,7 +168,7 @@
             .iter()
             .filter_map(|(model, version)| Some((model.clone(), version.parse().ok()?)))
             .collect();
-        self.board.note_weights(&report.server, report.incarnation, weights);
+        self.board.report_weights(&report.server, report.incarnation, weights);
         let mut held = self.lock();
         if held.get(&report.server).is_some_and(|before| *before != report.weights) {
             held.remove(&report.server);
--- a/src/storage/files.rs
+++ b/src/storage/files.rs
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// As the file system gives them.
-    fn set_aside(&mut self, names: &[String]) -> io::Result<()>;
+    fn quarantine(&mut self, names: &[String]) -> io::Result<()>;
 }
 
 /// The files of a folder on disk, locked for this process.
@@ -127,7 +127,7 @@
         fs::remove_file(self.folder.join(name))
     }
 
-    fn set_aside(&mut self, names: &[String]) -> io::Result<()> {
+    fn quarantine(&mut self, names: &[String]) -> io::Result<()> {
         let quarantine = self.folder.join(QUARANTINE);
         fs::create_dir_all(&quarantine)?;
         let number = fs::read_dir(&quarantine)?.count() + 1;
--- a/src/storage/frame.rs
+++ b/src/storage/frame.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, PartialEq)]
 pub enum FrameRead<'a> {
     /// A whole frame, and where the next one begins.
-    Whole {
+    Complete {
         /// The payload.
         payload: &'a [u8],
         /// The place after the frame.
@@ -61,7 +61,7 @@
     if crc32fast::hash(payload) != number(8) {
         return unreadable(file, start);
     }
-    FrameRead::Whole { payload, next: start + HEADER_BYTES + payload.len() }
+    FrameRead::Complete { payload, next: start + HEADER_BYTES + payload.len() }
 }
 
 /// A crash can leave the file grown but some sectors of the last write unwritten, which read as
--- a/src/storage/log_store.rs
+++ b/src/storage/log_store.rs
@@ -66,7 +66,7 @@
     /// What it held: nothing, under a new incarnation, if the folder was empty or set aside.
     pub state: SavedState,
     /// Why files were set aside, if any were.
-    pub set_aside: Option<String>,
+    pub quarantined: Option<String>,
 }
 
 /// A folder that is written to.
@@ -96,14 +96,14 @@
     ) -> Result<OpenedStore, StorageError> {
         let mut files = files;
         let names = own_files(files.as_ref())?;
-        let (generation, state, set_aside) = match read_folder(files.as_ref(), &names)? {
+        let (generation, state, quarantined) = match read_folder(files.as_ref(), &names)? {
             FolderContent::Nothing => (0, SavedState::empty(fresh), None),
             FolderContent::Saved { header, state } => (header.generation, state, None),
             // What a damaged file still holds is not guessed: a log with a hole could make this
             // replica vote as if it had never acknowledged what is gone. As a new incarnation it
             // has no vote and gets everything from the others.
             FolderContent::Damaged { reason } => {
-                files.set_aside(&names).map_err(failed("set files aside"))?;
+                files.quarantine(&names).map_err(failed("set files aside"))?;
                 (0, SavedState::empty(fresh), Some(reason))
             }
         };
@@ -114,7 +114,7 @@
         let mut kept = state.clone();
         forget_snapshot(&mut kept);
         let store = LogStore { files, log, incarnation, generation, state: kept, stopped: false };
-        Ok(OpenedStore { store, state, set_aside })
+        Ok(OpenedStore { store, state, quarantined })
     }
 
     /// The incarnation of the disk.
@@ -208,7 +208,7 @@
 }
 
 fn writes_of(state: &SavedState) -> Vec<DurableWrite> {
-    let mut writes = vec![DurableWrite::HardState(state.hard.clone())];
+    let mut writes = vec![DurableWrite::HardState(state.hard_state.clone())];
     if !state.entries.is_empty() {
         writes.push(DurableWrite::Entries(state.entries.clone()));
     }
@@ -261,7 +261,7 @@
 type LogContent = Result<(LogHeader, SavedState), String>;
 
 fn read_log(files: &dyn FileSystem, file: &[u8]) -> Result<LogContent, StorageError> {
-    let FrameRead::Whole { payload, next } = read_frame(file, 0) else {
+    let FrameRead::Complete { payload, next } = read_frame(file, 0) else {
         return Ok(Err("the header is damaged".to_owned()));
     };
     let Ok((version, rest)) = postcard::take_from_bytes::<u32>(payload) else {
@@ -294,7 +294,7 @@
         Err(error) => return Err(failed("read the snapshot")(error)),
     };
     let snapshot = match read_frame(&file, 0) {
-        FrameRead::Whole { payload, next } if next == file.len() => {
+        FrameRead::Complete { payload, next } if next == file.len() => {
             postcard::from_bytes(payload).ok()
         }
         _ => None,
@@ -312,7 +312,7 @@
     let mut frames = 0;
     loop {
         let (payload, next) = match read_frame(file, place) {
-            FrameRead::Whole { payload, next } => (payload, next),
+            FrameRead::Complete { payload, next } => (payload, next),
             // The first frame was synced before the file had its name, so it cannot be torn.
             FrameRead::End | FrameRead::Torn if frames > 0 => return Ok(()),
             _ => return Err(format!("the frame at byte {place} is damaged")),
--- a/tests/config_confirmation.rs
+++ b/tests/config_confirmation.rs
@@ -5,7 +5,7 @@
     oleandermount::{
         control::{
             Membership,
-            healing::{RepairNeed, SILENCE, repair_need},
+            healing::{RepairNeeds, VOTER_TIMEOUT, repair_needs},
             replica::ReplicaStatus,
         },
         follow::confirmation::{AskedPeers, CONFIRMATION_LIMIT, ConfirmationWatch},
@@ -37,18 +37,18 @@
     let now = Instant::now();
     let voters: BTreeMap<String, u64> =
         [("vm-a", 1), ("vm-b", 2), ("vm-c", 3)].map(|(vm, disk)| (vm.to_owned(), disk)).into();
-    let heard = ["vm-b", "vm-c"].map(|vm| (vm.to_owned(), now)).into();
+    let last_replies = ["vm-b", "vm-c"].map(|vm| (vm.to_owned(), now)).into();
     let mut status = ReplicaStatus {
         members: Membership { voters, learners: BTreeMap::new() },
-        heard,
+        last_replies,
         leader_since: Some(now),
         ..ReplicaStatus::default()
     };
-    assert_eq!(repair_need(now, &status, 3), None);
-    let later = now + SILENCE + STEP;
-    status.heard.insert("vm-b".to_owned(), later);
-    let need = RepairNeed { silent: vec!["vm-c".to_owned()], ..RepairNeed::default() };
-    assert_eq!(repair_need(later, &status, 3), Some(need));
+    assert_eq!(repair_needs(now, &status, 3), None);
+    let later = now + VOTER_TIMEOUT + STEP;
+    status.last_replies.insert("vm-b".to_owned(), later);
+    let need = RepairNeeds { unresponsive: vec!["vm-c".to_owned()], ..RepairNeeds::default() };
+    assert_eq!(repair_needs(later, &status, 3), Some(need));
     status.leader_since = None;
-    assert_eq!(repair_need(later, &status, 3), None, "another VM leads");
+    assert_eq!(repair_needs(later, &status, 3), None, "another VM leads");
 }
--- a/tests/config_race.rs
+++ b/tests/config_race.rs
@@ -3,7 +3,7 @@
 use oleandermount::{
     control::{
         Command, CommandOutcome,
-        configuration::{REMEMBERED_OPERATIONS, digest_hex},
+        configuration::{RETAINED_OPERATIONS, digest_hex},
         state::ControlState,
     },
     ids::{FencingNumber, Revision},
@@ -61,7 +61,7 @@
 fn forgotten_resend_conflicts() {
     let mut state = ControlState::default();
     let body = register("ub-north");
-    for revision in 0..=REMEMBERED_OPERATIONS as u64 {
+    for revision in 0..=RETAINED_OPERATIONS as u64 {
         let applied = CommandOutcome::Applied { revision: revision + 1 };
         assert_eq!(change(&mut state, &format!("op-{revision}"), revision, &body), applied);
     }
--- a/tests/introduced_replica.rs
+++ b/tests/configured_peers.rs
@@ -42,7 +42,7 @@
     let saved = SavedState::empty(7);
     let mut replica = Replica::new(settings, saved, Instant::now()).expect("the disk is empty");
     assert_eq!(asked(&mut replica), names(&["vm-a", "vm-b"]));
-    let input = ReplicaInput::Introduce { peers: names(&["vm-c", "vm-d"]) };
+    let input = ReplicaInput::ConfiguredPeers { peers: names(&["vm-c", "vm-d"]) };
     replica.handle(Instant::now(), input);
     assert_eq!(asked(&mut replica), names(&["vm-a", "vm-b", "vm-c"]));
 }
--- a/tests/disk_faults.rs
+++ b/tests/disk_faults.rs
@@ -72,7 +72,7 @@
 fn reopen(content: &BTreeMap<String, Vec<u8>>) -> Option<SavedState> {
     let files = MemoryFiles::holding(content);
     let opened = LogStore::open(Box::new(files.clone()), NEXT_INCARNATION).expect("it opens");
-    if opened.set_aside.is_some() {
+    if opened.quarantined.is_some() {
         assert_eq!(opened.state, SavedState::empty(NEXT_INCARNATION), "nothing is guessed");
         assert_eq!(files.image().aside.len(), content.len(), "nothing is thrown away");
         return None;
--- a/tests/fakes/memory_files.rs
+++ b/tests/fakes/memory_files.rs
@@ -119,7 +119,7 @@
         self.image().files.remove(name).map(drop).ok_or(io::ErrorKind::NotFound.into())
     }
 
-    fn set_aside(&mut self, names: &[String]) -> io::Result<()> {
+    fn quarantine(&mut self, names: &[String]) -> io::Result<()> {
         let mut image = self.image();
         for name in names {
             image.files.remove(name);
--- a/tests/fakes/replica_group.rs
+++ b/tests/fakes/replica_group.rs
@@ -9,7 +9,7 @@
             Command, CommandOutcome, DurableWrite, LogEntry, Membership, PersistBatch,
             ReplicaMessage, SavedState,
             entry::EntryPayload,
-            healing::{next_repair, wanted_voters},
+            healing::{next_repair, target_voters},
             replica::{
                 LocalProposeError, Replica, ReplicaAction, ReplicaInput, ReplicaLimits,
                 ReplicaRole, ReplicaSettings, ReplicaStatus, ReplicaTiming,
@@ -219,7 +219,7 @@
         while self.now < end {
             self.run_for(HEAL_EVERY.min(end - self.now));
             let Some(status) = self.led_status() else { continue };
-            let voters = wanted_voters(&status, founders);
+            let voters = target_voters(&status, founders);
             if let Some(command) = next_repair(self.now, &status, voters) {
                 let leader = self.leader().expect("it has just led");
                 self.propose(&leader, command);
@@ -241,7 +241,7 @@
         let has_group = self
             .nodes
             .values()
-            .any(|node| node.disk.hard.group.is_some() || !node.unsynced.is_empty())
+            .any(|node| node.disk.hard_state.group.is_some() || !node.unsynced.is_empty())
             || self.next_incarnation > FIRST_INCARNATION + self.founders.len() as u64;
         let Some(membership) = self.membership() else { return !has_group };
         // No change of the membership may be on its way either.
--- a/tests/followed_list.rs
+++ b/tests/fleet_list.rs
@@ -6,7 +6,7 @@
         fleet::{
             FleetSnapshot, ListedServer, ServerPhase,
             history::{FleetChange, FleetDelta, FleetHistory},
-            watch::{FleetBoard, show_list},
+            watch::{FleetView, publish_list},
         },
         follow::{FollowReply, SharedState},
     },
@@ -14,7 +14,7 @@
     tokio::time::{interval, timeout},
 };
 
-fn list(phase: ServerPhase, life: u64) -> FleetSnapshot {
+fn list(phase: ServerPhase, incarnation: u64) -> FleetSnapshot {
     FleetSnapshot::new(vec![ListedServer {
         id: "i-1".to_owned(),
         service: "app".to_owned(),
@@ -22,7 +22,7 @@
         failure_domain: "d1".to_owned(),
         slots: 8,
         phase,
-        life,
+        incarnation,
         weights: BTreeMap::new(),
     }])
 }
@@ -40,7 +40,11 @@
     assert_eq!(listed(&mut state, list(ServerPhase::Ready, 1)), ServerPhase::Ready);
     assert_eq!(listed(&mut state, list(ServerPhase::Draining, 1)), ServerPhase::Draining);
     assert_eq!(listed(&mut state, list(ServerPhase::Ready, 1)), ServerPhase::Draining);
-    assert_eq!(listed(&mut state, list(ServerPhase::Ready, 2)), ServerPhase::Ready, "a new life");
+    assert_eq!(
+        listed(&mut state, list(ServerPhase::Ready, 2)),
+        ServerPhase::Ready,
+        "a new incarnation"
+    );
 }
 
 /// Control VM and follower would otherwise exchange the whole list without a pause.
@@ -88,7 +92,7 @@
         let present = fleet_of(870, phase);
         let change = history.change_since(state.fleet_digest, &present).expect("it changed");
         let reply = match change {
-            FleetChange::Whole(fleet) => {
+            FleetChange::Full(fleet) => {
                 assert_eq!(loading, 0, "the first list alone is sent whole");
                 FollowReply { fleet: Some(FleetSnapshot::clone(&fleet)), ..FollowReply::default() }
             }
@@ -118,7 +122,7 @@
         let Some(FleetChange::Delta(delta)) = history.change_since(former.digest(), present) else {
             panic!("the former list is known");
         };
-        assert_eq!(former.with(&delta), **present);
+        assert_eq!(former.apply(&delta), **present);
         assert_eq!(delta.digest, present.digest());
     }
 }
@@ -139,21 +143,17 @@
     });
     assert_eq!((state.fleet, state.fleet_digest), (None, 0));
     let whole = history.change_since(77, &other);
-    assert_eq!(
-        whole,
-        Some(FleetChange::Whole(other)),
-        "a list that is not known is replaced whole"
-    );
+    assert_eq!(whole, Some(FleetChange::Full(other)), "a list that is not known is replaced whole");
 }
 
 /// Guards against followers that are shown each change by itself while hundreds of servers load.
 #[tokio::test(start_paused = true)]
 async fn changes_shown_together() {
-    let board = Arc::new(FleetBoard::default());
+    let board = Arc::new(FleetView::default());
     let ready = fleet_of(870, |_| ServerPhase::Ready);
-    board.take_reading(FleetSnapshot::clone(&ready));
-    let mut shown = board.subscribe_shown();
-    tokio::spawn(show_list(Arc::clone(&board)));
+    board.apply_reading(FleetSnapshot::clone(&ready));
+    let mut shown = board.subscribe_published();
+    tokio::spawn(publish_list(Arc::clone(&board)));
     let first = timeout(Duration::from_secs(1), shown.changed()).await;
     assert!(first.is_ok(), "a list is shown");
     assert_eq!(*shown.borrow_and_update(), ready, "what was read before is shown");
--- a/tests/healing_group.rs
+++ b/tests/healing_group.rs
@@ -11,7 +11,7 @@
 use {
     oleandermount::control::{
         Command, CommandOutcome, Membership,
-        healing::{SILENCE, next_repair, wanted_voters},
+        healing::{VOTER_TIMEOUT, next_repair, target_voters},
         replica::ReplicaStatus,
     },
     replica_group::{ReplicaGroup, WireFaults},
@@ -33,7 +33,7 @@
             voters: names(&[("vm-a", 1), ("vm-b", 2), ("vm-c", 3)]),
             learners: BTreeMap::new(),
         },
-        heard: names(&[("vm-b", now), ("vm-c", now)]),
+        last_replies: names(&[("vm-b", now), ("vm-c", now)]),
         lease_until: Some(now + Duration::from_secs(1)),
         ..ReplicaStatus::default()
     }
@@ -48,29 +48,29 @@
     let now = Instant::now();
     let healthy = leader(now);
     assert_eq!(next_repair(now, &healthy, VOTERS), None);
-    let wiped = ReplicaStatus { outsiders: names(&[("vm-b", 9)]), ..healthy };
+    let wiped = ReplicaStatus { non_members: names(&[("vm-b", 9)]), ..healthy };
     assert_eq!(next_repair(now, &wiped, VOTERS), taken_in("vm-b", 9));
 }
 
 #[test]
 fn stranger_replaces_silent_voter() {
     let now = Instant::now();
-    let mut status = ReplicaStatus { outsiders: names(&[("vm-d", 4)]), ..leader(now) };
+    let mut status = ReplicaStatus { non_members: names(&[("vm-d", 4)]), ..leader(now) };
     assert_eq!(next_repair(now, &status, VOTERS), None, "nobody is missed");
-    status.heard.insert("vm-c".to_owned(), now - SILENCE - Duration::from_millis(1));
+    status.last_replies.insert("vm-c".to_owned(), now - VOTER_TIMEOUT - Duration::from_millis(1));
     assert_eq!(next_repair(now, &status, VOTERS), taken_in("vm-d", 4));
     status.members.learners.insert("vm-d".to_owned(), 4);
-    status.outsiders.clear();
+    status.non_members.clear();
     assert_eq!(next_repair(now, &status, VOTERS), None, "it catches up first");
     status.members.learners.clear();
     status.members.voters.insert("vm-d".to_owned(), 4);
-    status.heard.insert("vm-d".to_owned(), now);
+    status.last_replies.insert("vm-d".to_owned(), now);
     let removed = Some(Command::RemoveReplica { vm: "vm-c".to_owned() });
     assert_eq!(next_repair(now, &status, VOTERS), removed);
 }
 
 /// What operators saw without it: a leader took in a disk that was long gone, found it silent, took it
-/// out, and so on for ever, while a sound one stood by. (Found by seed 59 of healing_runs.)
+/// out, and so on for ever, while a sound one stood by. (Found by seed 59 of healing_simulation.)
 #[test]
 fn unheard_disk_is_no_candidate() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 1);
@@ -79,40 +79,40 @@
     group.lose_disk("d");
     group.start("d");
     group.run_for(Duration::from_secs(1));
-    let outsiders = |group: &ReplicaGroup| {
+    let non_members = |group: &ReplicaGroup| {
         let leader = group.leader().and_then(|leader| group.nodes[&leader].replica.clone());
-        leader.expect("one leads").status(group.now).outsiders
+        leader.expect("one leads").status(group.now).non_members
     };
-    assert!(outsiders(&group).contains_key("d"), "it makes itself known");
+    assert!(non_members(&group).contains_key("d"), "it makes itself known");
     group.crash("d");
     group.run_for(Duration::from_secs(3));
-    assert!(outsiders(&group).is_empty(), "it is not heard any more");
+    assert!(non_members(&group).is_empty(), "it is not heard any more");
 }
 
 /// Without a lease another leader may exist, and two would mend different things.
 #[test]
 fn only_under_a_lease() {
     let now = Instant::now();
-    let outsiders = names(&[("vm-b", 9)]);
+    let non_members = names(&[("vm-b", 9)]);
     for lease_until in [None, Some(now)] {
-        let status = ReplicaStatus { outsiders: outsiders.clone(), lease_until, ..leader(now) };
+        let status = ReplicaStatus { non_members: non_members.clone(), lease_until, ..leader(now) };
         assert_eq!(next_repair(now, &status, VOTERS), None);
     }
 }
 
 /// What operators saw without it: no repair was made any more. Order of events: a stranger is taken in
 /// as a learner in place of a silent voter; its VM is lost before it has caught up; every later repair
-/// waits for it. (Found by seed 8 of healing_runs.)
+/// waits for it. (Found by seed 8 of healing_simulation.)
 #[test]
 fn lost_learner_goes() {
     let now = Instant::now();
-    let mut status = ReplicaStatus { outsiders: names(&[("vm-e", 5)]), ..leader(now) };
-    let long_ago = now - SILENCE - Duration::from_millis(1);
+    let mut status = ReplicaStatus { non_members: names(&[("vm-e", 5)]), ..leader(now) };
+    let long_ago = now - VOTER_TIMEOUT - Duration::from_millis(1);
     status.members.learners.insert("vm-d".to_owned(), 4);
-    status.heard.insert("vm-c".to_owned(), long_ago);
-    status.heard.insert("vm-d".to_owned(), now);
+    status.last_replies.insert("vm-c".to_owned(), long_ago);
+    status.last_replies.insert("vm-d".to_owned(), now);
     assert_eq!(next_repair(now, &status, VOTERS), None, "it is catching up");
-    status.heard.insert("vm-d".to_owned(), long_ago);
+    status.last_replies.insert("vm-d".to_owned(), long_ago);
     let removed = Some(Command::RemoveReplica { vm: "vm-d".to_owned() });
     assert_eq!(next_repair(now, &status, VOTERS), removed);
 }
@@ -154,10 +154,10 @@
 #[test]
 fn one_in_reserve_stays_out() {
     let now = Instant::now();
-    let status = ReplicaStatus { outsiders: names(&[("vm-d", 4)]), ..leader(now) };
-    assert_eq!(wanted_voters(&status, VOTERS), VOTERS);
-    let status = ReplicaStatus { outsiders: names(&[("vm-d", 4), ("vm-e", 5)]), ..leader(now) };
-    assert_eq!(wanted_voters(&status, VOTERS), 5);
+    let status = ReplicaStatus { non_members: names(&[("vm-d", 4)]), ..leader(now) };
+    assert_eq!(target_voters(&status, VOTERS), VOTERS);
+    let status = ReplicaStatus { non_members: names(&[("vm-d", 4), ("vm-e", 5)]), ..leader(now) };
+    assert_eq!(target_voters(&status, VOTERS), 5);
 }
 
 /// A replica that was just taken in has had no time to reply. What operators saw without it: a lost
@@ -167,14 +167,14 @@
 #[test]
 fn newcomer_has_time_to_reply() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 1);
-    group.heal_for(SILENCE * 3, VOTERS);
+    group.heal_for(VOTER_TIMEOUT * 3, VOTERS);
     let leader = group.leader().expect("one leads");
     let lost = ["a", "b", "c"].into_iter().find(|vm| *vm != leader).expect("there are others");
     group.crash(lost);
     group.lose_disk(lost);
     group.start(lost);
     let seen = |group: &ReplicaGroup| {
-        group.led_status().is_some_and(|status| !status.outsiders.is_empty())
+        group.led_status().is_some_and(|status| !status.non_members.is_empty())
     };
     assert!(group.run_until(Duration::from_secs(2), seen), "it makes itself known");
     let status = group.led_status().expect("one leads");
--- a/tests/healing_runs.rs
+++ b/tests/healing_simulation.rs
@@ -1,5 +1,5 @@
 //! Randomised runs of a group whose leader replaces lost replicas by itself.
-//! `HEALING_SEED=N cargo test --test healing_runs` runs one seed, `HEALING_SEEDS=N` that many.
+//! `HEALING_SEED=N cargo test --test healing_simulation` runs one seed, `HEALING_SEEDS=N` that many.
 //!
 //! What operators count on: whatever one lost disk, or one VM that is gone for good, and any number of
 //! crashes, cuts, freezes and power losses do, an acknowledged document is never lost or shown older,
@@ -13,7 +13,7 @@
     oleandermount::{
         control::{
             Command, CommandOutcome,
-            healing::{next_repair, wanted_voters},
+            healing::{next_repair, target_voters},
             replica::{ReplicaInput, ReplicaRole, ReplicaTiming},
         },
         ids::{DocumentNumber, VmId},
@@ -109,7 +109,7 @@
             for vm in self.vms() {
                 let Some(replica) = &self.group.nodes[&vm].replica else { continue };
                 let status = replica.status(self.group.now);
-                let voters = wanted_voters(&status, VOTERS);
+                let voters = target_voters(&status, VOTERS);
                 if let Some(command) = next_repair(self.group.now, &status, voters) {
                     self.group.propose(&vm, command);
                 }
@@ -213,7 +213,7 @@
     fn start(&mut self, vm: &str) {
         let peers = self.vms().into_iter().take(self.named).collect();
         self.group.start(vm);
-        self.group.input(vm, ReplicaInput::Introduce { peers });
+        self.group.input(vm, ReplicaInput::ConfiguredPeers { peers });
     }
 
     fn start_all(&mut self) {
--- a/tests/unnamed_leader.rs
+++ b/tests/leader_discovery.rs
@@ -135,5 +135,5 @@
     ["a", "b", "i"].into_iter().for_each(|vm| empty_disk(&mut group, vm));
     group.heal_for(REPAIR_TIME, FOUNDERS.len());
     let status = group.led_status().expect("one leads");
-    assert!(status.outsiders.contains_key("i"), "{status:?}");
+    assert!(status.non_members.contains_key("i"), "{status:?}");
 }
--- a/tests/lost_disk.rs
+++ b/tests/lost_disk.rs
@@ -118,7 +118,7 @@
 #[test]
 fn emptied_founder_founds_nothing() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 7);
-    let has_group = |group: &ReplicaGroup, vm: &str| group.nodes[vm].disk.hard.group;
+    let has_group = |group: &ReplicaGroup, vm: &str| group.nodes[vm].disk.hard_state.group;
     assert!(group.run_until(WAIT, |group| has_group(group, "b").is_some()));
     let founded = has_group(&group, "b");
     empty(&mut group, "a");
@@ -135,7 +135,7 @@
 #[test]
 fn late_founder_votes() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 8);
-    let founded = |group: &ReplicaGroup| group.nodes["a"].disk.hard.group.is_some();
+    let founded = |group: &ReplicaGroup| group.nodes["a"].disk.hard_state.group.is_some();
     assert!(group.run_until(WAIT, founded));
     for vm in ["a", "b"] {
         group.cut.insert((vm.to_owned(), "c".to_owned()));
--- a/tests/named_weights.rs
+++ b/tests/named_weights.rs
@@ -202,7 +202,7 @@
         failure_domain: "d1".to_owned(),
         slots: 8,
         phase,
-        life: 0,
+        incarnation: 0,
         weights: named(version),
     }
 }
--- a/tests/replica_rules.rs
+++ b/tests/replica_rules.rs
@@ -33,7 +33,7 @@
         let command = Command::NoteSuspect { fingerprint: 1, strikes: 1 };
         let old = LogEntry { term: 2, index: 2, payload: EntryPayload::Command(command) };
         let saved = SavedState {
-            hard: HardState { term: 3, vote: None, group: Some(members.group()) },
+            hard_state: HardState { term: 3, vote: None, group: Some(members.group()) },
             entries: vec![members.founding_entry(), old],
             commit: 1,
             ..SavedState::empty(1)
--- a/tests/replica_runs.rs
+++ b/tests/replica_simulation.rs
@@ -1,5 +1,5 @@
 //! Randomised runs of a group of replicas against the invariants of the log and of the ledger.
-//! `REPLICA_SEED=N cargo test --test replica_runs` runs one seed, `REPLICA_SEEDS=N` that many.
+//! `REPLICA_SEED=N cargo test --test replica_simulation` runs one seed, `REPLICA_SEEDS=N` that many.
 
 #[path = "fakes/replica_group.rs"]
 mod replica_group;
