--- a/src/daemon/control_driver.rs
+++ b/src/daemon/control_driver.rs
@@ -16,8 +16,8 @@
             Command, CommandOutcome, ProposeError, ReplicaMessage, SavedState,
             configuration::ConfigChange,
             document::DocumentState,
-            entry::HEAD_BYTES,
-            orders::{DesiredWeights, SuspectStrikes},
+            entry::OVERHEAD_BYTES,
+            orders::{DesiredWeights, SuspectCrashes},
             replica::{Replica, ReplicaLimits, ReplicaSettings, ReplicaStatus, ReplicaTiming},
             state::ControlState,
         },
@@ -143,7 +143,7 @@
     ) -> Result<ControlHandle, DriverError> {
         let mut folder = ReplicaFolder::new(opener, settings.reopen_after);
         let opened = folder.open().map_err(|reason: String| storage_error(&settings, &reason))?;
-        log_set_aside(&settings.vm, opened.set_aside.as_deref());
+        log_set_aside(&settings.vm, opened.quarantined.as_deref());
         let replica = open_replica(&settings, opened.state)?;
         let (inputs, queue) = mpsc::channel(INPUT_QUEUE_LENGTH);
         let (batches, batch_queue) = mpsc::channel(BATCH_QUEUE_LENGTH);
@@ -210,7 +210,7 @@
     config: watch::Sender<Arc<ActiveConfig>>,
     status: watch::Sender<Arc<ReplicaStatus>>,
     weights: watch::Sender<Arc<DesiredWeights>>,
-    suspects: watch::Sender<Arc<SuspectStrikes>>,
+    suspects: watch::Sender<Arc<SuspectCrashes>>,
     history: watch::Sender<Arc<Vec<ConfigChange>>>,
     documents: watch::Sender<Arc<DocumentState>>,
 }
@@ -221,7 +221,7 @@
     config: ConfigWatch,
     status: watch::Receiver<Arc<ReplicaStatus>>,
     weights: watch::Receiver<Arc<DesiredWeights>>,
-    suspects: watch::Receiver<Arc<SuspectStrikes>>,
+    suspects: watch::Receiver<Arc<SuspectCrashes>>,
     history: watch::Receiver<Arc<Vec<ConfigChange>>>,
     documents: watch::Receiver<Arc<DocumentState>>,
 }
@@ -231,7 +231,7 @@
     let (config_sender, config) = watch::channel(replica.config().clone());
     let (status_sender, status) = watch::channel(Arc::new(replica.status(Instant::now())));
     let (weights_sender, weights) = watch::channel(Arc::new(state.orders().desired().clone()));
-    let (suspects_sender, suspects) = watch::channel(Arc::new(state.suspects().strikes()));
+    let (suspects_sender, suspects) = watch::channel(Arc::new(state.suspects().crashes()));
     let (history_sender, history) = watch::channel(Arc::new(latest_changes(state)));
     let (documents_sender, documents) = watch::channel(Arc::new(state.documents().clone()));
     let senders = StatusSenders {
@@ -273,7 +273,7 @@
         command: Command,
     ) -> Result<CommandOutcome, LocalProposeError> {
         let (reply, outcome) = oneshot::channel();
-        let length = HEAD_BYTES + command.body_bytes();
+        let length = OVERHEAD_BYTES + command.body_bytes();
         let Some(permit) = self.reserve_bytes(length) else { return Err(LocalProposeError::Busy) };
         let input = DriverInput::Propose { command: Box::new(command), reply, permit };
         match self.inputs.try_send(input) {
@@ -351,7 +351,7 @@
     }
 
     /// The suspects, as far as this replica has applied them.
-    pub fn suspects(&self) -> watch::Receiver<Arc<SuspectStrikes>> {
+    pub fn suspects(&self) -> watch::Receiver<Arc<SuspectCrashes>> {
         self.receivers.suspects.clone()
     }
 }
--- a/src/daemon/control_driver/runner.rs
+++ b/src/daemon/control_driver/runner.rs
@@ -137,7 +137,7 @@
 
     /// Gives a new generation of the replica the VMs that the settings name.
     async fn introduce(&mut self) -> Result<(), WriterClosed> {
-        let input = ReplicaInput::Introduce { peers: self.introduced.clone() };
+        let input = ReplicaInput::ConfiguredPeers { peers: self.introduced.clone() };
         self.process(input).await
     }
 
@@ -163,7 +163,7 @@
             }
             DriverInput::Introduce { peers } => {
                 self.introduced.clone_from(&peers);
-                ReplicaInput::Introduce { peers }
+                ReplicaInput::ConfiguredPeers { peers }
             }
         }
     }
@@ -223,7 +223,7 @@
         if **senders.weights.borrow() != *state.orders().desired() {
             senders.weights.send_replace(Arc::new(state.orders().desired().clone()));
         }
-        let strikes = state.suspects().strikes();
+        let strikes = state.suspects().crashes();
         if **senders.suspects.borrow() != strikes {
             senders.suspects.send_replace(Arc::new(strikes));
         }
--- a/src/follow/service.rs
+++ b/src/follow/service.rs
@@ -14,7 +14,7 @@
         fleet::{
             FleetSnapshot,
             history::{FleetChange, FleetDelta},
-            watch::{FleetBoard, LEADER_SILENCE},
+            watch::{FleetView, LEADER_TIMEOUT},
         },
         ids::{FailureDomainId, Term, VmId},
         observe::metrics::{FOLLOW_DOCUMENTS, FOLLOW_LISTS, FOLLOWERS},
@@ -39,7 +39,7 @@
 /// Answers followers at one control VM, once its replica runs.
 pub struct FollowService {
     failure_domain: FailureDomainId,
-    board: Arc<FleetBoard>,
+    board: Arc<FleetView>,
     replica: std::sync::OnceLock<ControlHandle>,
     /// The documents that followers may have.
     documents: Mutex<DocumentHistory>,
@@ -52,7 +52,7 @@
 
 impl FollowService {
     /// A service that refuses requests until [`Self::open`].
-    pub fn new(failure_domain: FailureDomainId, board: Arc<FleetBoard>) -> Self {
+    pub fn new(failure_domain: FailureDomainId, board: Arc<FleetView>) -> Self {
         FollowService {
             failure_domain,
             board,
@@ -126,7 +126,7 @@
         reply.held = state.document().number;
         reply.fresh = status.is_fresh;
         reply.term = leader_term(&status);
-        reply.list_fresh = self.board.is_fresh(LEADER_SILENCE);
+        reply.list_fresh = self.board.is_fresh(LEADER_TIMEOUT);
         reply.failure_domain.clone_from(&self.failure_domain);
         reply.entries = self.entries(&status).max(1);
         PeerReply::Followed(Box::new(reply))
@@ -135,7 +135,7 @@
     /// Completes when there is a change to send.
     async fn changed(&self, replica: &ControlHandle, request: &FollowRequest) {
         let mut documents = replica.documents();
-        let mut fleet = self.board.subscribe_shown();
+        let mut fleet = self.board.subscribe_published();
         let mut status = replica.status_watch();
         loop {
             fleet.mark_unchanged();
@@ -207,7 +207,7 @@
                 metrics::counter!(FOLLOW_LISTS, "kind" => "difference").increment(1);
                 reply.fleet_delta = Some(FleetDelta::clone(&delta));
             }
-            Some(FleetChange::Whole(fleet)) => {
+            Some(FleetChange::Full(fleet)) => {
                 metrics::counter!(FOLLOW_LISTS, "kind" => "whole").increment(1);
                 reply.fleet = Some(FleetSnapshot::clone(&fleet));
             }
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -6,7 +6,7 @@
         random_seed,
     },
     crate::{
-        fleet::watch::ListNotice,
+        fleet::watch::ListMonitor,
         follow::{
             FollowReply, FollowerKind, SharedState,
             service::EntryHandler,
@@ -215,7 +215,7 @@
 
 /// Tells in the log when the control VMs lose the server list.
 struct EntryFollower {
-    notice: Mutex<ListNotice>,
+    notice: Mutex<ListMonitor>,
 }
 
 impl FollowerPort for EntryFollower {
--- a/src/reverse_proxy/core.rs
+++ b/src/reverse_proxy/core.rs
@@ -135,7 +135,7 @@
         let view = self.view();
         let Some(listed) = view.servers.get(server) else { return };
         if let Some(version) = head.weights {
-            self.lock_weights().insert(server.clone(), (listed.life, version));
+            self.lock_weights().insert(server.clone(), (listed.incarnation, version));
         }
         let Some((running, waiting)) = head.load else { return };
         let version = self.server_weights(server, &listed.service, model);
@@ -148,7 +148,7 @@
         });
         self.dispatcher.notify(PolicyInput::Load(LoadReport {
             server: server.clone(),
-            incarnation: listed.life,
+            incarnation: listed.incarnation,
             weights: weights.collect(),
             running,
             waiting,
@@ -171,7 +171,7 @@
         let listed_version = listed.weights.get(model?).copied();
         let reported = self.lock_weights().get(server).copied();
         let reported = reported
-            .filter(|(incarnation, _)| *incarnation == listed.life)
+            .filter(|(incarnation, _)| *incarnation == listed.incarnation)
             .map(|(_, version)| version);
         listed_version.max(reported)
     }
--- a/src/reverse_proxy/view.rs
+++ b/src/reverse_proxy/view.rs
@@ -138,7 +138,7 @@
             if known == Some(server) && was_outdated == self.outdated.contains(&server.id) {
                 continue;
             }
-            let restarted = known.is_none_or(|known| known.life != server.life);
+            let restarted = known.is_none_or(|known| known.incarnation != server.incarnation);
             inputs.push(self.health_input(server));
             if restarted || known.is_none_or(|known| known.weights != server.weights) {
                 inputs.push(self.initial_load(server));
@@ -152,7 +152,7 @@
     fn initial_load(&self, server: &ListedServer) -> PolicyInput {
         PolicyInput::Load(LoadReport {
             server: server.id.clone(),
-            incarnation: server.life,
+            incarnation: server.incarnation,
             weights: server
                 .weights
                 .iter()
@@ -172,8 +172,8 @@
     pub fn health_input(&self, server: &ListedServer) -> PolicyInput {
         let health = match server.phase {
             _ if self.outdated.contains(&server.id) => ServerHealth::Leaving,
-            ServerPhase::Ready => ServerHealth::Alive { incarnation: server.life },
-            ServerPhase::Loading => ServerHealth::Reserved { incarnation: server.life },
+            ServerPhase::Ready => ServerHealth::Alive { incarnation: server.incarnation },
+            ServerPhase::Loading => ServerHealth::Reserved { incarnation: server.incarnation },
             ServerPhase::Draining => ServerHealth::Leaving,
         };
         PolicyInput::Health { server: server.id.clone(), health }
