--- a/src/control.rs
+++ b/src/control.rs
@@ -1,8 +1,9 @@
-//! State that survives: the replicated log and what is kept in it.
+//! Replicated state: a Raft log and the state machine that it drives.
 //!
-//! Everything here is pure: time, chance and messages come in as arguments; messages, writes and
-//! results go out as values. After the published form of Raft (Ongaro and Ousterhout, "In Search
-//! of an Understandable Consensus Algorithm", USENIX ATC '14, and Ongaro's dissertation, 2014).
+//! No module here performs I/O or reads clocks. Time, random seeds and messages are passed in as
+//! arguments; messages, writes and results are returned as values. The protocol follows Raft
+//! (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", USENIX ATC '14,
+//! and Ongaro's dissertation, 2014).
 
 pub mod command;
 pub mod configuration;
--- a/src/control/command.rs
+++ b/src/control/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the replicated state machine and their results.
+//! Commands of the replicated state machine and their outcomes.
 
 use {
     crate::ids::{
@@ -9,154 +9,157 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A change that the replicas agree on.
+/// A change that is replicated and applied by every replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Put a register in force if the revision is still the expected one.
+    /// Replaces the asset register if the current revision is still the expected one.
     ApplyRegister {
-        /// The operator's id of this change.
+        /// Identifies the change; a resend carries the same id.
         operation: OperationId,
-        /// The revision the operator saw.
+        /// Revision that the change is based on.
         expected: Revision,
-        /// The register as canonical JSON.
+        /// Asset register as canonical JSON.
         body: String,
     },
-    /// Put a rule set in force if the revision is still the expected one.
+    /// Replaces the rule set if the current revision is still the expected one.
     ApplyRules {
-        /// The operator's id of this change.
+        /// Identifies the change; a resend carries the same id.
         operation: OperationId,
-        /// The revision the operator saw.
+        /// Revision that the change is based on.
         expected: Revision,
-        /// The rule set as canonical JSON.
+        /// Rule set as canonical JSON.
         body: String,
     },
-    /// Claim the only run of a non-repeatable call.
+    /// Claims the right to execute a non-repeatable call once.
     Reserve {
-        /// Whose call it is.
+        /// Organisation that made the call.
         organisation: OrganisationId,
-        /// The caller's key.
+        /// Idempotency key chosen by the caller.
         key: IdempotencyKey,
-        /// Digest of method, path and body; another one under the same key is a caller's error.
+        /// Digest of method, path and body. A different digest under the same key is a client
+        /// error.
         fingerprint: DigestHex,
-        /// The daemon that will send it.
+        /// VM of the daemon that will send the call.
         holder: VmId,
-        /// The life of that daemon; a later life is not the holder.
+        /// Incarnation of that daemon. A later incarnation does not hold the claim.
         incarnation: Incarnation,
-        /// The one try that the claim permits; a claim sent again carries the same number, a new
-        /// try a new one.
+        /// Attempt that the claim permits. A resent claim carries the same number, a new attempt a
+        /// new one.
         attempt: AttemptId,
         /// Milliseconds since the Unix epoch at the proposer, for retention only.
         now_ms: u64,
     },
-    /// Keep the answer of a call that ran.
+    /// Stores the response of an executed call.
     Finish {
-        /// Whose call it was.
+        /// Organisation that made the call.
         organisation: OrganisationId,
-        /// The caller's key.
+        /// Idempotency key chosen by the caller.
         key: IdempotencyKey,
-        /// The daemon that sent it.
+        /// VM of the daemon that sent the call.
         holder: VmId,
-        /// The life of that daemon.
+        /// Incarnation of that daemon.
         incarnation: Incarnation,
-        /// The try that the claim permitted.
+        /// Attempt that the claim permitted.
         attempt: AttemptId,
-        /// The answer for resends.
+        /// Response returned to resends.
         answer: KeptAnswer,
     },
-    /// Give a claim back: nothing was sent. Only the holder may.
+    /// Releases a claim because nothing was sent. Only the holder may release it.
     Release {
-        /// Whose call it is.
+        /// Organisation that made the call.
         organisation: OrganisationId,
-        /// The caller's key.
+        /// Idempotency key chosen by the caller.
         key: IdempotencyKey,
-        /// The daemon that holds the claim.
+        /// VM of the daemon that holds the claim.
         holder: VmId,
-        /// The life of that daemon.
+        /// Incarnation of that daemon.
         incarnation: Incarnation,
-        /// The try that the claim permitted.
+        /// Attempt that the claim permitted.
         attempt: AttemptId,
     },
-    /// Say that the outcome of a sent call will never be known here.
+    /// Records that the outcome of a sent call cannot be determined.
     MarkUnknown {
-        /// Whose call it is.
+        /// Organisation that made the call.
         organisation: OrganisationId,
-        /// The caller's key.
+        /// Idempotency key chosen by the caller.
         key: IdempotencyKey,
-        /// The daemon that holds the claim.
+        /// VM of the daemon that holds the claim.
         holder: VmId,
-        /// The life of that daemon.
+        /// Incarnation of that daemon.
         incarnation: Incarnation,
-        /// The try that the claim permitted.
+        /// Attempt that the claim permitted.
         attempt: AttemptId,
     },
-    /// Say that a daemon has begun a new life, so that calls that its earlier lives held have an
-    /// unknown outcome from now on, without waiting for its next claim.
+    /// Announces a new incarnation of a daemon. Calls claimed by its earlier incarnations have an
+    /// unknown outcome from then on, without waiting for the next claim of the daemon.
     NoteLife {
-        /// The VM of the daemon.
+        /// VM of the daemon.
         vm: VmId,
-        /// Its life; a later life has a higher number.
+        /// Incarnation that the daemon has started; later incarnations have higher numbers.
         incarnation: Incarnation,
         /// Milliseconds since the Unix epoch at the proposer, for retention only.
         now_ms: u64,
     },
-    /// The same as [`Command::DesireModel`]: logs of earlier releases hold one for each server.
+    /// Same as [`Command::DesireModel`]. Logs of earlier releases hold one entry per server.
     DesireWeights {
-        /// The server.
+        /// Ignored: the desired weights of a model apply to all its servers.
         server: ServerId,
-        /// The model.
+        /// Model to load or serve.
         model: ModelId,
-        /// The version.
+        /// Requested version.
         weights: WeightsVersion,
     },
-    /// Note a fingerprint that crashes backend servers.
+    /// Shares the fingerprint of a request that crashes backend servers.
     NoteSuspect {
-        /// The fingerprint.
+        /// Fingerprint of the request.
         fingerprint: u64,
-        /// Crashes counted so far.
+        /// Crashes counted so far by the proposer.
         strikes: u32,
     },
-    /// Take in the present disk of a VM as a replica, in place of any earlier disk of it. It
-    /// counts in quorums once it has caught up.
+    /// Adds the current disk of a VM as a learner and removes any earlier disk of that VM. The
+    /// learner becomes a voter once it has caught up.
     ReplaceReplica {
-        /// The VM.
+        /// VM whose disk is added.
         vm: VmId,
-        /// The incarnation of its disk; `None` means the one that the leader heard from last.
+        /// Incarnation of the disk; `None` selects the one that the leader received a message from
+        /// last.
         incarnation: Option<Incarnation>,
     },
-    /// Take a VM out of the replicas.
+    /// Removes a VM from the group.
     RemoveReplica {
-        /// The VM.
+        /// VM to remove.
         vm: VmId,
     },
-    /// Put an operator's document in force unless one with this number or a higher one is.
+    /// Replaces the operators' document unless the current one has this number or a higher one.
     PutDocument {
-        /// The number that the operator chose.
+        /// Number chosen by the operator; the highest one wins.
         number: DocumentNumber,
-        /// The document exactly as the operator wrote it.
+        /// Document exactly as submitted.
         body: String,
     },
-    /// Name the version that all servers of a model should come to, unless a later one is named.
+    /// Names the weights version that all servers of a model should reach, unless a later one is
+    /// already named.
     NameWeights {
-        /// The model.
+        /// Model to load or serve.
         model: ModelId,
-        /// The version.
+        /// Requested version.
         version: WeightsNumber,
     },
-    /// Note the weights that all servers of a model should load, under a new fencing number.
+    /// Sets the weights that all servers of a model should load, under a new fencing number.
     DesireModel {
-        /// The model.
+        /// Model to load or serve.
         model: ModelId,
-        /// The version.
+        /// Requested version.
         weights: WeightsVersion,
     },
-    /// Say that a daemon's attempts at non-repeatable calls below a number are over: the end of
-    /// each that was sent is committed, and no other will be sent.
+    /// Declares that attempts of a daemon at non-repeatable calls below a number have ended: the
+    /// end of each sent attempt is committed, and no other attempt below the number will be sent.
     EndAttempts {
-        /// The VM of the daemon.
+        /// VM of the daemon.
         vm: VmId,
-        /// Its life.
+        /// Incarnation of that daemon.
         incarnation: Incarnation,
-        /// The oldest attempt that it may still send or end; only grows.
+        /// Oldest attempt that the daemon may still send or end; only grows.
         floor: AttemptId,
         /// Milliseconds since the Unix epoch at the proposer, for retention only.
         now_ms: u64,
@@ -164,7 +167,8 @@
 }
 
 impl Command {
-    /// Bytes of the text that it carries.
+    /// Size in bytes of the document, register, rules or response body that the command carries; 0
+    /// if it carries none.
     pub fn body_bytes(&self) -> usize {
         match self {
             Command::ApplyRegister { body, .. }
@@ -176,86 +180,86 @@
     }
 }
 
-/// The answer of a non-repeatable call, kept for resends.
+/// Response of a non-repeatable call, stored for resends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeptAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The `Content-Type` of the body.
+    /// Value of the `Content-Type` header; empty if there was none.
     pub content_type: String,
-    /// The body, whole.
+    /// Complete response body.
     pub body: Vec<u8>,
 }
 
-/// What a committed command came to.
+/// Outcome of a committed command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// The configuration is in force under this revision. A resend gets the first result again.
+    /// The configuration has been replaced. A resend gets the first outcome again.
     Applied {
-        /// The revision.
+        /// New revision.
         revision: Revision,
     },
-    /// Another change came first.
+    /// The expected revision is no longer the current one.
     Conflict {
-        /// The revision in force.
+        /// Current revision.
         revision: Revision,
-        /// Digest of the part that won.
+        /// Digest of the change that was applied instead.
         winner: DigestHex,
     },
-    /// The claim is the proposer's: it sends once.
+    /// The proposer holds the claim and may send the call once.
     Reserved,
-    /// Another daemon, or another life of this one, holds the claim and has not finished.
+    /// Another daemon or another attempt holds the claim and has not finished.
     Running {
-        /// The holder.
+        /// VM of the holder.
         holder: VmId,
-        /// Its life.
+        /// Incarnation of the holder.
         incarnation: Incarnation,
     },
-    /// The call ran; this is its answer.
+    /// The call was executed.
     Finished {
-        /// The answer.
+        /// Its stored response.
         answer: KeptAnswer,
     },
-    /// The key was used for another request.
+    /// The key was used with a different request.
     KeyReused,
-    /// The outcome of the call will not be known.
+    /// The outcome of the call cannot be determined: it may have been executed.
     Unknown,
-    /// The claim is free again.
+    /// The claim is released, or the attempt has ended and may not claim the call.
     Released,
     /// The proposer does not hold the claim.
     NotHolder,
     /// The ledger is full of entries that may not be dropped yet.
     LedgerFull,
-    /// The desired weights are noted under this number.
+    /// The desired weights are recorded.
     Desired {
-        /// The fencing number.
+        /// Fencing number of the first entry that set these weights.
         fencing: FencingNumber,
     },
-    /// Noted.
+    /// The command was applied.
     Noted,
-    /// The change of the replicas is committed.
+    /// The membership change is committed.
     MembershipChanged,
-    /// The command changed nothing; the text names the remedy.
+    /// The command changed nothing.
     Refused {
-        /// Why, and what to do.
+        /// Reason and remedy.
         reason: String,
     },
-    /// The document that is in force now has this number; it is the proposed one or a later one.
+    /// The current document has this number. It is the proposed document or a later one.
     DocumentHeld {
-        /// The number.
+        /// Number of the current document.
         number: DocumentNumber,
     },
-    /// Attempts below this number may have been forgotten; claim under it or a higher one.
+    /// The ledger may have dropped its record of attempts below this number.
     Forgotten {
-        /// The number.
+        /// Lowest attempt that may claim a call.
         below: AttemptId,
     },
 }
 
-/// Why a proposal has no outcome.
+/// Why a proposal returned no outcome.
 #[derive(Clone, Debug, Display, PartialEq, Serialize, Deserialize)]
 pub enum ProposeError {
-    /// no quorum is reachable and the command did not enter the log; retry when the replicas of two failure domains see each other
+    /// no quorum is reachable and the command did not enter the log; retry when the replicas of two failure domains can reach each other
     NoQuorum,
     /// the command may or may not have been committed; ask again with the same operation id or key
     OutcomeUnknown,
--- a/src/control/configuration.rs
+++ b/src/control/configuration.rs
@@ -1,4 +1,5 @@
-//! The configuration: changed by compare-and-set on its revision, resends get the first result.
+//! Configuration that is changed by compare-and-set on its revision. A resent change gets its first
+//! outcome again.
 
 use {
     crate::{
@@ -14,27 +15,27 @@
     },
 };
 
-/// Results remembered for resends, and changes kept as history: half a day at 2,100 changes a
-/// day, while operators resend within minutes. An older resend meets a higher revision and gets
-/// a conflict, so forgetting cannot apply a change twice.
+/// Number of results retained for resends and of changes retained as history. At 2,100 changes a
+/// day this covers half a day, and operators resend within minutes. An older resend expects an
+/// outdated revision and gets a conflict, so dropping its result cannot apply a change twice.
 pub const RETAINED_OPERATIONS: usize = 1024;
-/// The longest operation id.
+/// Maximum length of an operation id.
 const OPERATION_ID_BYTES: usize = 256;
-/// The longest body: twice the several megabytes of the design size, and it still fits into one
-/// message between daemons.
+/// Maximum size of a body. It is twice the several megabytes of the design size and still fits into
+/// one message between daemons.
 const BODY_BYTES: usize = 6 << 20;
 
-/// The part of the configuration that a change replaces.
+/// Part of the configuration that a change replaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigPart {
-    /// The asset register.
+    /// Asset register.
     Register,
-    /// The rules.
+    /// Rule set.
     Rules,
 }
 
 impl ConfigPart {
-    /// The name that operators see.
+    /// Name of the part in operator output.
     pub fn as_str(self) -> &'static str {
         match self {
             ConfigPart::Register => "register",
@@ -43,90 +44,91 @@
     }
 }
 
-/// A request to replace one part.
+/// Request to replace one part of the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigRequest<'a> {
-    /// Which part.
+    /// Part to replace.
     pub part: ConfigPart,
-    /// The operator's id of the change.
+    /// Identifies the change; a resend carries the same id.
     pub operation: &'a OperationId,
-    /// The revision that the operator saw.
+    /// Revision that the change is based on.
     pub expected: Revision,
-    /// The part as canonical JSON.
+    /// New content as canonical JSON.
     pub body: &'a str,
 }
 
-/// One accepted change.
+/// Accepted change of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigChange {
-    /// The revision that it made.
+    /// Revision created by the change.
     pub revision: Revision,
-    /// The part that it replaced.
+    /// Part that the change replaced.
     pub part: ConfigPart,
-    /// The digest of the new part.
+    /// SHA-256 digest of the new part, in hexadecimal.
     pub digest: DigestHex,
-    /// The operator's id of the change.
+    /// Operation id given by the operator.
     pub operation: OperationId,
 }
 
-/// The result of an operation, for its resends.
+/// Result of an operation, returned again to its resends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct RememberedResult {
+struct RecordedResult {
     part: ConfigPart,
     digest: DigestHex,
     expected: Revision,
     outcome: CommandOutcome,
 }
 
-/// The configuration in force and how it came about.
+/// Current configuration and its history of changes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigState {
-    /// The parts as they were accepted; empty until the first change.
+    /// Parts as they were accepted; empty until the first change.
     register_body: String,
     rules_body: String,
     revision: Revision,
-    /// Oldest first; at most [`RETAINED_OPERATIONS`], the oldest falls out.
+    /// Oldest first. At most [`RETAINED_OPERATIONS`]; the oldest is dropped.
     changes: VecDeque<ConfigChange>,
-    /// Holds exactly the operations in `order`.
-    results: BTreeMap<OperationId, RememberedResult>,
-    /// Oldest first; at most [`RETAINED_OPERATIONS`], the oldest falls out.
+    /// Results of exactly the operations in `order`.
+    results: BTreeMap<OperationId, RecordedResult>,
+    /// Oldest first. At most [`RETAINED_OPERATIONS`]; the oldest is dropped.
     order: VecDeque<OperationId>,
-    /// The parsed form of the bodies under `revision`.
+    /// Bodies in parsed form, under `revision`.
     #[serde(skip)]
     active: Arc<ActiveConfig>,
 }
 
 impl ConfigState {
-    /// The configuration in force.
+    /// Current configuration.
     pub fn active(&self) -> &Arc<ActiveConfig> {
         &self.active
     }
 
-    /// The last accepted changes, oldest first.
+    /// Most recent accepted changes, oldest first.
     pub fn changes(&self) -> impl Iterator<Item = &ConfigChange> {
         self.changes.iter()
     }
 
-    /// Puts a change in force if the revision is still the expected one.
+    /// Applies a change if the current revision is still the expected one.
     pub fn change(&mut self, request: ConfigRequest<'_>) -> CommandOutcome {
         if request.operation.len() > OPERATION_ID_BYTES || request.body.len() > BODY_BYTES {
             return refused("the operation id or the body is too long; shorten it");
         }
         let digest = digest_hex(request.body);
-        if let Some(outcome) = self.first_result(&request, &digest) {
+        if let Some(outcome) = self.recorded_result(&request, &digest) {
             return outcome;
         }
         let outcome = self.compare_and_set(&request, &digest);
-        self.remember(&request, digest, outcome.clone());
+        self.record_result(&request, digest, outcome.clone());
         outcome
     }
 
-    /// The result that an operation had before.
+    /// Result of an earlier application of the same operation; `None` if there is none.
     ///
-    /// A lost answer makes the operator send the change again. Judged anew it would meet its own
-    /// revision and be told of a conflict with itself, so the first result is repeated. An
-    /// operation id that was applied is used up: under it nothing else is put in force.
-    fn first_result(&self, request: &ConfigRequest<'_>, digest: &str) -> Option<CommandOutcome> {
+    /// An operator whose response was lost resends the change. If the resend were compared with the
+    /// current revision, it would conflict with the revision that the operator created, so the
+    /// first result is returned again. An applied operation id cannot be used for a different
+    /// change.
+    fn recorded_result(&self, request: &ConfigRequest<'_>, digest: &str) -> Option<CommandOutcome> {
         let known = self.results.get(request.operation)?;
         let same = known.digest == digest
             && known.expected == request.expected
@@ -177,7 +179,8 @@
         CommandOutcome::Applied { revision: self.revision }
     }
 
-    /// The digest of the change that took the revision after `expected`, or else of the last one.
+    /// Digest of the change that created the revision after `expected`, or of the last change if
+    /// that one is no longer retained.
     fn winner(&self, expected: Revision) -> DigestHex {
         self.changes
             .iter()
@@ -187,14 +190,19 @@
             .unwrap_or_default()
     }
 
-    fn remember(&mut self, request: &ConfigRequest<'_>, digest: DigestHex, result: CommandOutcome) {
-        let remembered = RememberedResult {
+    fn record_result(
+        &mut self,
+        request: &ConfigRequest<'_>,
+        digest: DigestHex,
+        result: CommandOutcome,
+    ) {
+        let recorded = RecordedResult {
             part: request.part,
             digest,
             expected: request.expected,
             outcome: result,
         };
-        if self.results.insert(request.operation.clone(), remembered).is_some() {
+        if self.results.insert(request.operation.clone(), recorded).is_some() {
             return;
         }
         if let Some(oldest) = push_bounded(&mut self.order, request.operation.clone()) {
@@ -202,10 +210,10 @@
         }
     }
 
-    /// Parses the bodies again after decoding.
+    /// Restores the parsed configuration after decoding.
     ///
     /// # Errors
-    /// When a body does not parse, which means that the snapshot is damaged.
+    /// Returns an error if a body does not parse, which means that the snapshot is damaged.
     pub fn restore(&mut self) -> Result<(), String> {
         let mut config = ActiveConfig { revision: self.revision, ..ActiveConfig::default() };
         if !self.register_body.is_empty() {
@@ -219,7 +227,7 @@
     }
 }
 
-/// The digest under which a part is known.
+/// SHA-256 digest of a part, in hexadecimal.
 pub fn digest_hex(body: &str) -> DigestHex {
     hex::encode(Sha256::digest(body.as_bytes()))
 }
--- a/src/control/entry.rs
+++ b/src/control/entry.rs
@@ -1,4 +1,4 @@
-//! The replicated log's entries, the membership of the group, and what a replica keeps on disk.
+//! Log entries, group membership and the durable state of a replica.
 
 use {
     crate::{
@@ -12,25 +12,25 @@
     std::collections::BTreeMap,
 };
 
-/// The term of the founding entry; elections start above it.
+/// Term of the entry that founds the group; elections use higher terms.
 pub const FOUNDING_TERM: Term = 1;
 
-/// One entry of the log.
+/// Entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// The term of the leader that wrote it.
+    /// Term of the leader that appended the entry.
     pub term: Term,
-    /// Its position, without gaps from 1.
+    /// Position in the log, without gaps from 1.
     pub index: LogIndex,
-    /// What it carries.
+    /// Content of the entry.
     pub payload: EntryPayload,
 }
 
-/// What an entry or a message costs beside the bodies that it carries.
+/// Estimated size in bytes of an entry or message without the bodies that it carries.
 pub const OVERHEAD_BYTES: usize = 256;
 
 impl LogEntry {
-    /// About what it takes.
+    /// Estimated size in bytes.
     pub fn bytes(&self) -> usize {
         match &self.payload {
             EntryPayload::Command(command) => OVERHEAD_BYTES + command.body_bytes(),
@@ -39,28 +39,30 @@
     }
 }
 
-/// What an entry carries.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// Opens a leader's term, so that older entries can be committed.
+    /// No-op entry at the start of a leader's term, which allows entries of earlier terms to be
+    /// committed.
     Opening,
-    /// A command of the state machine.
+    /// Command for the state machine.
     Command(Command),
-    /// The membership from this entry on, in force as soon as it is written.
+    /// Membership from this entry on. It takes effect when the entry is written, before it is
+    /// committed.
     Membership(Membership),
 }
 
-/// Which disks make up the group.
+/// Replicas of the group, each identified by its VM and the incarnation of its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Replicas that count in quorums, each with the incarnation of its disk.
+    /// Replicas that count in quorums, with the incarnations of their disks.
     pub voters: BTreeMap<VmId, Incarnation>,
-    /// Replicas that are catching up; never also voters.
+    /// Replicas that are catching up; disjoint from the voters.
     pub learners: BTreeMap<VmId, Incarnation>,
 }
 
 impl Membership {
-    /// How many voters make a quorum.
+    /// Number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
@@ -75,7 +77,7 @@
         self.incarnation(vm) == Some(incarnation)
     }
 
-    /// The disk of `vm` that belongs to the group.
+    /// Incarnation of the disk of `vm` that belongs to the group; `None` if `vm` is no member.
     pub fn incarnation(&self, vm: &str) -> Option<Incarnation> {
         self.voters.get(vm).or_else(|| self.learners.get(vm)).copied()
     }
@@ -85,42 +87,42 @@
         self.voters.iter().chain(&self.learners).map(|(vm, incarnation)| (vm, *incarnation))
     }
 
-    /// The identity of the group that this membership founds.
+    /// Identity of the group that is founded with this membership.
     pub fn group(&self) -> GroupId {
         let encoded = postcard::to_stdvec(self).expect("a membership always encodes");
         xxhash_rust::xxh3::xxh3_64(&encoded)
     }
 
-    /// The first entry of the group that this membership founds.
+    /// First log entry of the group that is founded with this membership.
     pub fn founding_entry(&self) -> LogEntry {
         LogEntry { term: FOUNDING_TERM, index: 1, payload: EntryPayload::Membership(self.clone()) }
     }
 }
 
-/// A snapshot of the state machine.
+/// Snapshot of the state machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SavedSnapshot {
-    /// What it covers.
+    /// Last entry and membership that the snapshot covers.
     pub head: SnapshotHead,
     /// The encoded state machine.
     pub data: Vec<u8>,
 }
 
-/// A change of what a replica keeps on disk.
+/// Change of the durable state of a replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DurableWrite {
     /// Term, vote and group.
     HardState(HardState),
-    /// Entries to put after those before the first of them; later ones fall away.
+    /// Entries that follow those before the first of them and replace all later ones.
     Entries(Vec<LogEntry>),
-    /// Entries up to here are known to be committed.
+    /// All entries up to this index are known to be committed.
     Commit(LogIndex),
-    /// A snapshot that covers the entries up to its head; those after it stay if they follow it.
+    /// Snapshot that replaces the entries up to its head. Later entries are kept if they follow it.
     Snapshot(SavedSnapshot),
 }
 
 impl DurableWrite {
-    /// About what it takes.
+    /// Estimated size in bytes.
     pub fn bytes(&self) -> usize {
         match self {
             DurableWrite::Entries(entries) => entries.iter().map(LogEntry::bytes).sum(),
@@ -130,48 +132,48 @@
     }
 }
 
-/// What a replica must never forget between two messages.
+/// Raft state that must be durable before a message that depends on it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The highest term seen; never falls.
+    /// Highest term seen; never decreases.
     pub term: Term,
-    /// The vote given in that term; given once.
+    /// Candidate that received the vote of this replica in that term; set at most once a term.
     pub vote: Option<(VmId, Incarnation)>,
-    /// The group; set once.
+    /// Group that the replica belongs to; set at most once.
     pub group: Option<GroupId>,
 }
 
-/// Changes that become durable together.
+/// Durable writes that are synced together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PersistBatch {
-    /// Numbers the batches from 1 without gaps.
+    /// Batch number, without gaps from 1.
     pub number: u64,
-    /// The changes, in order.
+    /// Writes in the order in which they apply.
     pub writes: Vec<DurableWrite>,
 }
 
-/// What a replica finds on its disk at the start.
+/// Durable state that a replica reads at startup.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SavedState {
-    /// The incarnation of the disk.
+    /// Incarnation of the disk.
     pub incarnation: Incarnation,
     /// Term, vote and group.
     pub hard_state: HardState,
-    /// The last snapshot.
+    /// Most recent snapshot; `None` before the first one.
     pub snapshot: Option<SavedSnapshot>,
-    /// The entries after the snapshot, without gaps.
+    /// Entries after the snapshot, without gaps.
     pub entries: Vec<LogEntry>,
-    /// Entries up to here are known to be committed.
+    /// All entries up to this index are known to be committed.
     pub commit: LogIndex,
 }
 
 impl SavedState {
-    /// An empty disk.
+    /// State of an empty disk.
     pub fn empty(incarnation: Incarnation) -> Self {
         SavedState { incarnation, ..SavedState::default() }
     }
 
-    /// Takes in one change; `false` means that it cannot follow the changes before it.
+    /// Applies one write. Returns `false` if it cannot follow the writes before it.
     #[must_use]
     pub fn apply(&mut self, write: DurableWrite) -> bool {
         match write {
--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -1,8 +1,9 @@
-//! The idempotency ledger: which non-repeatable calls are claimed, finished or in doubt.
+//! Idempotency ledger: which non-repeatable calls are claimed, finished or in doubt.
 //!
-//! A claim permits exactly one run. It ends by the holder's word (`Finish`, `MarkUnknown`, or, when
-//! nothing was sent, `Release` or `EndAttempts`) or when a later life of the holder's VM shows that
-//! the holder is gone, and then the outcome is unknown. No timeout frees a claim.
+//! A claim permits exactly one execution. It is ended by a command of its holder (`Finish`,
+//! `MarkUnknown`, or, if nothing was sent, `Release` or `EndAttempts`). It is also ended when a
+//! later incarnation of the holder's VM shows that the holder has stopped; the outcome is then
+//! unknown. No timeout frees a claim.
 
 mod daemon_incarnations;
 mod legacy_ledger;
@@ -20,123 +21,128 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Shards by hash of organisation and key, so that they can be spread over several groups.
+/// Number of shards. Calls are assigned by a hash of organisation and key, so that shards can be
+/// distributed over several groups.
 pub const LEDGER_SHARDS: usize = 64;
-/// Entries of one shard: 65,536 in all, at some 300 bytes each about 20 MB.
+/// Maximum number of entries of a shard: 65,536 in all shards, about 20 MB at 300 bytes each.
 pub const SHARD_ENTRIES: usize = 1024;
-/// Bytes of kept answers in a shard from which new claims are refused; 16 MB in all.
+/// Size in bytes of the responses stored in a shard from which new claims are refused; 16 MB in all
+/// shards.
 pub const SHARD_BYTES: usize = 256 << 10;
-/// Bytes of kept answers in a shard that are never passed: calls that were claimed below
-/// [`SHARD_BYTES`] may still finish. An answer past it is not kept and its resends get `Unknown`.
+/// Maximum size in bytes of the responses stored in a shard. It exceeds [`SHARD_BYTES`] because
+/// calls that were already claimed may still finish. A response beyond it is not stored, and its
+/// resends get `Unknown`.
 const SHARD_BYTES_HARD: usize = 384 << 10;
-/// The longest answer kept; resends of a longer one get `Unknown`, never a part of it.
+/// Maximum size in bytes of a stored response. Resends of a call with a longer one get `Unknown`,
+/// never a truncated response.
 pub const ANSWER_BYTES: usize = 64 << 10;
-/// The longest key, fingerprint or name.
+/// Maximum length in bytes of a key, fingerprint or name.
 const NAME_BYTES: usize = 256;
 
-/// Whose call, and its key.
+/// Organisation that made a call, and its idempotency key.
 pub type LedgerKey = (OrganisationId, IdempotencyKey);
 
-/// Who may send, and for which try.
+/// Daemon and attempt that may send a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimHolder {
-    /// The daemon's VM.
+    /// VM of the daemon.
     pub vm: VmId,
-    /// The life of the daemon; a later life has a higher number.
+    /// Incarnation of the daemon; later incarnations have higher numbers.
     pub incarnation: Incarnation,
-    /// The try.
+    /// Attempt that the claim permits.
     pub attempt: AttemptId,
 }
 
-/// One call.
+/// Ledger entry of a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct LedgerEntry {
     fingerprint: DigestHex,
     holder: ClaimHolder,
     phase: LedgerPhase,
-    /// The ledger's clock when the phase was reached; unused while running.
+    /// Time on the ledger's clock at which the phase was reached; unused while running.
     closed_ms: u64,
 }
 
-/// How far a call is.
+/// State of a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum LedgerPhase {
-    /// The holder may have sent it.
+    /// The call is claimed; the holder may have sent it.
     Running,
-    /// It ran.
+    /// The call was executed.
     Finished(KeptAnswer),
-    /// It may have run.
+    /// The call may have been executed.
     Unknown,
 }
 
-/// A part of the ledger.
+/// Shard of the ledger.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct LedgerShard {
     /// At most [`SHARD_ENTRIES`].
     entries: BTreeMap<LedgerKey, LedgerEntry>,
-    /// Exactly the entries that are not running, by the time they were closed.
+    /// Exactly the entries that are not running, ordered by the time at which they were closed.
     closed: BTreeSet<(u64, LedgerKey)>,
-    /// The sum of the bodies kept in `entries`.
+    /// Total size in bytes of the responses stored in `entries`.
     kept_bytes: usize,
 }
 
-/// The whole ledger.
+/// Ledger of all non-repeatable calls.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IdempotencyLedger {
     /// Always [`LEDGER_SHARDS`] of them.
     shards: Vec<LedgerShard>,
-    lives: DaemonIncarnations,
+    #[serde(rename = "lives")]
+    daemons: DaemonIncarnations,
 }
 
 impl Default for IdempotencyLedger {
     fn default() -> Self {
         let shards = vec![LedgerShard::default(); LEDGER_SHARDS];
-        IdempotencyLedger { shards, lives: DaemonIncarnations::default() }
+        IdempotencyLedger { shards, daemons: DaemonIncarnations::default() }
     }
 }
 
-/// A request for the only run of a call.
+/// Request for the claim of a call.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest<'a> {
-    /// Whose call, and its key.
+    /// Organisation that made the call, and its idempotency key.
     pub key: LedgerKey,
-    /// Digest of the request.
+    /// Digest of method, path and body.
     pub fingerprint: &'a DigestHex,
-    /// Who would send it.
+    /// Daemon and attempt that would send the call.
     pub holder: ClaimHolder,
-    /// The proposer's clock.
+    /// Clock of the proposer, in milliseconds since the Unix epoch.
     pub now_ms: u64,
-    /// How long closed calls are kept.
+    /// How long closed calls are retained, in milliseconds.
     pub retention_ms: u64,
 }
 
 impl IdempotencyLedger {
-    /// How many calls are kept.
+    /// Number of calls in the ledger.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.entries.len()).sum()
     }
 
-    /// Whether no call is kept.
+    /// Whether the ledger holds no call.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Claims the only run of a call, or tells how it stands.
+    /// Claims a call, or returns its state if it is already claimed or closed.
     pub fn reserve(&mut self, request: ClaimRequest<'_>) -> CommandOutcome {
         if !request.is_short() {
             return refused("the key or a name is longer than 256 bytes; shorten it");
         }
-        if let Some(outcome) = self.lives.admit(&request.holder, request.now_ms) {
+        if let Some(outcome) = self.daemons.admit(&request.holder, request.now_ms) {
             return outcome;
         }
-        let lives = &self.lives;
+        let daemons = &self.daemons;
         let shard = &mut self.shards[shard_number(&request.key)];
-        shard.expire(lives.clock_ms(), request.retention_ms);
-        if let Some(outcome) = shard.standing(&request, lives) {
+        shard.expire(daemons.clock_ms(), request.retention_ms);
+        if let Some(outcome) = shard.outcome_of(&request, daemons) {
             return outcome;
         }
         if shard.is_full() {
-            shard.make_room(lives);
+            shard.make_room(daemons);
         }
         if shard.is_full() {
             return CommandOutcome::LedgerFull;
@@ -145,18 +151,18 @@
         CommandOutcome::Reserved
     }
 
-    /// Keeps the answer of a call that ran. Also after its outcome was given up as unknown: the
-    /// holder's word is the truth, and it permits no further run.
+    /// Stores the response of an executed call, even if its outcome was already recorded as
+    /// unknown. The holder knows the outcome, and storing it permits no further execution.
     pub fn finish(
         &mut self,
         key: LedgerKey,
         holder: &ClaimHolder,
         answer: &KeptAnswer,
     ) -> CommandOutcome {
-        let latest_ms = self.lives.latest_ms();
+        let latest_ms = self.daemons.latest_ms();
         let shard = &mut self.shards[shard_number(&key)];
         let length = answer.body.len() + answer.content_type.len();
-        match shard.held(&key, holder) {
+        match shard.phase_of(&key, holder) {
             Some(LedgerPhase::Finished(_)) => CommandOutcome::Noted,
             Some(LedgerPhase::Running | LedgerPhase::Unknown) => {
                 let fits = length <= ANSWER_BYTES && shard.kept_bytes + length <= SHARD_BYTES_HARD;
@@ -171,31 +177,33 @@
         }
     }
 
-    /// Gives a claim back when nothing was sent.
+    /// Releases a claim because nothing was sent.
     pub fn release(&mut self, key: LedgerKey, holder: &ClaimHolder) -> CommandOutcome {
-        // Also where another attempt holds the call: the `Reserve` may still be on its way.
-        self.lives.give_back(holder);
+        // The attempt is recorded even if another one holds the call, because its `Reserve` may
+        // still arrive.
+        self.daemons.release(holder);
         let shard = &mut self.shards[shard_number(&key)];
         if !shard.entries.contains_key(&key) {
             return CommandOutcome::Released;
         }
-        match shard.held(&key, holder) {
+        match shard.phase_of(&key, holder) {
             Some(LedgerPhase::Running) => {
                 shard.remove(&key);
                 CommandOutcome::Released
             }
-            // A claim once in doubt or finished is never freed: it may have run.
+            // A claim that is finished or in doubt is never released: the call may have been
+            // executed.
             Some(LedgerPhase::Finished(_) | LedgerPhase::Unknown) | None => {
                 CommandOutcome::NotHolder
             }
         }
     }
 
-    /// Notes that the outcome of a sent call will never be known.
+    /// Records that the outcome of a sent call cannot be determined.
     pub fn mark_unknown(&mut self, key: LedgerKey, holder: &ClaimHolder) -> CommandOutcome {
-        let latest_ms = self.lives.latest_ms();
+        let latest_ms = self.daemons.latest_ms();
         let shard = &mut self.shards[shard_number(&key)];
-        match shard.held(&key, holder) {
+        match shard.phase_of(&key, holder) {
             Some(LedgerPhase::Running) => {
                 shard.close(&key, LedgerPhase::Unknown, latest_ms);
                 CommandOutcome::Noted
@@ -205,18 +213,18 @@
         }
     }
 
-    /// Notes the life and the clock of a daemon, unless a later life is known.
+    /// Records the incarnation and the clock of a daemon, unless a later incarnation is known.
     pub fn note_incarnation(
         &mut self,
         vm: &VmId,
         incarnation: Incarnation,
         now_ms: u64,
     ) -> CommandOutcome {
-        self.lives.note(vm, incarnation, now_ms)
+        self.daemons.note(vm, incarnation, now_ms)
     }
 
-    /// Notes that all attempts of a daemon's life below `floor` are over; calls that they still
-    /// hold are free.
+    /// Records that all attempts of a daemon's incarnation below `floor` have ended. Calls that
+    /// they still hold become free.
     pub fn end_attempts(
         &mut self,
         vm: &VmId,
@@ -224,7 +232,7 @@
         floor: AttemptId,
         now_ms: u64,
     ) -> CommandOutcome {
-        self.lives.raise_floor(vm, incarnation, floor, now_ms)
+        self.daemons.raise_floor(vm, incarnation, floor, now_ms)
     }
 }
 
@@ -263,27 +271,27 @@
         self.entries.len() >= SHARD_ENTRIES || self.kept_bytes >= SHARD_BYTES
     }
 
-    /// How an earlier claim under the key answers this one; `None` when the call is free.
-    fn standing(
+    /// Answers the request from an earlier claim under its key; `None` if the call is free.
+    fn outcome_of(
         &mut self,
         request: &ClaimRequest<'_>,
-        lives: &DaemonIncarnations,
+        daemons: &DaemonIncarnations,
     ) -> Option<CommandOutcome> {
         let entry = self.entries.get(&request.key)?;
-        if entry.is_running() && lives.is_over(&entry.holder) {
+        if entry.is_running() && daemons.has_ended(&entry.holder) {
             self.remove(&request.key);
             return None;
         }
         if entry.fingerprint != *request.fingerprint {
             return Some(CommandOutcome::KeyReused);
         }
-        if entry.is_running() && lives.is_gone(&entry.holder) {
-            self.close(&request.key, LedgerPhase::Unknown, lives.latest_ms());
+        if entry.is_running() && daemons.is_superseded(&entry.holder) {
+            self.close(&request.key, LedgerPhase::Unknown, daemons.latest_ms());
             return Some(CommandOutcome::Unknown);
         }
         Some(match &entry.phase {
-            // The identical proposal after a lost answer; another try of the same daemon is not
-            // identical, or one claim would permit two sends.
+            // An identical proposal is a resend after a lost response. Another attempt of the same
+            // daemon is not identical; granting it would let one claim permit two sends.
             LedgerPhase::Running if entry.holder == request.holder => CommandOutcome::Reserved,
             LedgerPhase::Running => CommandOutcome::Running {
                 holder: entry.holder.vm.clone(),
@@ -294,8 +302,8 @@
         })
     }
 
-    /// The phase of the call, if this holder claimed it.
-    fn held(&self, key: &LedgerKey, holder: &ClaimHolder) -> Option<&LedgerPhase> {
+    /// State of the call, if this holder claimed it.
+    fn phase_of(&self, key: &LedgerKey, holder: &ClaimHolder) -> Option<&LedgerPhase> {
         self.entries.get(key).filter(|entry| entry.holder == *holder).map(|entry| &entry.phase)
     }
 
@@ -321,8 +329,8 @@
         }
     }
 
-    /// Drops closed calls whose retention is over. Running ones stay, whatever their age: nobody
-    /// but the holder can tell that they did not run.
+    /// Drops closed calls whose retention has expired. Running calls stay regardless of their age,
+    /// because only the holder knows that they were not executed.
     fn expire(&mut self, clock_ms: u64, retention_ms: u64) {
         while let Some((closed_ms, key)) = self.closed.first().cloned() {
             if closed_ms.saturating_add(retention_ms) >= clock_ms {
@@ -332,18 +340,18 @@
         }
     }
 
-    /// Frees the calls of attempts that are over, and closes those whose holder is gone, so that
-    /// the retention of the latter begins.
-    fn make_room(&mut self, lives: &DaemonIncarnations) {
+    /// Removes the calls of ended attempts and closes those whose holder has stopped, so that the
+    /// retention of the latter begins.
+    fn make_room(&mut self, daemons: &DaemonIncarnations) {
         let running = self.entries.iter().filter(|(_, entry)| entry.is_running());
-        let (over, others): (Vec<_>, Vec<_>) = running
+        let (ended, others): (Vec<_>, Vec<_>) = running
             .map(|(key, entry)| (key.clone(), entry.holder.clone()))
-            .partition(|(_, holder)| lives.is_over(holder));
-        for (key, _) in over {
+            .partition(|(_, holder)| daemons.has_ended(holder));
+        for (key, _) in ended {
             self.remove(&key);
         }
-        for (key, _) in others.into_iter().filter(|(_, holder)| lives.is_gone(holder)) {
-            self.close(&key, LedgerPhase::Unknown, lives.latest_ms());
+        for (key, _) in others.into_iter().filter(|(_, holder)| daemons.is_superseded(holder)) {
+            self.close(&key, LedgerPhase::Unknown, daemons.latest_ms());
         }
     }
 }
--- a/src/control/ledger/daemon_incarnations.rs
+++ b/src/control/ledger/daemon_incarnations.rs
@@ -1,9 +1,10 @@
-//! The lives of the daemons that claim calls: their clocks, and which of their attempts are over.
+//! Incarnations of the daemons that claim calls: their clocks, and which of their attempts have
+//! ended.
 //!
-//! A daemon numbers its attempts in ascending order. An attempt is over once nothing will be sent
-//! under it any more and, if something was sent, its end is in the ledger. Without this a
-//! reservation that arrives late could not be told from a new one, and would claim a call for
-//! nobody.
+//! A daemon numbers its attempts in ascending order. An attempt has ended once nothing more will be
+//! sent under it and, if something was sent, its end is recorded in the ledger. Without this record
+//! a late reservation could not be distinguished from a new one and would claim a call that no
+//! daemon sends.
 
 use {
     super::{ClaimHolder, NAME_BYTES, refused},
@@ -15,111 +16,113 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Daemons that are remembered; the one with the oldest clock falls out.
-pub const LIVES: usize = 1024;
-/// Given-back attempts that are remembered of one life beside its floor. The oldest falls out; the
-/// daemon's next floor covers it.
-const RETURNED: usize = 64;
+/// Maximum number of daemons; the one with the oldest clock is evicted.
+pub const MAX_DAEMONS: usize = 1024;
+/// Maximum number of released attempts retained per incarnation in addition to its floor. The
+/// oldest is dropped; the next floor of the daemon covers it.
+const MAX_RELEASED: usize = 64;
 
-/// What is known of the daemon on a VM.
+/// Latest incarnation of the daemon on a VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct DaemonLife {
-    /// The latest life seen; only grows.
+struct DaemonRecord {
+    /// Highest incarnation seen; only grows.
     incarnation: Incarnation,
-    /// The latest time it gave; only grows.
+    /// Latest clock value sent by the daemon, in milliseconds since the Unix epoch; only grows.
     clock_ms: u64,
-    /// Reservations of lower attempts are refused: when the life was noted, they may have been
-    /// forgotten.
+    /// Reservations of lower attempts are refused: their records may have been dropped before this
+    /// incarnation was recorded.
     first: AttemptId,
-    /// The highest attempt seen, of former lives as well.
+    /// Highest attempt seen, including those of earlier incarnations.
     newest: AttemptId,
-    /// All attempts below it are over; only grows within a life.
+    /// All attempts below it have ended; only grows within an incarnation.
     floor: AttemptId,
-    /// Attempts that are over, none below `floor`; at most [`RETURNED`].
-    returned: BTreeSet<AttemptId>,
+    /// Released attempts, none below `floor`; at most [`MAX_RELEASED`].
+    #[serde(rename = "returned")]
+    released: BTreeSet<AttemptId>,
 }
 
-/// The lives of all daemons.
+/// Latest incarnations of all daemons.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DaemonIncarnations {
-    /// At most [`LIVES`].
-    lives: BTreeMap<VmId, DaemonLife>,
-    /// The second latest of the VMs' clocks; only grows. Retention ends by this clock.
+    /// At most [`MAX_DAEMONS`].
+    #[serde(rename = "lives")]
+    daemons: BTreeMap<VmId, DaemonRecord>,
+    /// Second latest of the daemons' clocks; only grows. Retention is measured by this clock.
     clock_ms: u64,
-    /// The latest of the VMs' clocks, never below `clock_ms`; only grows. Closed calls carry this
-    /// time: it cannot lie before the true one by more than clocks differ, also while only one VM
-    /// proposes and `clock_ms` stands still.
+    /// Latest of the daemons' clocks, never below `clock_ms`; only grows. Closed calls carry this
+    /// time. It is behind the true time by at most the clock skew, even while only one daemon
+    /// proposes and `clock_ms` does not advance.
     latest_ms: u64,
-    /// All attempts of lives that fell out are below it; only grows.
+    /// All attempts of evicted incarnations are below it; only grows.
     first: AttemptId,
 }
 
-/// The form in snapshots that knew no attempts: the latest life and clock of each VM.
-pub type FormerLives = BTreeMap<VmId, (Incarnation, u64)>;
+/// Format of snapshots without attempts: the latest incarnation and clock of each VM.
+pub type LegacyIncarnations = BTreeMap<VmId, (Incarnation, u64)>;
 
 impl DaemonIncarnations {
-    /// Takes over what former snapshots knew.
-    pub fn upgrade(former: FormerLives, clock_ms: u64, latest_ms: u64) -> Self {
-        let lives = former.into_iter().map(|(vm, (incarnation, clock_ms))| {
-            (vm, DaemonLife { clock_ms, ..DaemonLife::new(incarnation, 0) })
+    /// Converts the format of earlier snapshots.
+    pub fn upgrade(legacy: LegacyIncarnations, clock_ms: u64, latest_ms: u64) -> Self {
+        let daemons = legacy.into_iter().map(|(vm, (incarnation, clock_ms))| {
+            (vm, DaemonRecord { clock_ms, ..DaemonRecord::new(incarnation, 0) })
         });
-        DaemonIncarnations { lives: lives.collect(), clock_ms, latest_ms, first: 0 }
+        DaemonIncarnations { daemons: daemons.collect(), clock_ms, latest_ms, first: 0 }
     }
 
-    /// The clock that retention goes by, in milliseconds since the Unix epoch.
+    /// Clock by which retention is measured, in milliseconds since the Unix epoch.
     pub fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
 
-    /// The latest clock, in milliseconds since the Unix epoch.
+    /// Latest clock of all daemons, in milliseconds since the Unix epoch.
     pub fn latest_ms(&self) -> u64 {
         self.latest_ms
     }
 
-    /// Notes the life and the clock of a daemon, unless a later life is known.
+    /// Records the incarnation and the clock of a daemon, unless a later incarnation is known.
     pub fn note(&mut self, vm: &VmId, incarnation: Incarnation, now_ms: u64) -> CommandOutcome {
-        if let Err(outcome) = self.life(vm, incarnation, now_ms) {
+        if let Err(outcome) = self.record(vm, incarnation, now_ms) {
             return outcome;
         }
-        self.make_room();
+        self.evict_oldest();
         self.advance_clock();
         CommandOutcome::Noted
     }
 
-    /// Whether an attempt may claim a call; an outcome when it may not.
+    /// Checks whether an attempt may claim a call; returns the outcome if it may not.
     pub fn admit(&mut self, holder: &ClaimHolder, now_ms: u64) -> Option<CommandOutcome> {
-        let life = match self.life(&holder.vm, holder.incarnation, now_ms) {
-            Ok(life) => life,
+        let record = match self.record(&holder.vm, holder.incarnation, now_ms) {
+            Ok(record) => record,
             Err(outcome) => return Some(outcome),
         };
-        life.newest = life.newest.max(holder.attempt);
-        let outcome = if life.is_over(holder.attempt) {
+        record.newest = record.newest.max(holder.attempt);
+        let outcome = if record.has_ended(holder.attempt) {
             Some(CommandOutcome::Released)
-        } else if holder.attempt < life.first {
-            Some(CommandOutcome::Forgotten { below: life.first })
+        } else if holder.attempt < record.first {
+            Some(CommandOutcome::Forgotten { below: record.first })
         } else {
             None
         };
-        self.make_room();
+        self.evict_oldest();
         self.advance_clock();
         outcome
     }
 
-    /// Notes that an attempt is over: its daemon gave it back.
-    pub fn give_back(&mut self, holder: &ClaimHolder) {
-        // It carries no clock, and a later life needs no note of it.
-        let Ok(life) = self.life(&holder.vm, holder.incarnation, 0) else { return };
-        life.newest = life.newest.max(holder.attempt);
-        if holder.attempt >= life.floor {
-            life.returned.insert(holder.attempt);
+    /// Records that an attempt was released by its daemon.
+    pub fn release(&mut self, holder: &ClaimHolder) {
+        // A release carries no clock. If a later incarnation is known, there is nothing to record.
+        let Ok(record) = self.record(&holder.vm, holder.incarnation, 0) else { return };
+        record.newest = record.newest.max(holder.attempt);
+        if holder.attempt >= record.floor {
+            record.released.insert(holder.attempt);
         }
-        if life.returned.len() > RETURNED {
-            life.returned.pop_first();
+        if record.released.len() > MAX_RELEASED {
+            record.released.pop_first();
         }
-        self.make_room();
+        self.evict_oldest();
     }
 
-    /// Notes that all attempts of a life below `floor` are over.
+    /// Records that all attempts of an incarnation below `floor` have ended.
     pub fn raise_floor(
         &mut self,
         vm: &VmId,
@@ -127,73 +130,74 @@
         floor: AttemptId,
         now_ms: u64,
     ) -> CommandOutcome {
-        let life = match self.life(vm, incarnation, now_ms) {
-            Ok(life) => life,
+        let record = match self.record(vm, incarnation, now_ms) {
+            Ok(record) => record,
             Err(outcome) => return outcome,
         };
-        life.newest = life.newest.max(floor);
-        life.floor = life.floor.max(floor);
-        life.returned = life.returned.split_off(&life.floor);
-        self.make_room();
+        record.newest = record.newest.max(floor);
+        record.floor = record.floor.max(floor);
+        record.released = record.released.split_off(&record.floor);
+        self.evict_oldest();
         self.advance_clock();
         CommandOutcome::Noted
     }
 
-    /// Whether the holder's attempt is known to be over.
-    pub fn is_over(&self, holder: &ClaimHolder) -> bool {
-        self.lives.get(&holder.vm).is_some_and(|life| {
-            life.incarnation == holder.incarnation && life.is_over(holder.attempt)
+    /// Whether the attempt of the holder is known to have ended.
+    pub fn has_ended(&self, holder: &ClaimHolder) -> bool {
+        self.daemons.get(&holder.vm).is_some_and(|record| {
+            record.incarnation == holder.incarnation && record.has_ended(holder.attempt)
         })
     }
 
-    /// Whether a later life of the holder's VM is known.
-    pub fn is_gone(&self, holder: &ClaimHolder) -> bool {
-        self.lives.get(&holder.vm).is_some_and(|life| life.incarnation > holder.incarnation)
+    /// Whether a later incarnation of the holder's VM is known.
+    pub fn is_superseded(&self, holder: &ClaimHolder) -> bool {
+        self.daemons.get(&holder.vm).is_some_and(|record| record.incarnation > holder.incarnation)
     }
 
-    /// The entry of a life, made if there is none.
-    fn life(
+    /// Returns the record of an incarnation; creates it if there is none.
+    fn record(
         &mut self,
         vm: &VmId,
         incarnation: Incarnation,
         now_ms: u64,
-    ) -> Result<&mut DaemonLife, CommandOutcome> {
+    ) -> Result<&mut DaemonRecord, CommandOutcome> {
         if vm.len() > NAME_BYTES {
             return Err(refused("the name of the VM is longer than 256 bytes; shorten it"));
         }
-        let fresh = DaemonLife::new(incarnation, self.first);
-        let life = self.lives.entry(vm.clone()).or_insert_with(|| fresh.clone());
-        if life.incarnation > incarnation {
-            return Err(refused("a later life of this VM has proposed; restart the daemon"));
+        let fresh = DaemonRecord::new(incarnation, self.first);
+        let record = self.daemons.entry(vm.clone()).or_insert_with(|| fresh.clone());
+        if record.incarnation > incarnation {
+            return Err(refused("a later incarnation of this VM has proposed; restart the daemon"));
         }
-        if life.incarnation < incarnation {
-            let newest = life.newest.max(fresh.newest);
-            *life = DaemonLife { clock_ms: life.clock_ms, newest, ..fresh };
+        if record.incarnation < incarnation {
+            let newest = record.newest.max(fresh.newest);
+            *record = DaemonRecord { clock_ms: record.clock_ms, newest, ..fresh };
         }
-        life.clock_ms = life.clock_ms.max(now_ms);
-        Ok(life)
+        record.clock_ms = record.clock_ms.max(now_ms);
+        Ok(record)
     }
 
-    fn make_room(&mut self) {
-        while self.lives.len() > LIVES {
-            let oldest = self.lives.iter().min_by_key(|(_, life)| life.clock_ms);
-            let oldest = oldest.map(|(vm, _)| vm.clone()).expect("there are lives");
-            let life = self.lives.remove(&oldest).expect("it was found just now");
-            self.first = self.first.max(next_generation(life.newest));
+    fn evict_oldest(&mut self) {
+        while self.daemons.len() > MAX_DAEMONS {
+            let oldest = self.daemons.iter().min_by_key(|(_, record)| record.clock_ms);
+            let oldest = oldest.map(|(vm, _)| vm.clone()).expect("the map is not empty");
+            let record = self.daemons.remove(&oldest).expect("the key was taken from the map");
+            self.first = self.first.max(next_generation(record.newest));
         }
     }
 
-    /// Takes the latest and the second latest of the VMs' clocks.
+    /// Updates the latest and the second latest clock.
     ///
-    /// One VM whose clock jumps ahead would otherwise end the retention of every answer at once,
-    /// and a resend would run again. It takes two such VMs to do that.
+    /// If retention were measured by the latest clock, one VM whose clock jumps ahead would expire
+    /// all responses at once, and a resend would execute a call again. With the second latest
+    /// clock, two VMs have to be wrong.
     fn advance_clock(&mut self) {
         let (mut latest, mut second) = (0, 0);
-        for life in self.lives.values() {
-            if life.clock_ms > latest {
-                (latest, second) = (life.clock_ms, latest);
+        for record in self.daemons.values() {
+            if record.clock_ms > latest {
+                (latest, second) = (record.clock_ms, latest);
             } else {
-                second = second.max(life.clock_ms);
+                second = second.max(record.clock_ms);
             }
         }
         self.clock_ms = self.clock_ms.max(second);
@@ -201,26 +205,26 @@
     }
 }
 
-impl DaemonLife {
+impl DaemonRecord {
     fn new(incarnation: Incarnation, first: AttemptId) -> Self {
-        DaemonLife {
+        DaemonRecord {
             incarnation,
             clock_ms: 0,
             first,
             newest: AttemptId::from(incarnation) << 64,
             floor: 0,
-            returned: BTreeSet::new(),
+            released: BTreeSet::new(),
         }
     }
 
-    fn is_over(&self, attempt: AttemptId) -> bool {
-        attempt < self.floor || self.returned.contains(&attempt)
+    fn has_ended(&self, attempt: AttemptId) -> bool {
+        attempt < self.floor || self.released.contains(&attempt)
     }
 }
 
-/// The first attempt of the next generation. A daemon counts its attempts in the lower 64 bits and
-/// changes the upper ones only when it is told that its attempts are forgotten, so that none which is
-/// still on its way is as high.
+/// Returns the first attempt of the next generation. A daemon counts attempts in the lower 64 bits
+/// and changes the upper ones only when it receives [`CommandOutcome::Forgotten`], so no attempt
+/// still in transit is as high.
 fn next_generation(attempt: AttemptId) -> AttemptId {
     (attempt | AttemptId::from(u64::MAX)).saturating_add(1)
 }
--- a/src/control/ledger/legacy_ledger.rs
+++ b/src/control/ledger/legacy_ledger.rs
@@ -1,37 +1,39 @@
-//! The ledger in the form of earlier snapshots, which kept given-back claims among the calls.
+//! Ledger in the format of earlier snapshots, which stored released claims as calls.
 
 use {
     super::{
         ClaimHolder, IdempotencyLedger, LedgerEntry, LedgerKey, LedgerPhase, LedgerShard,
-        daemon_incarnations::{DaemonIncarnations, FormerLives},
+        daemon_incarnations::{DaemonIncarnations, LegacyIncarnations},
     },
     crate::{control::command::KeptAnswer, ids::DigestHex},
     serde::Deserialize,
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// The whole ledger.
+/// Ledger of all non-repeatable calls, as earlier releases stored it.
 #[derive(Debug, Deserialize)]
 pub struct LegacyLedger {
-    shards: Vec<FormerShard>,
-    lives: FormerLives,
+    shards: Vec<LegacyShard>,
+    #[serde(rename = "lives")]
+    daemons: LegacyIncarnations,
     clock_ms: u64,
     latest_ms: u64,
 }
 
-/// The calls; then the closed ones by time and the bytes kept, which follow from the calls.
-type FormerShard = (BTreeMap<LedgerKey, FormerEntry>, BTreeSet<(u64, LedgerKey)>, usize);
+/// Calls, closed calls by time and size of the stored responses. The latter two follow from the
+/// calls.
+type LegacyShard = (BTreeMap<LedgerKey, LegacyEntry>, BTreeSet<(u64, LedgerKey)>, usize);
 
 #[derive(Debug, Deserialize)]
-struct FormerEntry {
+struct LegacyEntry {
     fingerprint: DigestHex,
     holder: ClaimHolder,
-    phase: FormerPhase,
+    phase: LegacyPhase,
     closed_ms: u64,
 }
 
 #[derive(Debug, Deserialize)]
-enum FormerPhase {
+enum LegacyPhase {
     Running,
     Finished(KeptAnswer),
     Unknown,
@@ -39,24 +41,27 @@
 }
 
 impl From<LegacyLedger> for IdempotencyLedger {
-    fn from(former: LegacyLedger) -> Self {
-        let LegacyLedger { shards, lives, clock_ms, latest_ms } = former;
-        let mut lives = DaemonIncarnations::upgrade(lives, clock_ms, latest_ms);
-        let shards = shards.into_iter().map(|(calls, ..)| upgrade(calls, &mut lives)).collect();
-        IdempotencyLedger { shards, lives }
+    fn from(legacy: LegacyLedger) -> Self {
+        let LegacyLedger { shards, daemons, clock_ms, latest_ms } = legacy;
+        let mut daemons = DaemonIncarnations::upgrade(daemons, clock_ms, latest_ms);
+        let shards = shards.into_iter().map(|(calls, ..)| upgrade(calls, &mut daemons)).collect();
+        IdempotencyLedger { shards, daemons }
     }
 }
 
-fn upgrade(calls: BTreeMap<LedgerKey, FormerEntry>, lives: &mut DaemonIncarnations) -> LedgerShard {
+fn upgrade(
+    calls: BTreeMap<LedgerKey, LegacyEntry>,
+    daemons: &mut DaemonIncarnations,
+) -> LedgerShard {
     let mut shard = LedgerShard::default();
     for (key, entry) in calls {
-        let FormerEntry { fingerprint, holder, phase, closed_ms } = entry;
+        let LegacyEntry { fingerprint, holder, phase, closed_ms } = entry;
         let phase = match phase {
-            FormerPhase::Running => LedgerPhase::Running,
-            FormerPhase::Finished(answer) => LedgerPhase::Finished(answer),
-            FormerPhase::Unknown => LedgerPhase::Unknown,
-            FormerPhase::Released => {
-                lives.give_back(&holder);
+            LegacyPhase::Running => LedgerPhase::Running,
+            LegacyPhase::Finished(answer) => LedgerPhase::Finished(answer),
+            LegacyPhase::Unknown => LedgerPhase::Unknown,
+            LegacyPhase::Released => {
+                daemons.release(&holder);
                 continue;
             }
         };
--- a/src/control/message.rs
+++ b/src/control/message.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas.
+//! Messages exchanged by replicas.
 
 use {
     crate::{
@@ -9,29 +9,31 @@
     std::collections::BTreeSet,
 };
 
-/// Identifies one founding of a group of replicas, so that two foundings never mix.
+/// Identifies a group by its founding membership, so that two foundings never mix.
 pub type GroupId = u64;
-/// Counts a leader's heartbeats and appends; a reply that repeats the number proves when the
-/// follower was last at the leader's disposal.
+/// Number of a leader's heartbeat round. A reply repeats the number and proves that the follower
+/// accepted the leader at the start of that round or later.
 pub type RoundNumber = u64;
 
-/// What one replica tells another; the transport says which VM it is from.
+/// Message between two replicas. The transport names the VM of the sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaMessage {
-    /// The group of the sender; `None` while it belongs to none.
+    /// Group of the sender; `None` while it belongs to none.
     pub group: Option<GroupId>,
-    /// The sender's disk; votes and replies count only from the disk named in the membership.
+    /// Incarnation of the sender's disk. Votes and replies count only from the disk named in the
+    /// membership.
     pub from_incarnation: Incarnation,
-    /// The disk that it is meant for; `None` means any. Another disk drops the message.
+    /// Incarnation of the disk that the message is meant for; `None` means any. A replica on
+    /// another disk drops the message.
     pub to_incarnation: Option<Incarnation>,
-    /// The sender's term.
+    /// Current term of the sender.
     pub term: Term,
-    /// The message itself.
+    /// Content of the message.
     pub body: MessageBody,
 }
 
 impl ReplicaMessage {
-    /// About what it takes.
+    /// Estimated size in bytes.
     pub fn bytes(&self) -> usize {
         let bodies = match &self.body {
             MessageBody::Append { entries, .. } => entries.iter().map(LogEntry::bytes).sum(),
@@ -42,128 +44,129 @@
     }
 }
 
-/// The kinds of message.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// The sender is no voter and hears no leader. Without a group it looks for one.
+    /// The sender is no voter and has no leader. Without a group it looks for one.
     Probe {
-        /// Digest of the list of founders in its settings.
+        /// Digest of the founders in the sender's settings.
         founders: u64,
     },
-    /// The founding membership, for a founder that lacks it.
+    /// Sends the founding membership to a founder that lacks it.
     Founding {
-        /// The membership, the same at each founder.
+        /// Founding membership, identical at each founder.
         membership: Membership,
     },
-    /// Asks whether a vote would be granted, without a change of term.
+    /// Asks whether a vote would be granted; the term does not change.
     PreVote {
-        /// The term that the sender would stand in.
+        /// Term in which the sender would be a candidate.
         next_term: Term,
-        /// The last entry of the sender's log.
+        /// Index of the last entry of the sender's log.
         last_index: LogIndex,
-        /// The term of that entry.
+        /// Term of that entry.
         last_term: Term,
     },
-    /// Replies to a pre-vote.
+    /// Reply to a pre-vote request.
     PreVoteReply {
-        /// The term asked about.
+        /// Term of the request.
         next_term: Term,
         /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
-        /// The last entry of the sender's log.
+        /// Index of the last entry of the sender's log.
         last_index: LogIndex,
-        /// The term of that entry.
+        /// Term of that entry.
         last_term: Term,
     },
-    /// Replies to a request for a vote.
+    /// Reply to a vote request.
     VoteReply {
         /// Whether the vote is granted.
         granted: bool,
     },
-    /// The leader is alive.
+    /// Periodic message of the leader.
     Heartbeat {
-        /// Its round.
+        /// Heartbeat round of the leader.
         round: RoundNumber,
-        /// What the receiver may commit: never past what the leader knows it to hold.
+        /// Index up to which the receiver may commit; at most the last entry that the leader knows
+        /// it to hold.
         commit: LogIndex,
-        /// What the receiver must have applied to be up to date.
+        /// Index that the receiver must have applied to be up to date.
         target: LogIndex,
     },
-    /// Replies to a heartbeat.
+    /// Reply to a heartbeat.
     HeartbeatReply {
-        /// The round of the heartbeat.
+        /// Round of the heartbeat.
         round: RoundNumber,
     },
-    /// Entries that follow `prev_index`.
+    /// Log entries after `prev_index`.
     Append {
-        /// The leader's round.
+        /// Heartbeat round of the leader.
         round: RoundNumber,
-        /// The entry before the first one sent.
+        /// Index of the entry before the first one sent.
         prev_index: LogIndex,
-        /// The term of that entry.
+        /// Term of that entry.
         prev_term: Term,
-        /// The entries, without gaps.
+        /// Entries without gaps; may be empty.
         entries: Vec<LogEntry>,
-        /// The leader's commit index.
+        /// Commit index of the leader.
         commit: LogIndex,
-        /// What the receiver must have applied to be up to date.
+        /// Index that the receiver must have applied to be up to date.
         target: LogIndex,
     },
-    /// The receiver holds the leader's log up to `matched`, synced.
+    /// The receiver has synced the leader's log up to `matched`.
     AppendReply {
-        /// The round of the append.
+        /// Round of the append.
         round: RoundNumber,
-        /// The last entry known to be the leader's.
+        /// Index of the last entry known to match the leader's log.
         matched: LogIndex,
     },
-    /// The receiver lacks the entry before the first one sent.
+    /// The receiver lacks the entry at `prev_index`.
     AppendRejected {
-        /// The round of the append.
+        /// Round of the append.
         round: RoundNumber,
-        /// The `prev_index` that was refused.
+        /// Value of `prev_index` that was rejected.
         refused: LogIndex,
-        /// Where the leader may try again.
+        /// Index of the entry after which the leader should continue.
         hint: LogIndex,
     },
-    /// A piece of a snapshot.
+    /// Chunk of a snapshot.
     SnapshotChunk {
-        /// The leader's round.
+        /// Heartbeat round of the leader.
         round: RoundNumber,
-        /// What the snapshot covers.
+        /// Last entry and membership that the snapshot covers.
         head: SnapshotHead,
-        /// Where the piece begins.
+        /// Offset of the chunk in bytes.
         offset: u64,
-        /// Length of the whole.
+        /// Length of the snapshot in bytes.
         total: u64,
-        /// The piece.
+        /// Content of the chunk.
         data: Vec<u8>,
     },
-    /// The receiver has the snapshot up to `received`.
+    /// The receiver holds the first `received` bytes of the snapshot.
     SnapshotReply {
-        /// The round of the piece.
+        /// Round of the chunk.
         round: RoundNumber,
-        /// The last entry that the snapshot covers.
+        /// Index of the last entry that the snapshot covers.
         index: LogIndex,
-        /// Bytes received without a gap.
+        /// Bytes received without gaps from the start.
         received: u64,
     },
-    /// Names control VMs to one that is no member, so that it can make itself known to the leader.
+    /// Names control VMs to a VM that is no member, so that it can probe the leader.
     Contacts {
-        /// The members that the sender knows, and VMs that were named to itself.
+        /// Members known to the sender, and VMs that other control VMs have named to it.
         vms: BTreeSet<VmId>,
     },
 }
 
-/// What a snapshot covers.
+/// Last entry and membership that a snapshot covers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotHead {
-    /// The last entry applied in it.
+    /// Index of the last entry applied in the snapshot.
     pub index: LogIndex,
-    /// The term of that entry.
+    /// Term of that entry.
     pub term: Term,
-    /// The membership in force at that entry.
+    /// Membership at that entry.
     pub membership: Membership,
 }
--- a/src/control/orders.rs
+++ b/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Desired weights with the fencing numbers that order them, and the suspects shared by all.
+//! Desired weights with their fencing numbers, and the requests suspected of crashing servers.
 
 use {
     crate::{
@@ -9,34 +9,35 @@
     std::collections::BTreeMap,
 };
 
-/// Models with a desired version: many times the 15 of the design size.
+/// Maximum number of models with desired weights, many times the 15 of the design size.
 pub const DESIRED_MODELS: usize = 1_024;
-/// Suspects kept; the one with the fewest strikes, then the oldest, falls out.
+/// Maximum number of suspects. The one with the fewest crashes is dropped, the oldest of them
+/// first.
 pub const SUSPECTS: usize = 1024;
 
-/// The desired version of each model, with the number that orders its changes. All servers of a model
-/// are to have the same one, so a change costs one log entry however many servers there are.
+/// Desired version of each model, with the fencing number that orders its changes. All servers of a
+/// model share one version, so a change costs one log entry regardless of the number of servers.
 pub type DesiredWeights = BTreeMap<ModelId, (WeightsVersion, FencingNumber)>;
-/// Strikes by fingerprint of requests that crash backend servers.
+/// Crash counts by fingerprint of requests that crash backend servers.
 pub type SuspectCrashes = BTreeMap<u64, u32>;
 
-/// The weights that servers should load.
+/// Weights that servers should load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WeightOrders {
-    /// At most [`DESIRED_MODELS`]; further ones are refused.
+    /// At most [`DESIRED_MODELS`]; versions of further models are refused.
     desired: DesiredWeights,
 }
 
-/// The desired weights in the form of earlier snapshots: for each server by itself.
+/// Desired weights in the format of earlier snapshots, which stored them per server.
 #[derive(Debug, Default, Deserialize)]
 pub struct LegacyWeightOrders {
     desired: BTreeMap<(ServerId, ModelId), (WeightsVersion, FencingNumber)>,
 }
 
 impl From<LegacyWeightOrders> for WeightOrders {
-    /// Keeps the version that was noted last, under the number of its first note.
-    fn from(former: LegacyWeightOrders) -> Self {
-        let mut noted: Vec<_> = former.desired.into_iter().collect();
+    /// Keeps the version with the highest fencing number, under the number of its first entry.
+    fn from(legacy: LegacyWeightOrders) -> Self {
+        let mut noted: Vec<_> = legacy.desired.into_iter().collect();
         noted.sort_by_key(|(_, (_, number))| *number);
         let mut orders = WeightOrders::default();
         for ((_server, model), (weights, number)) in noted {
@@ -47,13 +48,13 @@
 }
 
 impl WeightOrders {
-    /// The desired weights.
+    /// Desired version and fencing number of each model.
     pub fn desired(&self) -> &DesiredWeights {
         &self.desired
     }
 
-    /// Notes the desired version under the number of its log entry; the same version again keeps
-    /// its number, so that a resend does not make a server load twice.
+    /// Sets the desired version under the fencing number of its log entry. The same version again
+    /// keeps its number, so that a resend does not make a server reload the weights.
     pub fn desire(
         &mut self,
         model: &ModelId,
@@ -78,23 +79,23 @@
 /// Fingerprints of requests that crash backend servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SuspectTable {
-    /// Strikes, and when the last was noted; at most [`SUSPECTS`].
+    /// Crash count and log index of the last report, by fingerprint; at most [`SUSPECTS`].
     suspects: BTreeMap<u64, (u32, LogIndex)>,
 }
 
 impl SuspectTable {
-    /// The strikes by fingerprint.
+    /// Crash counts by fingerprint.
     pub fn crashes(&self) -> SuspectCrashes {
-        self.suspects.iter().map(|(fingerprint, (strikes, _))| (*fingerprint, *strikes)).collect()
+        self.suspects.iter().map(|(fingerprint, (crashes, _))| (*fingerprint, *crashes)).collect()
     }
 
-    /// Notes strikes; a lower count than the known one changes nothing.
-    pub fn note(&mut self, fingerprint: u64, strikes: u32, index: LogIndex) -> CommandOutcome {
+    /// Records a crash count. A lower count than the known one does not replace it.
+    pub fn note(&mut self, fingerprint: u64, crashes: u32, index: LogIndex) -> CommandOutcome {
         let known = self.suspects.entry(fingerprint).or_default();
-        *known = (known.0.max(strikes), index);
+        *known = (known.0.max(crashes), index);
         if self.suspects.len() > SUSPECTS {
-            let weakest = self.suspects.iter().min_by_key(|(_, rank)| **rank).map(|(key, _)| *key);
-            weakest.map(|key| self.suspects.remove(&key));
+            let evicted = self.suspects.iter().min_by_key(|(_, rank)| **rank).map(|(key, _)| *key);
+            evicted.map(|key| self.suspects.remove(&key));
         }
         CommandOutcome::Noted
     }
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -1,7 +1,8 @@
-//! One replica of the log: election, replication, membership change, snapshots.
+//! Replica of the Raft log: election, replication, membership changes and snapshots.
 //!
-//! [`Replica::handle`] takes one input and the time and returns what is to be done. Nothing that
-//! another replica will rely on is sent before the driver has reported it as synced.
+//! [`Replica::handle`] takes one input and the current time, and returns the actions to carry out.
+//! A message whose receiver relies on durable state is sent only after the driver has reported that
+//! state as synced.
 
 pub mod contacts;
 pub mod election;
@@ -47,14 +48,15 @@
     },
 };
 
-/// Messages that wait for a sync; beyond it the oldest is lost, as any message may be.
-const DEFERRED_MESSAGES: usize = 4096;
+/// Maximum number of messages that wait for a sync. Beyond it the oldest is dropped, which the
+/// protocol tolerates like any lost message.
+const MAX_DEFERRED_MESSAGES: usize = 4096;
 
-/// Bytes of a snapshot that one entry may cost: a full ledger of 40 MB would otherwise be written
-/// again for each few thousand claims, which is ten times what the log itself writes.
-const SNAPSHOT_BYTES_AN_ENTRY: usize = 1024;
+/// Snapshot bytes that one log entry may cost. Without this bound a full ledger of 40 MB would be
+/// written again for every few thousand claims, which is ten times the volume of the log itself.
+const SNAPSHOT_BYTES_PER_ENTRY: usize = 1024;
 
-/// What a replica does in its group, with what it needs for it.
+/// Role of a replica, with the state that the role needs.
 #[derive(Clone, Debug)]
 enum RoleState {
     Waiting,
@@ -64,7 +66,7 @@
     Leader(Box<LeaderState>),
 }
 
-/// A message that may go only when a batch is synced.
+/// Message that is sent once a batch is synced.
 #[derive(Clone, Debug)]
 struct DeferredMessage {
     batch: u64,
@@ -72,65 +74,68 @@
     message: ReplicaMessage,
 }
 
-/// One replica.
+/// Replica of the log, without I/O; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct Replica {
     settings: ReplicaSettings,
     random: Xoshiro256PlusPlus,
     incarnation: Incarnation,
-    /// As last handed out to be persisted.
+    /// Value that was last returned for persisting.
     hard_state: HardState,
     log: ReplicaLog,
     state: ControlState,
-    /// Never falls; at most the last entry.
+    /// Commit index. Never decreases; at most the last entry.
     commit: LogIndex,
-    /// Equal to `commit` between two inputs.
+    /// Index of the last applied entry; equal to `commit` between two inputs.
     applied: LogIndex,
-    /// The last entry that the newest snapshot covers.
+    /// Last entry covered by the newest snapshot.
     snapshot_index: LogIndex,
-    /// The length of the newest snapshot.
+    /// Size in bytes of the newest snapshot; 0 without one.
     snapshot_bytes: usize,
-    /// The commit index that was last handed out to be persisted.
+    /// Commit index that was last returned for persisting.
     saved_commit: LogIndex,
-    /// The newest configuration that a restart of this replica finds again by itself.
+    /// Newest configuration that this replica recovers after a restart without a quorum.
     config: Arc<ActiveConfig>,
-    /// The newest configuration, and the batch that must be synced before it is shown.
-    config_later: Option<(u64, Arc<ActiveConfig>)>,
+    /// Newest configuration, and the batch that has to be synced before it is published.
+    staged_config: Option<(u64, Arc<ActiveConfig>)>,
     role: RoleState,
     leader: Option<VmId>,
-    /// When a leader was last heard, or this process began: see [`Replica::is_bound`].
-    heard_at: Instant,
-    /// The next election or probe.
+    /// Time of the last message of a leader, or the start of this process; see
+    /// [`Replica::withholds_vote`].
+    last_leader_contact: Instant,
+    /// Time of the next election or probe.
     timeout_at: Instant,
-    /// The last batch handed out.
-    issued: u64,
-    /// The last batch known to be synced.
-    synced: u64,
-    /// The last entry known to be synced, and those that will be, by batch.
+    /// Last batch returned for persisting.
+    issued_batch: u64,
+    /// Last batch known to be synced.
+    synced_batch: u64,
+    /// Last entry known to be synced, and the entries that will be, by batch.
     durable: LogIndex,
-    durable_later: VecDeque<(u64, LogIndex)>,
+    pending_durable: VecDeque<(u64, LogIndex)>,
     deferred: VecDeque<DeferredMessage>,
-    /// Other replicas heard in this life; bounded by `formation::SIGHTINGS`.
-    sightings: BTreeMap<VmId, ObservedPeer>,
-    /// VMs beside founders and members that a replica without a group makes itself known to; as
-    /// many as the settings name.
-    introduced: BTreeSet<VmId>,
-    /// VMs that other control VMs have named in this life.
+    /// Peers that have sent a message since the process started; bounded by
+    /// `formation::MAX_OBSERVED_PEERS`.
+    observed_peers: BTreeMap<VmId, ObservedPeer>,
+    /// VMs from the current settings that a replica without a group probes in addition to founders
+    /// and members.
+    configured_peers: BTreeSet<VmId>,
+    /// VMs that other control VMs have named since the process started.
     contacts: ContactList,
-    /// When a follower last had applied what its leader told it to; `None` before the first time.
+    /// Last time at which a follower had applied the target index of its leader; `None` before the
+    /// first time.
     fresh_at: Option<Instant>,
     incoming: Option<IncomingSnapshot>,
-    /// Collected while one input is handled.
+    /// Output that is collected while one input is handled.
     writes: Vec<DurableWrite>,
     replies: Vec<(VmId, ReplicaMessage)>,
     actions: Vec<ReplicaAction>,
 }
 
 impl Replica {
-    /// A replica with what its disk holds.
+    /// Creates a replica from the state on its disk.
     ///
     /// # Errors
-    /// When the snapshot cannot be read.
+    /// Returns an error if the snapshot cannot be decoded.
     pub fn new(
         settings: ReplicaSettings,
         saved: SavedState,
@@ -160,20 +165,20 @@
             snapshot_bytes,
             saved_commit: saved.commit,
             config: Arc::default(),
-            config_later: None,
+            staged_config: None,
             durable: log.last_index(),
             log,
             state,
             role,
             leader: None,
-            heard_at: now,
+            last_leader_contact: now,
             timeout_at: now,
-            issued: 0,
-            synced: 0,
-            durable_later: VecDeque::new(),
+            issued_batch: 0,
+            synced_batch: 0,
+            pending_durable: VecDeque::new(),
             deferred: VecDeque::new(),
-            sightings: BTreeMap::new(),
-            introduced: BTreeSet::new(),
+            observed_peers: BTreeMap::new(),
+            configured_peers: BTreeSet::new(),
             contacts: ContactList::default(),
             fresh_at: None,
             incoming: None,
@@ -183,67 +188,69 @@
         };
         replica.apply_committed();
         replica.config = replica.state.configuration().active().clone();
-        replica.config_later = None;
+        replica.staged_config = None;
         if !matches!(replica.role, RoleState::Waiting) {
             replica.reset_timeout(now);
         }
         Ok(replica)
     }
 
-    /// Takes in one input and returns what is to be done, in order.
+    /// Processes one input and returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Instant, input: ReplicaInput) -> Vec<ReplicaAction> {
-        // A process that was stopped for a while wakes up with messages in its queue. What it
-        // believed to lead is checked against the clock before any of them is taken in.
+        // A process that was paused resumes with messages in its queue. Its leadership is checked
+        // against the clock before any of them is processed.
         self.check_quorum(now);
         match input {
             ReplicaInput::Tick => {}
             ReplicaInput::Received { from, message } => self.receive(now, from, message),
             ReplicaInput::Persisted { number } => self.persisted(now, number),
             ReplicaInput::Propose { proposal, command } => self.propose(now, proposal, command),
-            ReplicaInput::ConfiguredPeers { peers } => self.introduced = peers,
+            ReplicaInput::ConfiguredPeers { peers } => self.configured_peers = peers,
         }
         self.run_timers(now);
-        self.hand_out()
+        self.take_actions()
     }
 
-    /// When [`ReplicaInput::Tick`] is due.
+    /// Time at which [`ReplicaInput::Tick`] is due. Every replica has a timer, so this is always
+    /// set.
     pub fn next_wakeup(&self) -> Option<Instant> {
         match &self.role {
-            RoleState::Leader(lead) => Some(lead.heartbeat_at),
-            _ if self.leader.is_some() => Some(self.timeout_at.min(self.silent_at())),
+            RoleState::Leader(leader_state) => Some(leader_state.heartbeat_at),
+            _ if self.leader.is_some() => Some(self.timeout_at.min(self.leader_expires_at())),
             _ => Some(self.timeout_at),
         }
     }
 
-    /// Whether this replica leads and no other can at `now`. Ask right before each act.
+    /// Whether this replica holds the leader lease at `now`, so that no other replica can lead.
+    /// Callers check it immediately before each action that depends on it.
     pub fn lease_valid(&self, now: Instant) -> bool {
         self.lease_until(now).is_some_and(|until| now < until)
     }
 
-    /// The configuration in force: committed, applied, and synced here.
+    /// Current configuration: committed, applied, and synced on this disk.
     ///
-    /// One that is shown earlier would be gone after a crash in that moment, and a restart without
-    /// a quorum would serve with an older one than callers had seen.
+    /// A configuration published before it is synced would be lost in a crash, and a restart
+    /// without a quorum would serve an older one than callers had already seen.
     pub fn config(&self) -> &Arc<ActiveConfig> {
         &self.config
     }
 
-    /// The state machine.
+    /// Replicated state machine.
     pub fn state(&self) -> &ControlState {
         &self.state
     }
 
-    /// The entry at `index`, if it is held.
+    /// Log entry at `index`; `None` if it is compacted or not yet written.
     pub fn entry(&self, index: LogIndex) -> Option<&LogEntry> {
         self.log.entry(index)
     }
 
-    /// The entry before the first one held.
+    /// Index of the entry before the first one held in memory.
     pub fn base(&self) -> LogIndex {
         self.log.base()
     }
 
-    /// What the replica is at `now`.
+    /// Status of the replica at `now`.
     pub fn status(&self, now: Instant) -> ReplicaStatus {
         ReplicaStatus {
             role: self.role(),
@@ -258,13 +265,13 @@
             non_members: self.non_members(now),
             contacts: self.contacts.vms(),
             lease_until: self.lease_until(now),
-            last_replies: self.lead().map(LeaderState::last_replies).unwrap_or_default(),
-            leader_since: self.lead().map(|lead| lead.since),
+            last_replies: self.leader_state().map(LeaderState::last_replies).unwrap_or_default(),
+            leader_since: self.leader_state().map(|state| state.since),
             failure: None,
         }
     }
 
-    /// What the replica does.
+    /// Role of the replica.
     pub fn role(&self) -> ReplicaRole {
         match &self.role {
             RoleState::Waiting => ReplicaRole::Waiting,
@@ -275,16 +282,16 @@
         }
     }
 
-    fn lead(&self) -> Option<&LeaderState> {
+    fn leader_state(&self) -> Option<&LeaderState> {
         match &self.role {
-            RoleState::Leader(lead) => Some(lead),
+            RoleState::Leader(leader_state) => Some(leader_state),
             _ => None,
         }
     }
 
-    fn lead_mut(&mut self) -> Option<&mut LeaderState> {
+    fn leader_state_mut(&mut self) -> Option<&mut LeaderState> {
         match &mut self.role {
-            RoleState::Leader(lead) => Some(lead),
+            RoleState::Leader(leader_state) => Some(leader_state),
             _ => None,
         }
     }
@@ -298,21 +305,21 @@
             RoleState::Waiting => self.run_formation(now),
             RoleState::Leader(_) => self.run_leader(now),
             RoleState::Follower | RoleState::PreCandidate { .. } | RoleState::Candidate { .. } => {
-                self.forget_silent_leader(now);
+                self.expire_leader(now);
                 self.run_election(now)
             }
         }
     }
 
     fn persisted(&mut self, now: Instant, number: u64) {
-        self.synced = self.synced.max(number);
-        while self.durable_later.front().is_some_and(|(batch, _)| *batch <= self.synced) {
-            self.durable = self.durable_later.pop_front().map_or(self.durable, |(_, last)| last);
+        self.synced_batch = self.synced_batch.max(number);
+        while self.pending_durable.front().is_some_and(|(batch, _)| *batch <= self.synced_batch) {
+            self.durable = self.pending_durable.pop_front().map_or(self.durable, |(_, last)| last);
         }
-        if let Some((_, config)) = self.config_later.take_if(|(batch, _)| *batch <= number) {
+        if let Some((_, config)) = self.staged_config.take_if(|(batch, _)| *batch <= number) {
             self.config = config;
         }
-        while self.deferred.front().is_some_and(|waiting| waiting.batch <= self.synced) {
+        while self.deferred.front().is_some_and(|waiting| waiting.batch <= self.synced_batch) {
             if let Some(waiting) = self.deferred.pop_front() {
                 let (to, message) = (waiting.to, waiting.message);
                 self.actions.push(ReplicaAction::Send { to, message });
@@ -322,7 +329,7 @@
         self.advance_commit(now);
     }
 
-    /// Applies what is committed, completes its proposals, and compacts the log when it is long.
+    /// Applies committed entries, completes their proposals, and compacts a long log.
     fn apply_committed(&mut self) {
         let revision = self.state.configuration().active().revision;
         let document = self.state.documents().document().number;
@@ -336,14 +343,15 @@
                 EntryPayload::Membership(_) => CommandOutcome::MembershipChanged,
             };
             let applied = self.applied;
-            let proposal = self.lead_mut().and_then(|lead| lead.proposals.remove(&applied));
+            let proposal =
+                self.leader_state_mut().and_then(|state| state.proposals.remove(&applied));
             if let Some(proposal) = proposal {
                 self.actions.push(ReplicaAction::Completed { proposal, outcome: Ok(outcome) });
             }
         }
         if self.state.configuration().active().revision > revision {
             self.save_commit();
-            self.show_later();
+            self.stage_config();
         }
         if self.state.documents().document().number > document {
             self.save_commit();
@@ -351,13 +359,13 @@
         self.compact();
     }
 
-    fn show_later(&mut self) {
+    fn stage_config(&mut self) {
         let config = self.state.configuration().active().clone();
-        self.config_later = Some((self.issued + 1, config));
+        self.staged_config = Some((self.issued_batch + 1, config));
     }
 
-    /// Persists the commit index, so that a restart without a quorum serves at once with every
-    /// configuration that was in force here.
+    /// Persists the commit index. A restart without a quorum then serves every configuration that
+    /// this replica has published.
     fn save_commit(&mut self) {
         if self.commit > self.saved_commit {
             self.saved_commit = self.commit;
@@ -368,8 +376,8 @@
     fn compact(&mut self) {
         let limits = self.settings.limits;
         let entries = self.applied - self.snapshot_index;
-        let paying = (self.snapshot_bytes / SNAPSHOT_BYTES_AN_ENTRY) as u64;
-        let long = entries >= limits.compact_entries.max(paying);
+        let min_entries = (self.snapshot_bytes / SNAPSHOT_BYTES_PER_ENTRY) as u64;
+        let long = entries >= limits.compact_entries.max(min_entries);
         let large = self.log.bytes() > limits.compact_bytes && self.applied > self.snapshot_index;
         if !long && !large {
             return;
@@ -393,14 +401,14 @@
         SavedSnapshot { head, data: self.state.encode() }
     }
 
-    /// Adds entries to the log, first removing what they replace.
+    /// Appends entries to the log after removing the entries that they replace.
     fn write_entries(&mut self, entries: Vec<LogEntry>) {
         let Some(first) = entries.first().map(|entry| entry.index) else { return };
         debug_assert!(first > self.commit, "committed entries are never replaced");
         self.log.truncate(first);
         entries.iter().cloned().for_each(|entry| self.log.push(entry));
         self.durable = self.durable.min(first - 1);
-        self.durable_later.iter_mut().for_each(|(_, last)| *last = (*last).min(first - 1));
+        self.pending_durable.iter_mut().for_each(|(_, last)| *last = (*last).min(first - 1));
         self.writes.push(DurableWrite::Entries(entries));
     }
 
@@ -419,39 +427,39 @@
         }
     }
 
-    /// Sends something that promises nothing about this replica's disk.
+    /// Sends a message that does not depend on durable state.
     fn send(&mut self, to: &VmId, incarnation: Option<Incarnation>, body: MessageBody) {
         let message = self.message(incarnation, body);
         self.actions.push(ReplicaAction::Send { to: to.clone(), message });
     }
 
-    /// Sends something only once all that was written so far is synced.
+    /// Sends a message once all writes issued so far are synced.
     ///
-    /// A vote or an acknowledgement that is sent earlier is forgotten by a crash, and a second
-    /// leader of the same term, or a lost acknowledged entry, follows.
+    /// A vote or an acknowledgement that is sent earlier may be lost in a crash, which could result
+    /// in a second leader in the same term or in the loss of an acknowledged entry.
     fn send_synced(&mut self, to: &VmId, incarnation: Option<Incarnation>, body: MessageBody) {
         let message = self.message(incarnation, body);
         self.replies.push((to.clone(), message));
     }
 
-    fn hand_out(&mut self) -> Vec<ReplicaAction> {
+    fn take_actions(&mut self) -> Vec<ReplicaAction> {
         if !self.writes.is_empty() {
             self.save_commit();
-            self.issued += 1;
+            self.issued_batch += 1;
             let writes = std::mem::take(&mut self.writes);
             if writes.iter().any(|write| matches!(write, DurableWrite::Entries(_))) {
-                self.durable_later.push_back((self.issued, self.log.last_index()));
+                self.pending_durable.push_back((self.issued_batch, self.log.last_index()));
             }
-            let batch = PersistBatch { number: self.issued, writes };
+            let batch = PersistBatch { number: self.issued_batch, writes };
             self.actions.insert(0, ReplicaAction::Persist(batch));
         }
         for (to, message) in std::mem::take(&mut self.replies) {
-            if self.issued <= self.synced {
+            if self.issued_batch <= self.synced_batch {
                 self.actions.push(ReplicaAction::Send { to, message });
                 continue;
             }
-            self.deferred.push_back(DeferredMessage { batch: self.issued, to, message });
-            if self.deferred.len() > DEFERRED_MESSAGES {
+            self.deferred.push_back(DeferredMessage { batch: self.issued_batch, to, message });
+            if self.deferred.len() > MAX_DEFERRED_MESSAGES {
                 self.deferred.pop_front();
             }
         }
--- a/src/control/replica/contacts.rs
+++ b/src/control/replica/contacts.rs
@@ -1,7 +1,8 @@
 //! How control VMs outside the group find its leader.
 //!
-//! Settings name a few control VMs, and the leader may be none of them. So whoever is asked names the
-//! members that it knows, and the leader makes the members known to the VMs that its settings name.
+//! Settings name a few control VMs, and the leader may be none of them. A probed replica therefore
+//! returns the members that it knows, and the leader announces the members to the VMs named in its
+//! settings.
 
 use {
     super::Replica,
@@ -12,18 +13,19 @@
     std::collections::{BTreeSet, VecDeque},
 };
 
-/// VMs that are remembered: the seven that may be set aside, several times replaced.
+/// Maximum number of contacts: the seven VMs that may be reserved for control, several times
+/// replaced.
 const MAX_CONTACTS: usize = 32;
 
-/// VMs that others have named.
+/// Control VMs named by other control VMs.
 #[derive(Clone, Debug, Default)]
 pub struct ContactList {
-    /// At most [`MAX_CONTACTS`], each once, the one named last at the end; beyond it the first goes.
+    /// At most [`MAX_CONTACTS`], each once, the most recently named last. The oldest is dropped.
     vms: VecDeque<VmId>,
 }
 
 impl ContactList {
-    /// Takes in VMs that were named just now.
+    /// Adds VMs that were just named.
     pub fn note(&mut self, named: BTreeSet<VmId>) {
         self.vms.retain(|vm| !named.contains(vm));
         self.vms.extend(named);
@@ -31,16 +33,16 @@
         self.vms.drain(..surplus);
     }
 
-    /// The VMs, by name.
+    /// Known VMs, sorted by name.
     pub fn vms(&self) -> BTreeSet<VmId> {
         self.vms.iter().cloned().collect()
     }
 }
 
 impl Replica {
-    /// The VMs that its settings name, at the start and now.
-    pub(super) fn named_by_settings(&self) -> BTreeSet<VmId> {
-        self.settings.founders.union(&self.introduced).cloned().collect()
+    /// VMs named in the settings, both at startup and now.
+    pub(super) fn seed_vms(&self) -> BTreeSet<VmId> {
+        self.settings.founders.union(&self.configured_peers).cloned().collect()
     }
 
     pub(super) fn note_contacts(&mut self, group: Option<GroupId>, mut named: BTreeSet<VmId>) {
@@ -52,8 +54,8 @@
         }
     }
 
-    /// Answers the probe of a disk that is no member. Without anything to name there is no answer.
-    pub(super) fn name_contacts(&mut self, to: &VmId, incarnation: Incarnation) {
+    /// Answers the probe of a disk that is no member. Sends nothing if no VM is known.
+    pub(super) fn send_contacts(&mut self, to: &VmId, incarnation: Incarnation) {
         if self.membership().is_member(to, incarnation) {
             return;
         }
@@ -64,11 +66,11 @@
         }
     }
 
-    /// Tells the VMs that the settings name and that are no members where the group is: all that a
-    /// VM outside knows may be VMs that have left it.
+    /// Announces the members to the VMs named in the settings that are no members. All VMs known to
+    /// a VM outside the group may have left the group.
     pub(super) fn announce_members(&mut self) {
         let vms: BTreeSet<VmId> = self.membership().members().map(|(vm, _)| vm.clone()).collect();
-        for vm in self.named_by_settings() {
+        for vm in self.seed_vms() {
             if vm != self.settings.vm && !vms.contains(&vm) {
                 self.send(&vm, None, MessageBody::Contacts { vms: vms.clone() });
             }
--- a/src/control/replica/election.rs
+++ b/src/control/replica/election.rs
@@ -1,4 +1,4 @@
-//! Pre-vote, vote, and the promises that make a leader's lease safe.
+//! Pre-votes, votes, and the rules for withholding them that make a leader's lease safe.
 
 use {
     super::{LocalProposeError, Replica, ReplicaAction, RoleState},
@@ -13,29 +13,31 @@
 };
 
 impl Replica {
-    /// Whether this replica is bound to a leader and refuses to vote for another.
+    /// Whether this replica withholds its vote because it has heard from a leader recently.
     ///
-    /// A leader's lease counts on it: whoever replied to a round votes for nobody until an
-    /// election timeout after it, which is later than the lease ends. The start of this process
-    /// counts as hearing a leader, since a restarted replica has forgotten whom it replied to.
-    pub(super) fn is_bound(&self, now: Instant) -> bool {
+    /// The leader's lease depends on this rule: a replica that replied to a round votes for no
+    /// other candidate until an election timeout after it, which is later than the end of the
+    /// lease. The start of this process counts as contact with a leader, because a restarted
+    /// replica does not know which leader it replied to.
+    pub(super) fn withholds_vote(&self, now: Instant) -> bool {
         match &self.role {
             RoleState::Leader(_) => true,
-            _ => now < self.heard_at + self.settings.timing.election,
+            _ => now < self.last_leader_contact + self.settings.timing.election,
         }
     }
 
-    /// When the leader last heard counts as unheard: its lease is over then as far as this replica
-    /// knows.
-    pub(super) fn silent_at(&self) -> Instant {
-        self.heard_at + self.settings.timing.lease
+    /// Time from which the leader counts as unresponsive. As far as this replica knows, its lease
+    /// has expired then.
+    pub(super) fn leader_expires_at(&self) -> Instant {
+        self.last_leader_contact + self.settings.timing.lease
     }
 
-    /// A replica that is cut off elects nobody for up to two election timeouts. Entries that followed
-    /// it as one that hears from a leader would serve by an older configuration for as long, and refuse
-    /// callers of new routes, though others know the newest.
-    pub(super) fn forget_silent_leader(&mut self, now: Instant) {
-        if now >= self.silent_at() {
+    /// Clears a leader that has not been heard from for the duration of a lease. A partitioned
+    /// replica elects no leader for up to two election timeouts. If it still reported a leader, its
+    /// followers would serve an outdated configuration for that time and refuse callers of new
+    /// routes, although other replicas have the newest one.
+    pub(super) fn expire_leader(&mut self, now: Instant) {
+        if now >= self.leader_expires_at() {
             self.leader = None;
         }
     }
@@ -45,12 +47,12 @@
             return;
         }
         self.reset_timeout(now);
-        if self.is_bound(now) {
+        if self.withholds_vote(now) {
             return;
         }
         if !self.is_voter() {
-            // The entry that took it in may be gone with the leader that wrote it. The next
-            // leader can take it in again only if it hears of it.
+            // The entry that added this replica may have been lost with the leader that wrote it.
+            // The next leader can add the replica only if it receives a probe.
             self.leader = None;
             return self.probe();
         }
@@ -61,14 +63,14 @@
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
         };
-        self.ask_voters(&body);
-        // Taken out without having heard of it, it would ask only those of its old membership,
-        // and a leader outside of that could not take it in again.
+        self.send_to_voters(&body);
+        // If this replica was removed without receiving the change, it requests votes only from
+        // members that it knows. A leader outside its old membership needs a probe to add it again.
         self.probe();
         self.count_votes(now);
     }
 
-    fn ask_voters(&mut self, body: &MessageBody) {
+    fn send_to_voters(&mut self, body: &MessageBody) {
         for (vm, incarnation) in self.membership().voters.clone() {
             if vm != self.settings.vm {
                 self.send_synced(&vm, Some(incarnation), body.clone());
@@ -76,13 +78,15 @@
         }
     }
 
-    /// Goes on to the next step once a quorum has granted the present one.
+    /// Advances the election once a quorum has granted the current request.
     pub(super) fn count_votes(&mut self, now: Instant) {
         let quorum = self.membership().quorum();
         match &self.role {
-            RoleState::PreCandidate { granted } if granted.len() >= quorum => self.stand(now),
+            RoleState::PreCandidate { granted } if granted.len() >= quorum => {
+                self.start_election(now)
+            }
             RoleState::Candidate { granted, own_vote }
-                if granted.len() >= quorum && *own_vote <= self.synced =>
+                if granted.len() >= quorum && *own_vote <= self.synced_batch =>
             {
                 self.become_leader(now);
             }
@@ -90,25 +94,25 @@
         }
     }
 
-    fn stand(&mut self, now: Instant) {
+    fn start_election(&mut self, now: Instant) {
         let own = (self.settings.vm.clone(), self.incarnation);
         let term = self.term() + 1;
         self.write_hard_state(HardState { term, vote: Some(own), group: self.hard_state.group });
         let granted = BTreeSet::from([self.settings.vm.clone()]);
-        self.role = RoleState::Candidate { granted, own_vote: self.issued + 1 };
+        self.role = RoleState::Candidate { granted, own_vote: self.issued_batch + 1 };
         self.reset_timeout(now);
         let body = MessageBody::Vote {
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
         };
-        self.ask_voters(&body);
+        self.send_to_voters(&body);
     }
 
     pub(super) fn receive_vote(&mut self, now: Instant, from: VmId, message: ReplicaMessage) {
         match message.body {
             MessageBody::PreVote { next_term, last_index, last_term } => {
                 let granted = next_term > self.term()
-                    && !self.is_bound(now)
+                    && !self.withholds_vote(now)
                     && self.is_up_to_date(last_index, last_term);
                 let body = MessageBody::PreVoteReply { next_term, granted };
                 self.send_synced(&from, Some(message.from_incarnation), body);
@@ -138,7 +142,7 @@
         last_index: LogIndex,
         last_term: Term,
     ) {
-        if self.is_bound(now) {
+        if self.withholds_vote(now) {
             return;
         }
         if message.term > self.term() {
@@ -157,9 +161,9 @@
         self.send_synced(from, Some(message.from_incarnation), MessageBody::VoteReply { granted });
     }
 
-    /// Counts a vote only of the disk that the membership names.
+    /// Counts a vote only if it comes from the disk named in the membership.
     ///
-    /// A voter that lost its disk has forgotten what it acknowledged. If it could vote under its
+    /// A voter that lost its disk no longer knows what it acknowledged. If it could vote under its
     /// old name, a candidate without the committed entries could win.
     fn receive_vote_reply(
         &mut self,
@@ -191,15 +195,15 @@
         (last_term, last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
-    /// Follows `leader`, or waits for one, in `term`.
+    /// Becomes a follower in `term`, with the given leader if it is known.
     pub(super) fn become_follower(&mut self, now: Instant, term: Term, leader: Option<VmId>) {
         if term > self.term() {
             self.write_hard_state(HardState { term, vote: None, group: self.hard_state.group });
         }
         let before = std::mem::replace(&mut self.role, RoleState::Follower);
-        if let RoleState::Leader(lead) = before {
-            // The entries may yet be committed by a later leader.
-            for proposal in lead.proposals.into_values() {
+        if let RoleState::Leader(leader_state) = before {
+            // The entries of these proposals may still be committed by a later leader.
+            for proposal in leader_state.proposals.into_values() {
                 let outcome = Err(LocalProposeError::OutcomeUnknown);
                 self.actions.push(ReplicaAction::Completed { proposal, outcome });
             }
--- a/src/control/replica/follower.rs
+++ b/src/control/replica/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with a leader's messages.
+//! How a follower processes a leader's messages.
 
 use {
     super::{Replica, ReplicaAction, RoleState, log::ReplicaLog},
@@ -13,25 +13,25 @@
     std::time::Instant,
 };
 
-/// The longest snapshot taken in: several times what a full state machine encodes to.
-const SNAPSHOT_BYTES: u64 = 256 << 20;
+/// Maximum size of a received snapshot, several times the encoded size of a full state machine.
+const MAX_SNAPSHOT_BYTES: u64 = 256 << 20;
 
-/// A snapshot that is coming in.
+/// Snapshot that is being received.
 #[derive(Clone, Debug)]
 pub struct IncomingSnapshot {
     head: SnapshotHead,
-    /// Without gaps from the start.
+    /// Chunks received so far, without gaps from the start.
     data: Vec<u8>,
 }
 
-/// The leader that a reply goes to.
+/// Destination of a reply to the leader.
 struct LeaderAddress {
     vm: VmId,
     incarnation: Incarnation,
     round: RoundNumber,
 }
 
-/// Entries and what they follow.
+/// Entries of an append, and the entry that they follow.
 struct AppendedEntries {
     prev_index: LogIndex,
     prev_term: Term,
@@ -40,7 +40,12 @@
 }
 
 impl Replica {
-    pub(super) fn receive_lead(&mut self, now: Instant, from: VmId, message: ReplicaMessage) {
+    pub(super) fn receive_from_leader(
+        &mut self,
+        now: Instant,
+        from: VmId,
+        message: ReplicaMessage,
+    ) {
         let round = match message.body {
             MessageBody::Heartbeat { round, .. }
             | MessageBody::Append { round, .. }
@@ -49,12 +54,15 @@
         };
         let address = LeaderAddress { vm: from, incarnation: message.from_incarnation, round };
         if message.term < self.term() {
-            // The reply carries the later term, so that a leader that is no more steps down.
+            // The reply carries the later term, so that the former leader steps down.
             self.reply(&address, MessageBody::HeartbeatReply { round });
             return;
         }
         if matches!(self.role, RoleState::Leader(_)) && message.term == self.term() {
-            let text = format!("{} claims to lead term {} as well", address.vm, message.term);
+            let text = format!(
+                "{} claims to lead term {}, which this replica leads",
+                address.vm, message.term
+            );
             self.actions.push(ReplicaAction::Report(text));
             return;
         }
@@ -62,7 +70,7 @@
             self.become_follower(now, message.term, None);
         }
         self.leader = Some(address.vm.clone());
-        self.heard_at = now;
+        self.last_leader_contact = now;
         self.reset_timeout(now);
         match message.body {
             MessageBody::Heartbeat { commit, target, .. } => {
@@ -89,7 +97,7 @@
     fn receive_entries(&mut self, address: &LeaderAddress, appended: AppendedEntries) {
         let AppendedEntries { prev_index, prev_term, entries, commit } = appended;
         let matched = prev_index + entries.len() as LogIndex;
-        // Up to the commit index the log is the leader's already, and may be compacted away.
+        // Up to the commit index the log matches the leader's, and it may be compacted.
         let known = prev_index < self.commit || self.log.term(prev_index) == Some(prev_term);
         if !known {
             let hint = if prev_index > self.log.last_index() {
@@ -101,17 +109,18 @@
             self.reply(address, MessageBody::AppendRejected { round, refused: prev_index, hint });
             return;
         }
-        let fresh = entries
+        let new_entries = entries
             .iter()
             .position(|entry| {
                 entry.index > self.commit && self.log.term(entry.index) != Some(entry.term)
             })
             .map(|position| entries[position..].to_vec());
-        if let Some(fresh) = fresh {
-            self.write_entries(fresh);
+        if let Some(new_entries) = new_entries {
+            self.write_entries(new_entries);
         }
         self.commit_to(commit.min(matched));
-        // After a longer log of the same leader this repeats less than is held: never more.
+        // After a longer append of the same leader this may acknowledge less than is held, never
+        // more.
         let body = MessageBody::AppendReply { round: address.round, matched };
         self.reply(address, body);
     }
@@ -137,8 +146,8 @@
             self.reply(address, MessageBody::AppendReply { round, matched: index });
             return;
         }
-        if total > SNAPSHOT_BYTES {
-            let text = format!("a snapshot of {total} bytes is refused: it is past the bound");
+        if total > MAX_SNAPSHOT_BYTES {
+            let text = format!("rejected a snapshot of {total} bytes: it exceeds the size limit");
             self.actions.push(ReplicaAction::Report(text));
             return;
         }
@@ -155,17 +164,17 @@
             self.reply(address, MessageBody::SnapshotReply { round, index, received });
             return;
         }
-        if self.install(incoming) {
+        if self.install_snapshot(incoming) {
             self.reply(address, MessageBody::AppendReply { round, matched: index });
         }
     }
 
-    fn install(&mut self, incoming: IncomingSnapshot) -> bool {
+    fn install_snapshot(&mut self, incoming: IncomingSnapshot) -> bool {
         let IncomingSnapshot { head, data } = incoming;
         let state = match ControlState::decode(&data) {
             Ok(state) => state,
             Err(error) => {
-                self.actions.push(ReplicaAction::Report(format!("snapshot refused: {error}")));
+                self.actions.push(ReplicaAction::Report(format!("rejected a snapshot: {error}")));
                 return false;
             }
         };
@@ -180,7 +189,7 @@
         self.snapshot_index = head.index;
         self.saved_commit = self.saved_commit.max(head.index);
         self.writes.push(DurableWrite::Snapshot(SavedSnapshot { head, data }));
-        self.show_later();
+        self.stage_config();
         true
     }
 }
--- a/src/control/replica/formation.rs
+++ b/src/control/replica/formation.rs
@@ -1,9 +1,9 @@
-//! How a group is founded, and what a replica without a group does.
+//! Founding of a group, and the behaviour of a replica without a group.
 //!
 //! Only the first founder by name writes a founding membership, and only after every founder has
-//! told this very disk that its own is empty. A disk that was lost later meets founders that are
-//! not empty, so it founds nothing and waits to be taken in by command: it cannot elect a leader
-//! that forgot.
+//! confirmed to its current disk that its own disk is empty. A disk that was lost later meets
+//! founders that are not empty. It founds no group and waits until the leader adds it, so it cannot
+//! elect a leader that lacks committed entries.
 
 use {
     super::{Replica, RoleState},
@@ -17,42 +17,47 @@
     std::{collections::BTreeMap, time::Instant},
 };
 
-/// VMs remembered beside members and founders; a further one is not noted.
-const SIGHTINGS: usize = 64;
-/// A disk not heard for so many probes may be gone, or have been emptied again since.
+/// Maximum number of observed peers; messages of further VMs are not recorded.
+const MAX_OBSERVED_PEERS: usize = 64;
+/// Probe intervals after which an observation expires. The disk may be lost or emptied again since
+/// then.
 const FRESH_PROBES: u32 = 4;
 
-/// What was last heard from a VM.
+/// Last observation of a peer.
 #[derive(Clone, Debug)]
 pub struct ObservedPeer {
-    /// Its disk.
+    /// Incarnation of its disk.
     pub incarnation: Incarnation,
-    /// When it was last heard.
+    /// Time of its last message.
     pub at: Instant,
-    /// When it told this disk that its own is empty and its founders are the same.
+    /// Time at which it confirmed to this disk that its own disk is empty and that it has the same
+    /// founders; `None` if its last message did not.
     pub empty_at: Option<Instant>,
 }
 
 impl Replica {
-    pub(super) fn note_sighting(&mut self, now: Instant, from: &VmId, message: &ReplicaMessage) {
-        if self.sightings.len() >= SIGHTINGS && !self.sightings.contains_key(from) {
+    pub(super) fn observe_peer(&mut self, now: Instant, from: &VmId, message: &ReplicaMessage) {
+        if self.observed_peers.len() >= MAX_OBSERVED_PEERS
+            && !self.observed_peers.contains_key(from)
+        {
             return;
         }
-        // A probe that was sent to an earlier disk of this VM may have been on its way for long,
-        // and its sender may have founded a group since.
+        // A probe sent to an earlier disk of this VM may have been delayed for long, and its sender
+        // may have founded a group since.
         let to_this_disk =
             message.group.is_none() && message.to_incarnation == Some(self.incarnation);
         let empty = matches!(&message.body,
             MessageBody::Probe { founders } if to_this_disk && *founders == self.founders_digest());
-        let sighting = ObservedPeer {
+        let observed = ObservedPeer {
             incarnation: message.from_incarnation,
             at: now,
             empty_at: empty.then_some(now),
         };
-        self.sightings.insert(from.clone(), sighting);
+        self.observed_peers.insert(from.clone(), observed);
     }
 
-    /// Whether the message is of this replica's group, after joining it if it may.
+    /// Whether the message belongs to this replica's group. A replica without a group joins that of
+    /// the message if it may.
     pub(super) fn is_in_group(
         &mut self,
         now: Instant,
@@ -69,7 +74,7 @@
         }
     }
 
-    /// A founder that lacks the founding membership gets it from any that has it.
+    /// Sends the founding membership to a founder that lacks it. Any founder that has it may do so.
     fn answer_probe(&mut self, from: &VmId, incarnation: Incarnation) {
         if self.hard_state.group.is_none() || self.log.base() > 0 {
             return;
@@ -96,8 +101,9 @@
                 }
                 false
             }
-            // These go only to disks that the sender's membership names, and this one has lost
-            // nothing since. A founder that missed the founding may be needed for a quorum.
+            // These messages are sent only to disks named in the sender's membership, and this disk
+            // has lost nothing since. A founder that missed the founding may be needed for a
+            // quorum.
             MessageBody::PreVote { .. }
             | MessageBody::Vote { .. }
             | MessageBody::Append { .. }
@@ -138,22 +144,23 @@
         self.probe();
     }
 
-    /// Makes itself known to the founders, the members, those that the settings name now and those
-    /// that other control VMs have named.
+    /// Probes the founders, the members, the VMs named in the current settings and those named by
+    /// other control VMs.
     pub(super) fn probe(&mut self) {
         let founders = self.founders_digest();
-        let mut known = self.named_by_settings();
+        let mut known = self.seed_vms();
         known.extend(self.membership().members().map(|(vm, _)| vm.clone()));
         known.extend(self.contacts.vms());
         for vm in known {
             if vm != self.settings.vm {
-                let seen = self.sightings.get(&vm).map(|sighting| sighting.incarnation);
+                let seen = self.observed_peers.get(&vm).map(|observed| observed.incarnation);
                 self.send(&vm, seen, MessageBody::Probe { founders });
             }
         }
     }
 
-    /// The founding membership, if it is on this replica to write it and it may.
+    /// Returns the founding membership if this replica is the one to write it and all founders have
+    /// empty disks.
     fn founding_membership(&self, now: Instant) -> Option<Membership> {
         if self.settings.founders.first() != Some(&self.settings.vm) {
             return None;
@@ -163,23 +170,24 @@
             let incarnation = if *vm == self.settings.vm {
                 self.incarnation
             } else {
-                let sighting = self.sightings.get(vm)?;
-                let empty_at = sighting.empty_at?;
+                let observed = self.observed_peers.get(vm)?;
+                let empty_at = observed.empty_at?;
                 (now < empty_at + self.settings.timing.probe * FRESH_PROBES)
-                    .then_some(sighting.incarnation)?
+                    .then_some(observed.incarnation)?
             };
             voters.insert(vm.clone(), incarnation);
         }
         Some(Membership { voters, learners: BTreeMap::new() })
     }
 
-    /// Disks outside the membership that make themselves known now. One that was heard long ago may be
-    /// gone: taken in, it would be found silent and taken out again, for ever, before a sound one.
+    /// Disks outside the membership that have sent a message recently. A disk observed long ago may
+    /// be lost. If it were added, it would be found unresponsive and removed, over and over, before
+    /// a working disk is considered.
     pub(super) fn non_members(&self, now: Instant) -> BTreeMap<VmId, Incarnation> {
-        let life = self.settings.timing.probe * FRESH_PROBES;
-        let fresh = self.sightings.iter().filter(|(_, sighting)| now < sighting.at + life);
-        let heard = fresh.map(|(vm, sighting)| (vm.clone(), sighting.incarnation));
-        heard.filter(|(vm, disk)| !self.membership().is_member(vm, *disk)).collect()
+        let expiry = self.settings.timing.probe * FRESH_PROBES;
+        let fresh = self.observed_peers.iter().filter(|(_, observed)| now < observed.at + expiry);
+        let disks = fresh.map(|(vm, observed)| (vm.clone(), observed.incarnation));
+        disks.filter(|(vm, disk)| !self.membership().is_member(vm, *disk)).collect()
     }
 
     fn founders_digest(&self) -> u64 {
--- a/src/control/replica/freshness.rs
+++ b/src/control/replica/freshness.rs
@@ -1,4 +1,5 @@
-//! Whether a replica has what its leader has committed: one that only hears the leader may lack it.
+//! Whether a replica has applied what its leader has committed. A replica that only receives
+//! heartbeats may lack entries.
 
 use {
     super::{Replica, RoleState},
@@ -7,26 +8,28 @@
 };
 
 impl Replica {
-    /// Takes in what this replica must have applied, as its leader says.
+    /// Records the target index sent by the leader.
     pub(super) fn note_target(&mut self, now: Instant, target: LogIndex) {
         if self.applied >= target {
             self.fresh_at = Some(now);
         }
     }
 
-    /// What followers of this leader must have applied. Before its own term's first entry is committed
-    /// it may not know of all that former leaders have committed.
+    /// Index that followers of this leader must have applied. Before the first entry of its own
+    /// term is committed, the leader may not know everything that former leaders have committed.
     pub(super) fn follower_target(&self) -> LogIndex {
-        self.lead().map_or(self.commit, |lead| self.commit.max(lead.term_start))
+        self.leader_state()
+            .map_or(self.commit, |leader_state| self.commit.max(leader_state.term_start))
     }
 
-    /// Whether all that was committed until a moment ago is applied here.
+    /// Whether everything committed until recently is applied on this replica.
     ///
-    /// A follower that lacks something for less than the lease still counts: the leader's next message
-    /// lets it commit what it holds, and its own followers need not look for another replica.
+    /// A follower that has been behind for less than the lease still counts as fresh. The next
+    /// message of the leader lets it commit the entries that it holds, and its own followers need
+    /// not switch to another replica.
     pub(super) fn is_fresh(&self, now: Instant) -> bool {
-        if let RoleState::Leader(lead) = &self.role {
-            return self.commit >= lead.term_start;
+        if let RoleState::Leader(leader_state) = &self.role {
+            return self.commit >= leader_state.term_start;
         }
         let lease = self.settings.timing.lease;
         self.leader.is_some() && self.fresh_at.is_some_and(|at| now < at + lease)
--- a/src/control/replica/leader.rs
+++ b/src/control/replica/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader does: heartbeats, appends, commits, its lease, and proposals.
+//! Leader: heartbeats, appends, commits, lease and proposals.
 
 use {
     super::{
@@ -16,12 +16,12 @@
     std::{collections::BTreeMap, sync::Arc, time::Instant},
 };
 
-/// Heartbeats after which what is on its way to a follower counts as lost.
+/// Heartbeat intervals after which messages in flight to a follower count as lost.
 const RESEND_HEARTBEATS: u32 = 2;
 
 impl Replica {
     pub(super) fn become_leader(&mut self, now: Instant) {
-        let mut lead = LeaderState {
+        let mut leader_state = LeaderState {
             since: now,
             term_start: self.log.last_index() + 1,
             round: 0,
@@ -30,15 +30,21 @@
             followers: BTreeMap::new(),
             proposals: BTreeMap::new(),
         };
-        lead.update_followers(self.log.membership(), &self.settings.vm, self.log.last_index(), now);
-        lead.begin_round(now);
-        self.role = RoleState::Leader(Box::new(lead));
+        leader_state.update_followers(
+            self.log.membership(),
+            &self.settings.vm,
+            self.log.last_index(),
+            now,
+        );
+        leader_state.begin_round(now);
+        self.role = RoleState::Leader(Box::new(leader_state));
         self.leader = Some(self.settings.vm.clone());
-        // Entries of earlier terms may be committed only under one of this term.
+        // Entries of earlier terms can be committed only together with an entry of this term.
         self.append(now, EntryPayload::Opening);
     }
 
-    /// Writes an entry and sends it to whoever can take it; returns its index.
+    /// Appends an entry to the log, sends it to the followers that can receive it, and returns its
+    /// index.
     pub(super) fn append(&mut self, now: Instant, payload: EntryPayload) -> LogIndex {
         let index = self.log.last_index() + 1;
         self.write_entries(vec![LogEntry { term: self.term(), index, payload }]);
@@ -47,17 +53,19 @@
     }
 
     fn send_appends(&mut self, now: Instant) {
-        let followers: Vec<VmId> =
-            self.lead().map(|lead| lead.followers.keys().cloned().collect()).unwrap_or_default();
+        let followers: Vec<VmId> = self
+            .leader_state()
+            .map(|state| state.followers.keys().cloned().collect())
+            .unwrap_or_default();
         for vm in followers {
             self.send_append(now, &vm);
         }
     }
 
-    /// Sends a follower as much as may be on its way to it.
+    /// Sends entries to a follower up to the limit on appends in flight.
     pub(super) fn send_append(&mut self, now: Instant, vm: &VmId) {
         while let Some(body) = self.next_append(now, vm) {
-            let incarnation = self.lead().and_then(|lead| lead.followers.get(vm));
+            let incarnation = self.leader_state().and_then(|state| state.followers.get(vm));
             let incarnation = incarnation.map(|progress| progress.incarnation);
             self.send(vm, incarnation, body);
         }
@@ -67,12 +75,12 @@
         let limits = self.settings.limits;
         let (base, last, commit) = (self.log.base(), self.log.last_index(), self.commit);
         let target = self.follower_target();
-        let lead = match &mut self.role {
-            RoleState::Leader(lead) => lead,
+        let leader_state = match &mut self.role {
+            RoleState::Leader(leader_state) => leader_state,
             _ => return None,
         };
-        let round = lead.round;
-        let progress = lead.followers.get_mut(vm)?;
+        let round = leader_state.round;
+        let progress = leader_state.followers.get_mut(vm)?;
         let allowed = match progress.mode {
             SendMode::Probe => 1,
             SendMode::Stream => limits.appends_in_flight,
@@ -102,7 +110,7 @@
 
     fn begin_snapshot(&mut self, now: Instant, vm: &VmId) -> Option<MessageBody> {
         let snapshot = Arc::new(self.take_snapshot());
-        let progress = self.lead_mut()?.followers.get_mut(vm)?;
+        let progress = self.leader_state_mut()?.followers.get_mut(vm)?;
         progress.mode = SendMode::Snapshot { snapshot, offset: 0 };
         progress.in_flight.clear();
         progress.oversized_append = None;
@@ -112,9 +120,9 @@
 
     fn next_chunk(&mut self, now: Instant, vm: &VmId) -> Option<MessageBody> {
         let chunk_bytes = self.settings.limits.chunk_bytes;
-        let lead = self.lead_mut()?;
-        let round = lead.round;
-        let progress = lead.followers.get_mut(vm)?;
+        let leader_state = self.leader_state_mut()?;
+        let round = leader_state.round;
+        let progress = leader_state.followers.get_mut(vm)?;
         let SendMode::Snapshot { snapshot, offset } = &progress.mode else { return None };
         progress.sent_at = now;
         let end = snapshot.data.len().min(offset + chunk_bytes);
@@ -130,21 +138,21 @@
     pub(super) fn run_leader(&mut self, now: Instant) {
         let (heartbeat, commit) = (self.settings.timing.heartbeat, self.commit);
         let target = self.follower_target();
-        let Some(lead) = self.lead_mut() else { return };
-        if now < lead.heartbeat_at {
+        let Some(leader_state) = self.leader_state_mut() else { return };
+        if now < leader_state.heartbeat_at {
             return;
         }
-        lead.heartbeat_at = now + heartbeat;
-        lead.begin_round(now);
-        let round = lead.round;
+        leader_state.heartbeat_at = now + heartbeat;
+        leader_state.begin_round(now);
+        let round = leader_state.round;
         let mut due = Vec::new();
-        for (vm, progress) in &mut lead.followers {
+        for (vm, progress) in &mut leader_state.followers {
             let stuck = progress.is_stalled(now, heartbeat * RESEND_HEARTBEATS);
             if stuck {
                 progress.resends += 1;
                 progress.rewind(now);
             }
-            // Past what the follower is known to hold its log may differ from this one.
+            // Beyond the matched index the follower's log may differ from this one.
             let commit = commit.min(progress.matched);
             due.push((vm.clone(), progress.incarnation, commit, stuck));
         }
@@ -159,8 +167,8 @@
     }
 
     pub(super) fn receive_reply(&mut self, now: Instant, from: VmId, message: ReplicaMessage) {
-        let counted = self.membership().is_member(&from, message.from_incarnation);
-        if !counted {
+        let is_member = self.membership().is_member(&from, message.from_incarnation);
+        if !is_member {
             return;
         }
         if message.term > self.term() {
@@ -168,9 +176,9 @@
             return;
         }
         let (term, last) = (self.term(), self.log.last_index());
-        let Some(lead) = self.lead_mut().filter(|_| message.term == term) else { return };
-        let Some(progress) = lead.followers.get_mut(&from) else { return };
-        if let Some(began) = round_of(&message.body).and_then(|round| lead.rounds.get(&round)) {
+        let Some(state) = self.leader_state_mut().filter(|_| message.term == term) else { return };
+        let Some(progress) = state.followers.get_mut(&from) else { return };
+        if let Some(began) = round_of(&message.body).and_then(|round| state.rounds.get(&round)) {
             progress.replied_at = progress.replied_at.max(Some(*began));
         }
         match message.body {
@@ -193,12 +201,12 @@
     }
 
     fn receive_snapshot_reply(&mut self, now: Instant, vm: &VmId, index: LogIndex, received: u64) {
-        let Some(lead) = self.lead_mut() else { return };
-        let Some(progress) = lead.followers.get_mut(vm) else { return };
+        let Some(leader_state) = self.leader_state_mut() else { return };
+        let Some(progress) = leader_state.followers.get_mut(vm) else { return };
         let incarnation = progress.incarnation;
         let SendMode::Snapshot { snapshot, offset } = &mut progress.mode else { return };
         let received = usize::try_from(received).unwrap_or(usize::MAX);
-        // A reply that is late or doubled must not send the same piece again.
+        // A late or duplicate reply must not cause the same chunk to be sent again.
         if snapshot.head.index != index || received > snapshot.data.len() || received == *offset {
             return;
         }
@@ -210,9 +218,10 @@
         }
     }
 
-    /// Commits what a quorum of voters holds synced, if it is of this term.
+    /// Commits the entries that a quorum of voters has synced, if the last of them belongs to this
+    /// term.
     pub(super) fn advance_commit(&mut self, _now: Instant) {
-        let Some(lead) = self.lead() else { return };
+        let Some(leader_state) = self.leader_state() else { return };
         let membership = self.log.membership();
         let mut matched: Vec<LogIndex> = membership
             .voters
@@ -221,7 +230,7 @@
                 if *vm == self.settings.vm {
                     return self.durable;
                 }
-                let progress = lead.followers.get(vm);
+                let progress = leader_state.followers.get(vm);
                 progress
                     .filter(|progress| progress.incarnation == *incarnation)
                     .map_or(0, |progress| progress.matched)
@@ -235,53 +244,54 @@
         }
     }
 
-    /// Steps down when no quorum has replied for an election timeout.
+    /// Steps down if no quorum has replied for an election timeout.
     ///
-    /// A leader that is cut off would otherwise go on telling callers that it leads.
+    /// A partitioned leader would otherwise keep telling callers that it leads.
     pub(super) fn check_quorum(&mut self, now: Instant) {
         let election = self.settings.timing.election;
-        let Some(lead) = self.lead() else { return };
+        let Some(leader_state) = self.leader_state() else { return };
         let quorum_contact_at =
-            lead.quorum_contact_at(self.log.membership(), &self.settings.vm, now);
-        let with_quorum = quorum_contact_at.unwrap_or(lead.since).max(lead.since);
-        if now >= with_quorum + election {
+            leader_state.quorum_contact_at(self.log.membership(), &self.settings.vm, now);
+        let last_contact = quorum_contact_at.unwrap_or(leader_state.since).max(leader_state.since);
+        if now >= last_contact + election {
             self.become_follower(now, self.term(), None);
         }
     }
 
-    /// Until when no other replica can lead.
+    /// End of the leader lease; no other replica can lead before it.
     pub(super) fn lease_until(&self, now: Instant) -> Option<Instant> {
-        let lead = self.lead().filter(|lead| self.commit >= lead.term_start)?;
+        let leader_state = self.leader_state().filter(|state| self.commit >= state.term_start)?;
         let quorum_contact_at =
-            lead.quorum_contact_at(self.log.membership(), &self.settings.vm, now)?;
+            leader_state.quorum_contact_at(self.log.membership(), &self.settings.vm, now)?;
         Some(quorum_contact_at + self.settings.timing.lease)
     }
 
     pub(super) fn propose(&mut self, now: Instant, proposal: ProposalId, command: Command) {
-        let outcome = match self.refuse_proposal(now) {
+        let outcome = match self.proposal_error(now) {
             Some(error) => Some(Err(error)),
-            None => self.enter_proposal(now, proposal, command).map(Ok),
+            None => self.append_proposal(now, proposal, command).map(Ok),
         };
         if let Some(outcome) = outcome {
             self.actions.push(ReplicaAction::Completed { proposal, outcome });
         }
     }
 
-    /// Why a proposal may not enter the log: then it certainly never commits.
-    fn refuse_proposal(&self, now: Instant) -> Option<LocalProposeError> {
-        let Some(lead) = self.lead() else {
+    /// Returns the reason why a proposal must not enter the log; it will then never be committed.
+    fn proposal_error(&self, now: Instant) -> Option<LocalProposeError> {
+        let Some(leader_state) = self.leader_state() else {
             return Some(LocalProposeError::NotLeader { leader: self.leader.clone() });
         };
         let quorum_contact_at =
-            lead.quorum_contact_at(self.log.membership(), &self.settings.vm, now);
-        let with_quorum = quorum_contact_at.unwrap_or(lead.since).max(lead.since);
-        if now >= with_quorum + self.settings.timing.lease {
+            leader_state.quorum_contact_at(self.log.membership(), &self.settings.vm, now);
+        let last_contact = quorum_contact_at.unwrap_or(leader_state.since).max(leader_state.since);
+        if now >= last_contact + self.settings.timing.lease {
             return Some(LocalProposeError::NoQuorum);
         }
-        (lead.proposals.len() >= self.settings.limits.proposals).then_some(LocalProposeError::Busy)
+        (leader_state.proposals.len() >= self.settings.limits.proposals)
+            .then_some(LocalProposeError::Busy)
     }
 
-    fn enter_proposal(
+    fn append_proposal(
         &mut self,
         now: Instant,
         proposal: ProposalId,
@@ -301,8 +311,8 @@
             EntryPayload::Membership(membership) => self.change_membership(now, membership),
             payload => self.append(now, payload),
         };
-        if let Some(lead) = self.lead_mut() {
-            lead.proposals.insert(index, proposal);
+        if let Some(leader_state) = self.leader_state_mut() {
+            leader_state.proposals.insert(index, proposal);
         }
         None
     }
--- a/src/control/replica/log.rs
+++ b/src/control/replica/log.rs
@@ -1,4 +1,4 @@
-//! The entries that a replica holds in memory, and the memberships that they carry.
+//! Log entries that a replica holds in memory, and the memberships in them.
 
 use {
     crate::{
@@ -11,22 +11,23 @@
     std::collections::VecDeque,
 };
 
-/// The tail of the log, from some point at or before the last snapshot.
+/// Tail of the log that starts at or before the last snapshot.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaLog {
-    /// The entry before the first one held; zero if the log is whole.
+    /// Index of the entry before the first one held; zero if the log is complete.
     base: LogIndex,
     base_term: Term,
-    /// Without gaps from `base + 1`.
+    /// Entries without gaps from `base + 1`.
     entries: VecDeque<LogEntry>,
-    /// Ascending by index; the first is the one in force at `base`. Empty while the log is.
+    /// Memberships in ascending order of index. The first one is the membership at `base`. Empty
+    /// while the log is empty.
     memberships: Vec<(LogIndex, Membership)>,
-    /// About what the entries take.
+    /// Estimated size in bytes of the entries.
     bytes: usize,
 }
 
 impl ReplicaLog {
-    /// A log that begins after a snapshot.
+    /// Creates a log that begins after a snapshot.
     pub fn after(head: &SnapshotHead) -> Self {
         ReplicaLog {
             base: head.index,
@@ -36,27 +37,27 @@
         }
     }
 
-    /// The entry before the first one held.
+    /// Index of the entry before the first one held; zero if the log is complete.
     pub fn base(&self) -> LogIndex {
         self.base
     }
 
-    /// The last entry.
+    /// Index of the last entry.
     pub fn last_index(&self) -> LogIndex {
         self.base + self.entries.len() as LogIndex
     }
 
-    /// The term of the last entry.
+    /// Term of the last entry.
     pub fn last_term(&self) -> Term {
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// About what the entries take.
+    /// Estimated size in bytes of the entries held.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The term of an entry, if it is known.
+    /// Term of an entry; `None` if the entry is compacted or not yet written.
     pub fn term(&self, index: LogIndex) -> Option<Term> {
         if index == self.base {
             return Some(self.base_term);
@@ -64,7 +65,7 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// An entry, if it is held.
+    /// Entry at `index`; `None` if it is compacted or not yet written.
     pub fn entry(&self, index: LogIndex) -> Option<&LogEntry> {
         let position = index.checked_sub(self.base + 1)?;
         self.entries.get(position as usize)
@@ -85,26 +86,26 @@
         batch
     }
 
-    /// The membership in force: the last one written, committed or not.
+    /// Current membership: the last one written, whether committed or not.
     pub fn membership(&self) -> &Membership {
-        static NOBODY: Membership = Membership {
+        static EMPTY: Membership = Membership {
             voters: std::collections::BTreeMap::new(),
             learners: std::collections::BTreeMap::new(),
         };
-        self.memberships.last().map_or(&NOBODY, |(_, membership)| membership)
+        self.memberships.last().map_or(&EMPTY, |(_, membership)| membership)
     }
 
-    /// Where the membership in force was written.
+    /// Index of the entry that carries the current membership.
     pub fn membership_index(&self) -> LogIndex {
         self.memberships.last().map_or(0, |(index, _)| *index)
     }
 
-    /// The membership in force at an entry.
+    /// Membership at an entry; `None` if it is not known.
     pub fn membership_at(&self, index: LogIndex) -> Option<&Membership> {
         self.memberships.iter().rev().find(|(at, _)| *at <= index).map(|(_, membership)| membership)
     }
 
-    /// Adds an entry at the end.
+    /// Appends an entry; its index follows the last one.
     pub fn push(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         if let EntryPayload::Membership(membership) = &entry.payload {
@@ -123,8 +124,7 @@
         self.memberships.retain(|(index, _)| *index < first);
     }
 
-    /// Forgets entries up to `last`, and further ones up to `limit` while more than `bytes` are
-    /// held.
+    /// Drops entries up to `last`, and further ones up to `limit` while more than `bytes` are held.
     pub fn compact(&mut self, last: LogIndex, limit: LogIndex, bytes: usize) {
         while self.base < last || (self.base < limit && self.bytes > bytes) {
             let Some(entry) = self.entries.pop_front() else { break };
--- a/src/control/replica/membership_change.rs
+++ b/src/control/replica/membership_change.rs
@@ -1,8 +1,8 @@
-//! Membership change: one replica at a time, and new ones count only after catching up.
+//! Membership changes: one replica at a time; new replicas become voters only after catching up.
 //!
-//! A lost voter is taken out and its new disk taken in as a learner by one entry, and made a
-//! voter by a second. Each step changes the voters by one, so that any quorum before it and any
-//! after it have a replica in common.
+//! One entry removes a lost voter and adds its new disk as a learner; a second entry makes the
+//! learner a voter. Each step changes the set of voters by one, so that any quorum before it and
+//! any quorum after it have a replica in common.
 
 use {
     super::Replica,
@@ -16,14 +16,15 @@
     std::time::Instant,
 };
 
-/// Members of a group: as many VMs as may be set aside for control.
-const MEMBERS: usize = 7;
-/// How far a learner may be behind when it becomes a voter: what is sent in one round trip.
-const CAUGHT_UP: LogIndex = 64;
+/// Maximum number of members, equal to the number of VMs that may be reserved for control.
+const MAX_MEMBERS: usize = 7;
+/// Maximum number of entries that a learner may lack when it becomes a voter: about what is sent in
+/// one round trip.
+const MAX_LEARNER_LAG: LogIndex = 64;
 
 impl Replica {
-    /// The membership that a command asks for; `None` when it asks for none, and an outcome when
-    /// nothing is to be written.
+    /// Membership requested by a command. `None` if the command is no membership change; an outcome
+    /// if no entry is to be written.
     pub(super) fn membership_after(
         &self,
         now: Instant,
@@ -41,34 +42,34 @@
             return Some(refuse("another change is not yet committed; retry after a second"));
         }
         Some(match replaced {
-            Some(incarnation) => self.replaced(now, vm, incarnation),
-            None => self.removed(now, vm),
+            Some(incarnation) => self.membership_with(now, vm, incarnation),
+            None => self.membership_without(now, vm),
         })
     }
 
-    /// Whether a change may be written: the one before it is committed, and an entry of this term
-    /// as well. Without the latter two leaders in a row can each add a different change to the
-    /// same old membership and find quorums that have no replica in common.
+    /// Whether a membership change may be written: the previous one and an entry of this term must
+    /// be committed. Without the latter, two successive leaders could each add a different change
+    /// to the same membership and find quorums that have no replica in common.
     fn may_change(&self) -> bool {
         self.log.membership_index() <= self.commit
-            && self.lead().is_some_and(|lead| self.commit >= lead.term_start)
+            && self.leader_state().is_some_and(|state| self.commit >= state.term_start)
     }
 
-    fn replaced(
+    fn membership_with(
         &self,
         now: Instant,
         vm: &VmId,
         asked: Option<Incarnation>,
     ) -> Result<Membership, CommandOutcome> {
-        let seen = self.sightings.get(vm).map(|sighting| sighting.incarnation);
+        let seen = self.observed_peers.get(vm).map(|observed| observed.incarnation);
         let Some(incarnation) = seen.filter(|seen| asked.is_none_or(|asked| asked == *seen)) else {
             return refuse("the leader has not heard from this disk; start its daemon, then retry");
         };
         let mut membership = self.membership().clone();
         if membership.is_member(vm, incarnation) {
-            // An operator who names no disk means the new one. Until the leader hears from it, the
-            // lost disk is the last it heard from, and "done" would leave the group with a member
-            // that is gone: the next loss would then end the quorum for good.
+            // An operator who names no disk refers to the new one. Until the leader receives a
+            // message from it, the lost disk is the last one observed. Reporting success would
+            // leave a lost disk in the group, and the next loss would end the quorum permanently.
             return match asked {
                 Some(_) => Err(CommandOutcome::MembershipChanged),
                 None => refuse(
@@ -79,33 +80,33 @@
         }
         membership.voters.remove(vm);
         membership.learners.insert(vm.clone(), incarnation);
-        if membership.members().count() > MEMBERS {
+        if membership.members().count() > MAX_MEMBERS {
             return refuse("seven replicas are the most; remove one first");
         }
-        self.keeps_quorum(now, membership)
+        self.require_quorum(now, membership)
     }
 
-    fn removed(&self, now: Instant, vm: &VmId) -> Result<Membership, CommandOutcome> {
+    fn membership_without(&self, now: Instant, vm: &VmId) -> Result<Membership, CommandOutcome> {
         let mut membership = self.membership().clone();
         if membership.incarnation(vm).is_none() {
             return Err(CommandOutcome::MembershipChanged);
         }
         membership.voters.remove(vm);
         membership.learners.remove(vm);
-        self.keeps_quorum(now, membership)
+        self.require_quorum(now, membership)
     }
 
-    /// Refuses a membership whose quorum does not answer now: the change could never commit, and
-    /// nothing after it.
-    fn keeps_quorum(
+    /// Refuses a membership whose quorum does not respond now. Neither the change nor any later
+    /// entry could be committed.
+    fn require_quorum(
         &self,
         now: Instant,
         membership: Membership,
     ) -> Result<Membership, CommandOutcome> {
         let quorum_contact_at = (!membership.voters.is_empty())
             .then(|| {
-                self.lead()
-                    .and_then(|lead| lead.quorum_contact_at(&membership, &self.settings.vm, now))
+                self.leader_state()
+                    .and_then(|state| state.quorum_contact_at(&membership, &self.settings.vm, now))
             })
             .flatten();
         match quorum_contact_at {
@@ -116,22 +117,22 @@
 
     pub(super) fn change_membership(&mut self, now: Instant, membership: Membership) -> LogIndex {
         let (own, last) = (self.settings.vm.clone(), self.log.last_index());
-        if let Some(lead) = self.lead_mut() {
-            lead.update_followers(&membership, &own, last, now);
+        if let Some(leader_state) = self.leader_state_mut() {
+            leader_state.update_followers(&membership, &own, last, now);
         }
         self.append(now, EntryPayload::Membership(membership))
     }
 
-    /// Makes a voter of a learner that has caught up.
+    /// Promotes a learner that has caught up to a voter.
     pub(super) fn promote_learner(&mut self, now: Instant) {
         if self.membership().learners.is_empty() || !self.may_change() {
             return;
         }
-        let Some(lead) = self.lead() else { return };
+        let Some(leader_state) = self.leader_state() else { return };
         let ready = self.membership().learners.iter().find(|(vm, _)| {
-            lead.followers.get(*vm).is_some_and(|progress| {
+            leader_state.followers.get(*vm).is_some_and(|progress| {
                 progress.matched >= self.commit
-                    && progress.matched + CAUGHT_UP >= self.log.last_index()
+                    && progress.matched + MAX_LEARNER_LAG >= self.log.last_index()
             })
         });
         let Some((vm, incarnation)) = ready.map(|(vm, number)| (vm.clone(), *number)) else {
--- a/src/control/replica/progress.rs
+++ b/src/control/replica/progress.rs
@@ -1,4 +1,5 @@
-//! What a leader knows of its followers, and since when a quorum has been with it.
+//! State of a leader: replication progress of its followers and the rounds that a quorum has
+//! replied to.
 
 use {
     crate::{
@@ -16,78 +17,78 @@
     },
 };
 
-/// Rounds whose start is remembered; a reply to an older one proves nothing any more.
-const ROUNDS: usize = 64;
+/// Maximum number of rounds whose start is recorded; replies to older rounds are ignored.
+const MAX_ROUNDS: usize = 64;
 
-/// Doublings of the wait before the same is sent again: a long document may take seconds on a slow
-/// link, and each copy slows down the others.
-const MOST_DOUBLINGS: u32 = 4;
+/// Maximum number of doublings of the retransmission delay. A long document may take seconds on a
+/// slow link, and each copy delays the others.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// A leader's own matters.
+/// State that only a leader has.
 #[derive(Clone, Debug)]
 pub struct LeaderState {
-    /// When it was elected.
+    /// Time of its election.
     pub since: Instant,
-    /// The entry that opens its term.
+    /// Index of the no-op entry that starts its term.
     pub term_start: LogIndex,
-    /// The present round.
+    /// Current round.
     pub round: RoundNumber,
-    /// When the last rounds began; at most [`ROUNDS`].
+    /// Start times of the most recent rounds; at most [`MAX_ROUNDS`].
     pub rounds: BTreeMap<RoundNumber, Instant>,
-    /// The next heartbeat.
+    /// Time of the next heartbeat.
     pub heartbeat_at: Instant,
-    /// One for each other member.
+    /// Progress of each other member.
     pub followers: BTreeMap<VmId, FollowerProgress>,
-    /// Proposals by the entry that carries them; bounded by the limit on proposals.
+    /// Proposals by the index of their entry; bounded by the limit on proposals.
     pub proposals: BTreeMap<LogIndex, ProposalId>,
 }
 
-/// How far a follower is.
+/// Replication progress of a follower.
 #[derive(Clone, Debug)]
 pub struct FollowerProgress {
-    /// The disk that the membership names; replies of another are dropped.
+    /// Incarnation of the disk named in the membership; replies of other disks are dropped.
     pub incarnation: Incarnation,
-    /// It holds the leader's log up to here, synced.
+    /// Last entry up to which the follower has synced the leader's log.
     pub matched: LogIndex,
-    /// The next entry to send; above `matched`.
+    /// Index of the next entry to send; greater than `matched`.
     pub next: LogIndex,
-    /// How entries are sent.
+    /// How entries are sent to the follower.
     pub mode: SendMode,
-    /// The last entries of the appends on their way; bounded by the limit on appends.
+    /// Last indexes of the appends in flight; bounded by the limit on appends.
     pub in_flight: VecDeque<LogIndex>,
-    /// The last entry of an append on its way that is longer than appends usually are. Whatever
-    /// follows waits for it, since it would overtake it and be rejected.
+    /// Last index of an append in flight that is longer than usual. Later appends wait for it,
+    /// because they would overtake it and be rejected.
     pub oversized_append: Option<LogIndex>,
-    /// When something was first sent without anything on its way, or last got through.
+    /// Time at which the first message in flight was sent, or at which the last one was confirmed.
     pub last_progress_at: Instant,
-    /// When entries or a piece of a snapshot were last sent.
+    /// Time at which entries or a snapshot chunk were last sent.
     pub sent_at: Instant,
-    /// Times that the same was sent again, without anything getting through.
+    /// Number of retransmissions since the last progress.
     pub resends: u32,
-    /// The start of the latest round that it has replied to.
+    /// Start of the latest round that the follower has replied to; `None` before its first reply.
     pub replied_at: Option<Instant>,
-    /// Since when this leader follows it up.
+    /// Time at which this leader started to track the follower.
     pub since: Instant,
 }
 
 /// How entries are sent to a follower.
 #[derive(Clone, Debug)]
 pub enum SendMode {
-    /// One append at a time until one matches.
+    /// One append at a time until one matches the follower's log.
     Probe,
-    /// Several appends at a time.
+    /// Several appends in flight at a time.
     Stream,
-    /// The follower lacks entries that are gone; it gets a snapshot.
+    /// The follower lacks entries that are compacted, so it receives a snapshot.
     Snapshot {
-        /// The snapshot.
+        /// Snapshot that is being sent.
         snapshot: Arc<SavedSnapshot>,
-        /// Bytes that the follower has.
+        /// Number of bytes that the follower has confirmed.
         offset: usize,
     },
 }
 
 impl FollowerProgress {
-    /// A follower of which nothing is known.
+    /// Creates the progress of a follower whose log is unknown.
     pub fn new(incarnation: Incarnation, next: LogIndex, now: Instant) -> Self {
         FollowerProgress {
             incarnation,
@@ -104,19 +105,21 @@
         }
     }
 
-    /// Whether what is on its way counts as lost: the follower has replied to a later round, and for
-    /// `wait`, doubled with each time that the same was sent again, nothing has got through.
+    /// Whether messages in flight count as lost: the follower has replied to a later round, and
+    /// there was no progress for `wait`, doubled with each retransmission.
     ///
-    /// Nothing is sent again to a silent follower, since it would only pile up in queues.
+    /// Nothing is retransmitted to an unresponsive follower, because the copies would accumulate in
+    /// queues.
     pub fn is_stalled(&self, now: Instant, wait: Duration) -> bool {
-        let waits = !self.in_flight.is_empty() || matches!(self.mode, SendMode::Snapshot { .. });
-        let wait = wait * 2_u32.pow(self.resends.min(MOST_DOUBLINGS));
-        waits
+        let is_waiting =
+            !self.in_flight.is_empty() || matches!(self.mode, SendMode::Snapshot { .. });
+        let wait = wait * 2_u32.pow(self.resends.min(MAX_DOUBLINGS));
+        is_waiting
             && self.replied_at.is_some_and(|at| at > self.sent_at)
             && now >= self.last_progress_at + wait
     }
 
-    /// Starts again after what is known to have arrived.
+    /// Resumes sending after the last confirmed entry.
     pub fn rewind(&mut self, now: Instant) {
         if !matches!(self.mode, SendMode::Snapshot { .. }) {
             self.mode = SendMode::Probe;
@@ -127,7 +130,7 @@
         self.last_progress_at = now;
     }
 
-    /// Takes in that the follower holds the log up to `matched`.
+    /// Records that the follower holds the log up to `matched`.
     pub fn advance(&mut self, matched: LogIndex, now: Instant) {
         if let SendMode::Snapshot { snapshot, .. } = &self.mode
             && matched < snapshot.head.index
@@ -150,16 +153,16 @@
 }
 
 impl LeaderState {
-    /// Begins a round.
+    /// Starts a heartbeat round.
     pub fn begin_round(&mut self, now: Instant) {
         self.round += 1;
         self.rounds.insert(self.round, now);
-        while self.rounds.len() > ROUNDS {
+        while self.rounds.len() > MAX_ROUNDS {
             self.rounds.pop_first();
         }
     }
 
-    /// Makes the followers those of a membership.
+    /// Updates the set of followers to the members of a membership.
     pub fn update_followers(
         &mut self,
         membership: &Membership,
@@ -176,8 +179,8 @@
         }
     }
 
-    /// When each follower last replied, or became one: a replica that was just taken in has had no
-    /// time to reply, and would else be taken out as silent before its first reply.
+    /// Time at which each follower last replied or was added. A replica that was just added has had
+    /// no time to reply and must not be removed as unresponsive before its first reply.
     pub fn last_replies(&self) -> BTreeMap<VmId, Instant> {
         let followers = self.followers.iter();
         followers
@@ -185,7 +188,7 @@
             .collect()
     }
 
-    /// The latest time at which a quorum of `membership` is known to have followed this leader:
+    /// Latest time at which a quorum of `membership` is known to have accepted this leader. This is
     /// the start of a round that a quorum replied to, never the arrival of a reply.
     pub fn quorum_contact_at(
         &self,
--- a/src/control/replica/receive.rs
+++ b/src/control/replica/receive.rs
@@ -1,4 +1,4 @@
-//! Takes in messages of other replicas and hands each to its part.
+//! Dispatches received messages to the part of the replica that handles them.
 
 use {
     super::Replica,
@@ -11,21 +11,21 @@
 
 impl Replica {
     pub(super) fn receive(&mut self, now: Instant, from: VmId, message: ReplicaMessage) {
-        let meant_for_another =
+        let is_for_other_disk =
             message.to_incarnation.is_some_and(|incarnation| incarnation != self.incarnation);
         if from == self.settings.vm {
             return;
         }
-        if meant_for_another {
-            // Whoever knows the former disk of this VM knows the group.
+        if is_for_other_disk {
+            // The sender knows a former disk of this VM, and therefore the group.
             return self.note_contacts(message.group, BTreeSet::from([from]));
         }
         if let MessageBody::Contacts { vms } = message.body {
             return self.note_contacts(message.group, vms);
         }
-        self.note_sighting(now, &from, &message);
+        self.observe_peer(now, &from, &message);
         if matches!(message.body, MessageBody::Probe { .. }) {
-            self.name_contacts(&from, message.from_incarnation);
+            self.send_contacts(&from, message.from_incarnation);
         }
         if !self.is_in_group(now, &from, &message) {
             return;
@@ -40,7 +40,7 @@
             | MessageBody::VoteReply { .. } => self.receive_vote(now, from, message),
             MessageBody::Heartbeat { .. }
             | MessageBody::Append { .. }
-            | MessageBody::SnapshotChunk { .. } => self.receive_lead(now, from, message),
+            | MessageBody::SnapshotChunk { .. } => self.receive_from_leader(now, from, message),
             MessageBody::HeartbeatReply { .. }
             | MessageBody::AppendReply { .. }
             | MessageBody::AppendRejected { .. }
--- a/src/control/replica/types.rs
+++ b/src/control/replica/types.rs
@@ -1,4 +1,4 @@
-//! What goes into a replica and what comes out.
+//! Settings, inputs, outputs and status of a replica.
 
 use {
     crate::{
@@ -16,43 +16,45 @@
     },
 };
 
-/// Names a proposal between the replica and its driver.
+/// Identifies a proposal between the replica and its driver.
 pub type ProposalId = u64;
 
-/// What a replica needs to know of its place.
+/// Settings of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
-    /// The VM that it runs on.
+    /// VM that the replica runs on.
     pub vm: VmId,
-    /// The VMs that found the group together; the same set at each of them.
+    /// VMs that found the group together; identical on each of them.
     pub founders: BTreeSet<VmId>,
-    /// Seeds the election timeouts.
+    /// Seed of the random election timeouts.
     pub seed: u64,
-    /// Its timing.
+    /// Timer intervals.
     pub timing: ReplicaTiming,
-    /// Its bounds.
+    /// Limits on sizes and counts.
     pub limits: ReplicaLimits,
 }
 
-/// When a replica acts on its own.
+/// Timer intervals of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaTiming {
-    /// Between two heartbeats of a leader.
+    /// Interval between two heartbeats of a leader.
     pub heartbeat: Duration,
-    /// How long a follower that heard from a leader refuses to vote; elections start after a
-    /// random time from this to twice this. A leader steps down when no quorum answered for it.
+    /// How long a follower withholds its vote after a message of a leader. Elections start after a
+    /// random time between one and two times this value, and a leader without replies of a quorum
+    /// for this long steps down.
     pub election: Duration,
-    /// How long a leader relies on a quorum's reply; shorter than `election` by what clocks may
-    /// drift apart meanwhile.
+    /// How long a leader relies on the replies of a quorum. It is shorter than `election` by the
+    /// margin for clock drift.
     pub lease: Duration,
-    /// Between two probes of a replica without a group.
+    /// Interval between two probes of a replica without a group.
     pub probe: Duration,
 }
 
 impl Default for ReplicaTiming {
-    /// Four heartbeats fit into an election timeout, so three lost ones in a row unseat nobody,
-    /// and a failed leader is replaced within three seconds of the 13 s that a change may take.
-    /// The lease leaves a quarter of the timeout for drift and for late scheduling.
+    /// Four heartbeats fit into an election timeout, so three consecutive lost heartbeats do not
+    /// depose a leader, and a failed leader is replaced within three seconds of the 13 s that a
+    /// change may take. The lease leaves a quarter of the timeout for clock drift and scheduling
+    /// delays.
     fn default() -> Self {
         ReplicaTiming {
             heartbeat: Duration::from_millis(250),
@@ -63,31 +65,32 @@
     }
 }
 
-/// How much a replica holds.
+/// Limits of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaLimits {
-    /// Bytes of one command; a longer one is refused before it enters the log.
+    /// Maximum size in bytes of a command; a larger one is refused before it enters the log.
     pub command_bytes: usize,
-    /// Bytes of entries in one append; one entry goes even if it is longer.
+    /// Maximum size in bytes of the entries of an append; a single larger entry is sent alone.
     pub append_bytes: usize,
-    /// Appends on their way to one follower.
+    /// Maximum number of appends in flight to one follower.
     pub appends_in_flight: usize,
-    /// Bytes of one piece of a snapshot.
+    /// Size in bytes of a snapshot chunk.
     pub chunk_bytes: usize,
-    /// Entries applied since the last snapshot that call for a new one.
+    /// Number of entries applied since the last snapshot that triggers a new one.
     pub compact_entries: u64,
-    /// Bytes of entries kept that call for a new snapshot.
+    /// Size in bytes of the held entries that triggers a new snapshot.
     pub compact_bytes: usize,
-    /// Entries kept in memory behind a snapshot, for followers that are a little late.
+    /// Number of entries kept in memory after a snapshot, for followers that are slightly behind.
     pub kept_entries: u64,
-    /// Proposals that wait for their commit; further ones are refused as busy.
+    /// Maximum number of uncommitted proposals; further ones are refused as busy.
     pub proposals: usize,
 }
 
 impl Default for ReplicaLimits {
-    /// A command must fit into one message between daemons, which is 8 MiB at most: one that no
-    /// follower can be sent would stop the log for good. An append of 256 KiB crosses a domain in well under a heartbeat; 4,096 entries of the
-    /// usual size are about 2 MB of log and replay in a few milliseconds.
+    /// A command must fit into one message between daemons, which is 8 MiB at most; a command that
+    /// cannot be sent to followers would block the log permanently. An append of 256 KiB crosses a
+    /// failure domain in well under a heartbeat interval. 4,096 entries of the usual size are about
+    /// 2 MB of log and are replayed in a few milliseconds.
     fn default() -> Self {
         ReplicaLimits {
             command_bytes: 7 << 20,
@@ -102,67 +105,68 @@
     }
 }
 
-/// What can happen to a replica.
+/// Input of a replica.
 #[derive(Clone, Debug)]
 pub enum ReplicaInput {
-    /// Time has passed.
+    /// A timer is due.
     Tick,
-    /// A message came in.
+    /// A message was received.
     Received {
-        /// The VM that the transport names as the sender.
+        /// VM that the transport has authenticated as the sender.
         from: VmId,
-        /// The message.
+        /// Received message.
         message: ReplicaMessage,
     },
-    /// All batches up to this number are synced.
+    /// All batches up to a number are synced.
     Persisted {
-        /// The number.
+        /// Number of the last synced batch.
         number: u64,
     },
-    /// Someone here wants a command carried out.
+    /// A local client proposes a command.
     Propose {
-        /// Comes back with the outcome.
+        /// Identifies the proposal; returned with its outcome.
         proposal: ProposalId,
-        /// The command.
+        /// Proposed command.
         command: Command,
     },
-    /// The settings name these VMs now: without a group the replica makes itself known to them as
-    /// well. They found nothing.
+    /// The settings name these VMs now. A replica without a group probes them as well; they take no
+    /// part in founding a group.
     ConfiguredPeers {
-        /// The VMs.
+        /// VMs named in the settings.
         peers: BTreeSet<VmId>,
     },
 }
 
-/// What a replica wants done.
+/// Action requested by a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaAction {
-    /// Write and sync, in the order of the numbers, then report it as `Persisted`.
+    /// Write and sync the batch, in the order of the numbers, then report it with
+    /// [`ReplicaInput::Persisted`].
     Persist(PersistBatch),
-    /// Send; the message may be lost, doubled or overtaken.
+    /// Send a message. It may be lost, duplicated or reordered.
     Send {
-        /// The VM.
+        /// VM of the receiver.
         to: VmId,
-        /// The message.
+        /// Message to send.
         message: ReplicaMessage,
     },
-    /// A proposal has its outcome.
+    /// A proposal is completed.
     Completed {
-        /// The proposal.
+        /// Identifies the proposal.
         proposal: ProposalId,
-        /// Its outcome.
+        /// Outcome of the proposal.
         outcome: Result<CommandOutcome, LocalProposeError>,
     },
-    /// Something that an operator should read.
+    /// Event to log for the operator.
     Report(String),
 }
 
-/// Why a proposal at this replica has no outcome.
+/// Why a proposal at this replica returned no outcome.
 #[derive(Clone, Debug, Display, PartialEq)]
 pub enum LocalProposeError {
     /// this replica does not lead and the command did not enter its log; propose it at the leader
     NotLeader {
-        /// The leader, as far as this replica knows.
+        /// Leader known to this replica; `None` if it knows none.
         leader: Option<VmId>,
     },
     /// the leader reaches no quorum and the command did not enter the log; retry when it does
@@ -187,24 +191,24 @@
     }
 }
 
-/// What a replica does in its group.
+/// Role of a replica in its group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReplicaRole {
-    /// Belongs to no group: waits for the founding, or to be taken in by command.
+    /// Belongs to no group; waits for the founding or until it is added.
     #[default]
     Waiting,
     /// Follows the leader without counting in quorums.
     Learner,
-    /// Follows the leader, or waits for one.
+    /// Voter that follows the leader or waits for one.
     Follower,
-    /// Asks for votes.
+    /// Voter that requests votes.
     Candidate,
-    /// Leads.
+    /// Voter that leads the group.
     Leader,
 }
 
 impl ReplicaRole {
-    /// The name used by operators.
+    /// Name of the role in operator output.
     pub fn as_str(self) -> &'static str {
         match self {
             ReplicaRole::Waiting => "waiting",
@@ -216,39 +220,39 @@
     }
 }
 
-/// What a replica tells about itself.
+/// Status of a replica.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplicaStatus {
-    /// What it does.
+    /// Role in the group.
     pub role: ReplicaRole,
-    /// The incarnation of its disk.
+    /// Incarnation of its disk.
     pub incarnation: Incarnation,
-    /// Its term.
+    /// Current term.
     pub term: Term,
-    /// The leader it knows.
+    /// Known leader; `None` while there is none.
     pub leader: Option<VmId>,
-    /// Whether all that was committed until a moment ago is applied here.
+    /// Whether everything committed until recently is applied on this replica.
     pub is_fresh: bool,
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     pub commit: LogIndex,
-    /// The last entry applied to the state machine.
+    /// Index of the last entry applied to the state machine.
     pub applied: LogIndex,
-    /// The last entry of its log.
+    /// Index of the last entry of the log.
     pub last: LogIndex,
-    /// The members, as far as it knows.
+    /// Membership known to this replica.
     pub members: Membership,
-    /// Disks that it has heard from within the last probes and that are no members: they may be taken
-    /// in.
+    /// Disks that have sent a message within the last probe intervals and are no members. They can
+    /// be added to the group.
     pub non_members: BTreeMap<VmId, Incarnation>,
-    /// Control VMs that others have named in this life.
+    /// Control VMs named by others since the process started.
     pub contacts: BTreeSet<VmId>,
-    /// Until when no other replica can lead; `None` unless this one leads.
+    /// End of the leader lease; `None` unless this replica leads.
     pub lease_until: Option<Instant>,
-    /// When each other member last replied to this leader, or this leader began; empty unless it
-    /// leads.
+    /// Time at which each other member last replied to this leader, or was added; empty unless this
+    /// replica leads.
     pub last_replies: BTreeMap<VmId, Instant>,
-    /// Since when it leads; `None` unless it does.
+    /// Time of its election; `None` unless this replica leads.
     pub leader_since: Option<Instant>,
-    /// Why it stopped, once it has: the text names the remedy.
+    /// Reason why the replica stopped, with the remedy; `None` while it runs.
     pub failure: Option<String>,
 }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine: configuration, ledger, desired weights and suspects.
+//! Replicated state machine: configuration, documents, ledger, desired weights and suspects.
 
 use {
     crate::{
@@ -15,48 +15,50 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The version of the snapshot's encoding; an unknown one is refused.
+/// Version of the snapshot encoding; snapshots of unknown versions are refused.
 const STATE_VERSION: u32 = 4;
-/// The version that kept given-back claims among the calls; still read, so that an upgrade loses nothing.
+/// Version that stored released claims as calls. It is still read, so that an upgrade loses no
+/// data.
 const VERSION_WITHOUT_FLOORS: u32 = 3;
-/// The version that kept desired weights for each server; still read as well.
-const VERSION_BY_SERVER: u32 = 2;
-/// The version before documents were kept; still read as well.
+/// Version that stored desired weights per server; still read.
+const VERSION_PER_SERVER: u32 = 2;
+/// Version without documents; still read.
 const VERSION_WITHOUT_DOCUMENTS: u32 = 1;
 const HOUR_MS: u64 = 3_600_000;
 
-/// The state that all replicas agree on. The same commands in the same order make the same state.
+/// State on which all replicas agree. Applying the same commands in the same order produces the
+/// same state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControlState {
     configuration: ConfigState,
     ledger: IdempotencyLedger,
     orders: WeightOrders,
     suspects: SuspectTable,
-    /// Last, so that a snapshot without it is a prefix of one with it.
+    /// Last field, so that a snapshot without it is a prefix of one with it.
     documents: DocumentState,
 }
 
-/// What snapshots of earlier versions have in common.
+/// Fields common to snapshots of earlier versions.
 #[derive(Deserialize)]
-struct FormerState<O> {
+struct LegacyState<O> {
     configuration: ConfigState,
     ledger: LegacyLedger,
     orders: O,
     suspects: SuspectTable,
 }
 
-impl<O: Into<WeightOrders>> FormerState<O> {
+impl<O: Into<WeightOrders>> LegacyState<O> {
     fn upgrade(self, documents: DocumentState) -> ControlState {
-        let FormerState { configuration, ledger, orders, suspects } = self;
+        let LegacyState { configuration, ledger, orders, suspects } = self;
         let (ledger, orders) = (ledger.into(), orders.into());
         ControlState { configuration, ledger, orders, suspects, documents }
     }
 }
 
-/// What a snapshot holds whose weights are kept by server.
-type ServerState = FormerState<LegacyWeightOrders>;
+/// Snapshot with desired weights per server.
+type PerServerState = LegacyState<LegacyWeightOrders>;
 
-/// Why a snapshot cannot be read.
+/// Error when a snapshot cannot be decoded.
 #[derive(Clone, Debug, Display, PartialEq)]
 pub enum StateError {
     /// the snapshot has the unknown version {0}; run the release that wrote it, or a later one
@@ -68,32 +70,32 @@
 impl std::error::Error for StateError {}
 
 impl ControlState {
-    /// The configuration.
+    /// Configuration and the results of its changes.
     pub fn configuration(&self) -> &ConfigState {
         &self.configuration
     }
 
-    /// The ledger.
+    /// Ledger of non-repeatable calls.
     pub fn ledger(&self) -> &IdempotencyLedger {
         &self.ledger
     }
 
-    /// The desired weights.
+    /// Desired weights of each model.
     pub fn orders(&self) -> &WeightOrders {
         &self.orders
     }
 
-    /// The suspects.
+    /// Fingerprints of requests that crash backend servers.
     pub fn suspects(&self) -> &SuspectTable {
         &self.suspects
     }
 
-    /// The operators' numbered document and the versions of weights they named.
+    /// Operators' numbered document and the named weights versions.
     pub fn documents(&self) -> &DocumentState {
         &self.documents
     }
 
-    /// Carries out a committed command; `number` is its place in the log.
+    /// Applies a committed command; `number` consists of the term and the index of its log entry.
     pub fn apply(&mut self, number: FencingNumber, command: &Command) -> CommandOutcome {
         match command {
             Command::ApplyRegister { operation, expected, body } => {
@@ -146,31 +148,31 @@
         }
     }
 
-    /// The state as bytes.
+    /// Encodes the state with its version.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(&(STATE_VERSION, self)).expect("the state always encodes")
     }
 
-    /// The state from bytes.
+    /// Decodes a state of this or an earlier version.
     ///
     /// # Errors
-    /// When the version is unknown or the bytes are damaged.
+    /// Returns an error if the version is unknown or the bytes are damaged.
     pub fn decode(bytes: &[u8]) -> Result<Self, StateError> {
         let damaged = |error: postcard::Error| StateError::Damaged(error.to_string());
         let (version, rest) = postcard::take_from_bytes::<u32>(bytes).map_err(damaged)?;
         let mut state = match version {
             STATE_VERSION => postcard::from_bytes(rest).map_err(damaged)?,
             VERSION_WITHOUT_FLOORS => {
-                let (former, documents) = postcard::from_bytes(rest).map_err(damaged)?;
-                FormerState::<WeightOrders>::upgrade(former, documents)
+                let (legacy, documents) = postcard::from_bytes(rest).map_err(damaged)?;
+                LegacyState::<WeightOrders>::upgrade(legacy, documents)
             }
-            VERSION_BY_SERVER => {
-                let (former, documents) = postcard::from_bytes(rest).map_err(damaged)?;
-                ServerState::upgrade(former, documents)
+            VERSION_PER_SERVER => {
+                let (legacy, documents) = postcard::from_bytes(rest).map_err(damaged)?;
+                PerServerState::upgrade(legacy, documents)
             }
             VERSION_WITHOUT_DOCUMENTS => {
-                let former = postcard::from_bytes(rest).map_err(damaged)?;
-                ServerState::upgrade(former, DocumentState::default())
+                let legacy = postcard::from_bytes(rest).map_err(damaged)?;
+                PerServerState::upgrade(legacy, DocumentState::default())
             }
             unknown => return Err(StateError::UnknownVersion(unknown)),
         };
