--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,8 +1,8 @@
-//! Backend servers as a platform lists them: a feed that lags, is limited in rate, and names each
-//! server's life and weights.
+//! Backend servers as listed by the platform. The list lags behind, is limited in rate, and names
+//! the incarnation and the weights of each server.
 //!
-//! One control VM reads the feed and all daemons follow it, so the platform is asked once for all of
-//! them; see [`watch`] for who reads when that VM is away.
+//! One control VM reads the list and all daemons follow it, so the platform receives one request
+//! for all of them. See [`watch`] for who reads while that VM is unavailable.
 
 pub mod history;
 pub mod watch;
@@ -14,43 +14,44 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Servers taken from one reading: several times the 870 of the design size.
+/// Maximum number of servers accepted from one reading, several times the 870 of the design size.
 pub const MAX_SERVERS: usize = 4_096;
 
-/// What a server may be given.
+/// Phase of a server, which determines the work that it receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerPhase {
-    /// New work.
+    /// Receives new work.
     Ready,
-    /// Nothing new for a while: it is about to load weights or loads them.
+    /// Receives no new work for a while: it is about to load weights or is loading them.
     Loading,
-    /// Nothing new: it is leaving.
+    /// Receives no new work: it is being removed.
     Draining,
 }
 
-/// One life of a backend server.
+/// Incarnation of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedServer {
-    /// Its name.
+    /// Unique name; a restarted server may keep it.
     pub id: ServerId,
-    /// The service that it belongs to.
+    /// Service that the server belongs to.
     pub service: ServiceId,
-    /// Where it listens; after its end the address may go to a server of another service.
+    /// Address on which the server listens. After its end the address may be assigned to a server
+    /// of another service.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the server.
     pub failure_domain: FailureDomainId,
-    /// Requests that it runs at once.
+    /// Number of requests that the server processes concurrently.
     pub slots: u32,
-    /// What it may be given.
+    /// Determines whether the server receives new work.
     pub phase: ServerPhase,
-    /// Its life: a start under the same name has a later one.
+    /// Incarnation of the server; a restart under the same name has a higher number.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// Weights that it had loaded when the list was made, by model; empty for plain services.
+    /// Weights loaded when the list was created, by model; empty for services without models.
     pub weights: BTreeMap<ModelId, WeightsNumber>,
 }
 
-/// One reading of the list; servers in the order of their names.
+/// One reading of the list, with servers in the order of their names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetSnapshot {
     /// At most [`MAX_SERVERS`], each name once.
@@ -58,36 +59,38 @@
 }
 
 impl FleetSnapshot {
-    /// A snapshot in its canonical order; beyond [`MAX_SERVERS`] the last names are dropped.
+    /// Creates a snapshot in canonical order. Beyond [`MAX_SERVERS`] the last names are dropped.
     pub fn new(mut servers: Vec<ListedServer>) -> Self {
         servers.sort_by(|one, other| one.id.cmp(&other.id));
         servers.dedup_by(|one, other| one.id == other.id);
         if servers.len() > MAX_SERVERS {
             log::error!(listed = servers.len(), kept = MAX_SERVERS;
-                "the server list is too long and was cut; split the installation");
+                "the server list is too long and was truncated; split the installation");
             servers.truncate(MAX_SERVERS);
         }
         FleetSnapshot { servers }
     }
 
-    /// Servers that were draining in an earlier snapshot of this life still are.
+    /// Keeps servers draining that were draining in an earlier snapshot of the same incarnation.
     ///
-    /// A follower that turns to another control VM may be given an older list, in which a server that
-    /// is leaving still is ready; it would get new work again after its last seconds had begun.
-    pub fn keep_draining(&mut self, former: &FleetSnapshot) {
+    /// A follower that switches to another control VM may receive an older list, in which a server
+    /// that is being removed is still ready. The server would then receive new work again shortly
+    /// before it stops.
+    pub fn keep_draining(&mut self, previous: &FleetSnapshot) {
         for server in &mut self.servers {
-            let known = former.servers.binary_search_by(|known| known.id.cmp(&server.id));
-            let known = known.ok().map(|index| &former.servers[index]);
-            let drains = known.is_some_and(|known| {
+            let known = previous.servers.binary_search_by(|known| known.id.cmp(&server.id));
+            let known = known.ok().map(|index| &previous.servers[index]);
+            let was_draining = known.is_some_and(|known| {
                 known.incarnation == server.incarnation && known.phase == ServerPhase::Draining
             });
-            if drains {
+            if was_draining {
                 server.phase = ServerPhase::Draining;
             }
         }
     }
 
-    /// Tells snapshots apart; equal for equal snapshots on every daemon, 0 for the empty one.
+    /// Digest that identifies the snapshot. It is the same on every daemon and 0 for an empty
+    /// snapshot.
     pub fn digest(&self) -> u64 {
         if self.servers.is_empty() {
             return 0;
--- a/src/fleet/history.rs
+++ b/src/fleet/history.rs
@@ -1,8 +1,8 @@
-//! The latest lists that followers were given, so that they are told differences.
+//! Recently published server lists, so that followers receive differences instead of whole lists.
 //!
-//! Load pattern: new weights change hundreds of servers within seconds, one after the other, while
-//! hundreds of daemons follow the list. Sent whole to each of them at each change, it takes so much of a
-//! control VM's processor that the leader's heartbeats come too late.
+//! During a rollout of weights, hundreds of servers change one after the other within seconds while
+//! hundreds of daemons follow the list. Sending the whole list to each of them at each change takes
+//! so much CPU time of a control VM that the leader's heartbeats are delayed.
 
 use {
     super::{FleetSnapshot, ListedServer},
@@ -14,105 +14,108 @@
     },
 };
 
-/// Lists kept: some seconds of changes. A follower that holds an older one is given the whole list.
+/// Number of retained lists, which covers several seconds of changes. A follower with an older list
+/// receives the whole list.
 const KEPT_LISTS: usize = 64;
 
-/// What makes one list out of another.
+/// Difference between two server lists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetDelta {
-    /// The digest of the list that it applies to.
+    /// Digest of the list to which the difference applies.
     pub base: u64,
-    /// The digest of the list that comes out.
+    /// Digest of the resulting list.
     pub digest: u64,
-    /// Servers that are new or differ.
+    /// Servers that are new or changed.
     pub changed: Vec<ListedServer>,
-    /// Servers that are no longer listed.
+    /// Names of servers that are no longer listed.
     #[serde(rename = "gone")]
     pub removed: Vec<ServerId>,
 }
 
-/// What a follower of the list lacks.
+/// Update that brings a follower to the current list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetChange {
-    /// It holds a list that was given a short while ago.
+    /// Difference to a recently published list.
     Delta(Arc<FleetDelta>),
-    /// It holds none, or one that is not known here.
+    /// Whole list, for a follower that holds none or an unknown one.
     Full(Arc<FleetSnapshot>),
 }
 
-/// Lists by their digests.
+/// Published lists by their digests.
 #[derive(Debug, Default)]
 pub struct FleetHistory {
-    /// The lists that followers were given, oldest first; at most [`KEPT_LISTS`]. The last is the
-    /// present one.
-    given: VecDeque<(u64, Arc<FleetSnapshot>)>,
-    /// Differences to the present list by their base; at most one for each list that is kept.
+    /// Published lists, oldest first; at most [`KEPT_LISTS`]. The last one is the current list.
+    published: VecDeque<(u64, Arc<FleetSnapshot>)>,
+    /// Differences to the current list by the digest of their base; at most one for each retained
+    /// list.
     deltas: BTreeMap<u64, Arc<FleetDelta>>,
 }
 
 impl FleetHistory {
-    /// What a follower that holds the list of digest `held` lacks of `present`; `None` if nothing.
-    pub fn change_since(&mut self, held: u64, present: &Arc<FleetSnapshot>) -> Option<FleetChange> {
-        let digest = self.note(present);
+    /// Returns the update from the list with digest `held` to the list `current`; `None` if the
+    /// lists are equal.
+    pub fn change_since(&mut self, held: u64, current: &Arc<FleetSnapshot>) -> Option<FleetChange> {
+        let digest = self.note(current);
         if digest == 0 || digest == held {
             return None;
         }
         if let Some(delta) = self.deltas.get(&held) {
             return Some(FleetChange::Delta(Arc::clone(delta)));
         }
-        let Some((_, base)) = self.given.iter().find(|(known, _)| *known == held) else {
-            return Some(FleetChange::Full(Arc::clone(present)));
+        let Some((_, base)) = self.published.iter().find(|(known, _)| *known == held) else {
+            return Some(FleetChange::Full(Arc::clone(current)));
         };
-        let delta = Arc::new(difference((held, base), (digest, present)));
+        let delta = Arc::new(difference((held, base), (digest, current)));
         self.deltas.insert(held, Arc::clone(&delta));
         Some(FleetChange::Delta(delta))
     }
 
-    /// The digest of the present list, which is counted once however many followers ask.
-    fn note(&mut self, present: &Arc<FleetSnapshot>) -> u64 {
-        if let Some((digest, last)) = self.given.back()
-            && Arc::ptr_eq(last, present)
+    /// Returns the digest of the current list, which is computed once regardless of the number of
+    /// followers.
+    fn note(&mut self, current: &Arc<FleetSnapshot>) -> u64 {
+        if let Some((digest, last)) = self.published.back()
+            && Arc::ptr_eq(last, current)
         {
             return *digest;
         }
-        let digest = present.digest();
+        let digest = current.digest();
         self.deltas.clear();
-        self.given.retain(|(known, _)| *known != digest);
-        if self.given.len() >= KEPT_LISTS {
-            self.given.pop_front();
+        self.published.retain(|(known, _)| *known != digest);
+        if self.published.len() >= KEPT_LISTS {
+            self.published.pop_front();
         }
-        self.given.push_back((digest, Arc::clone(present)));
+        self.published.push_back((digest, Arc::clone(current)));
         digest
     }
 }
 
 fn difference(
-    (base, former): (u64, &FleetSnapshot),
-    (digest, present): (u64, &FleetSnapshot),
+    (base, previous): (u64, &FleetSnapshot),
+    (digest, current): (u64, &FleetSnapshot),
 ) -> FleetDelta {
     let by_id = |list: &FleetSnapshot, id: &ServerId| {
         list.servers.binary_search_by(|server| server.id.cmp(id)).ok()
     };
-    let changed = present.servers.iter().filter(|server| {
-        let known = by_id(former, &server.id).map(|index| &former.servers[index]);
+    let changed = current.servers.iter().filter(|server| {
+        let known = by_id(previous, &server.id).map(|index| &previous.servers[index]);
         known != Some(*server)
     });
-    let gone = former.servers.iter().filter(|server| by_id(present, &server.id).is_none());
+    let removed = previous.servers.iter().filter(|server| by_id(current, &server.id).is_none());
     FleetDelta {
         base,
         digest,
         changed: changed.cloned().collect(),
-        removed: gone.map(|server| server.id.clone()).collect(),
+        removed: removed.map(|server| server.id.clone()).collect(),
     }
 }
 
 impl FleetSnapshot {
-    /// This list with the changes of `delta`.
+    /// Applies a difference to this list.
     pub fn apply(&self, delta: &FleetDelta) -> FleetSnapshot {
         let mut servers: BTreeMap<&ServerId, &ListedServer> =
             self.servers.iter().map(|server| (&server.id, server)).collect();
-        for gone in &delta.removed {
-            servers.remove(gone);
+        for removed in &delta.removed {
+            servers.remove(removed);
         }
         servers.extend(delta.changed.iter().map(|server| (&server.id, server)));
         FleetSnapshot::new(servers.into_values().cloned().collect())
--- a/src/fleet/watch.rs
+++ b/src/fleet/watch.rs
@@ -1,10 +1,10 @@
-//! Who reads the platform's list, and how often.
+//! Reading and publishing the platform's server list.
 //!
-//! The leader of the control replicas reads; the others follow it. A control VM that hears nothing
-//! of the leader reads by itself, so that a failure domain that is cut off still learns which
-//! servers leave. At one reading a second a leaving server is known everywhere little more than a
-//! second after the list shows it (derived), within the 3 s after which it must get nothing new; each reading is priced, and twice
-//! the rate would gain half a second.
+//! The leader of the control replicas reads the list and the others follow it. A control VM without
+//! contact to the leader reads the list itself, so that a failure domain that is cut off still
+//! learns which servers are being removed. With one reading a second, all daemons know of such a
+//! server little more than a second after the list shows it, within the 3 s after which it must
+//! receive no new work. Each reading has a price, and twice the rate would gain half a second.
 
 use {
     super::{
@@ -27,32 +27,33 @@
     },
 };
 
-/// Between two readings of the list by the VM whose turn it is.
+/// Interval between two readings of the list by the VM that is responsible for reading it.
 pub const READ_INTERVAL: Duration = Duration::from_secs(1);
-/// A follower reads by itself when the leader's list was not confirmed for so long: two readings
-/// and the time that a follower waits for a change.
+/// A follower reads the list itself if the leader's list was not confirmed for this long: two
+/// reading intervals plus the time for which a follower waits for a change.
 pub const LEADER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A server that was held back for loading is given work again after this, whatever became of it:
-/// longer than any load, short enough to lose little when the leader that held it is gone.
+/// A server that was held back for loading weights receives work again after this time. It is
+/// longer than any load of weights, and short enough to lose little capacity if the leader that
+/// held the server back fails.
 const HOLD_LIMIT: Duration = Duration::from_secs(5);
 
-/// Reads the platform's list.
+/// Source of the platform's server list.
 pub trait FleetSource: Send + Sync {
-    /// One whole reading; `None` if the platform could not be read, with the reason in the log.
+    /// Reads the whole list. `None` if the platform could not be read; the reason is logged.
     fn read(&self) -> BoxFuture<'_, Option<FleetSnapshot>>;
 }
 
-/// Between two lists that followers are shown, for each listed server: while new weights are loaded the
-/// list changes with each server, and a follower goes over all of it at each showing.
+/// Time per listed server between two publications. While weights are loaded the list changes with
+/// each server, and a follower processes the whole list at each publication.
 const PUBLISH_INTERVAL_PER_SERVER: Duration = Duration::from_micros(300);
-/// Between two lists that followers are shown, at most.
+/// Maximum time between two publications.
 pub const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The list in force on a control VM, with the servers that the leader holds back.
+/// Current list on a control VM, including the servers that the leader holds back.
 pub struct FleetView {
     merged: watch::Sender<Arc<FleetSnapshot>>,
-    /// The merged list as followers are shown it, a moment later.
-    shown: watch::Sender<Arc<FleetSnapshot>>,
+    /// Merged list as published to followers, with a short delay.
+    published: watch::Sender<Arc<FleetSnapshot>>,
     state: Mutex<ViewState>,
     history: Mutex<FleetHistory>,
 }
@@ -61,17 +62,18 @@
 struct ViewState {
     listed: Arc<FleetSnapshot>,
     confirmed: Option<Instant>,
-    /// Servers held back and since when; only of the list.
+    /// Servers that are held back, with the start times; only servers of the list.
     held: BTreeMap<ServerId, Instant>,
-    /// Weights that servers told themselves, with the life that told them; only of the list.
-    told: BTreeMap<ServerId, (Incarnation, BTreeMap<ModelId, WeightsNumber>)>,
+    /// Weights reported by the servers themselves, with the incarnation that reported them; only
+    /// servers of the list.
+    reported: BTreeMap<ServerId, (Incarnation, BTreeMap<ModelId, WeightsNumber>)>,
 }
 
 impl Default for FleetView {
     fn default() -> Self {
         FleetView {
             merged: watch::channel(Arc::default()).0,
-            shown: watch::channel(Arc::default()).0,
+            published: watch::channel(Arc::default()).0,
             state: Mutex::default(),
             history: Mutex::default(),
         }
@@ -79,33 +81,34 @@
 }
 
 impl FleetView {
-    /// Follows the list.
+    /// Subscribes to the current list.
     pub fn subscribe(&self) -> watch::Receiver<Arc<FleetSnapshot>> {
         self.merged.subscribe()
     }
 
-    /// Follows the list that followers are shown.
+    /// Subscribes to the list that is published to followers.
     pub fn subscribe_published(&self) -> watch::Receiver<Arc<FleetSnapshot>> {
-        self.shown.subscribe()
+        self.published.subscribe()
     }
 
-    /// What a follower that holds the list of digest `held` lacks of the one that is shown; `None` if
-    /// nothing.
+    /// Returns the update from the list with digest `held` to the published list; `None` if the
+    /// lists are equal.
     pub fn change_since(&self, held: u64) -> Option<FleetChange> {
-        let present = self.shown.borrow().clone();
+        let current = self.published.borrow().clone();
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
-        history.change_since(held, &present)
+        history.change_since(held, &current)
     }
 
-    /// Takes over a reading made here.
+    /// Applies a reading made by this VM.
     pub fn apply_reading(&self, snapshot: FleetSnapshot) {
         let mut state = self.lock();
         state.listed = Arc::new(snapshot);
         state.confirmed = Some(Instant::now());
-        self.show(&mut state);
+        self.update_merged(&mut state);
     }
 
-    /// Takes over the leader's list, which has its own servers held back already.
+    /// Applies the leader's list, in which the servers held back by the leader are already marked.
+    /// `None` confirms the known list.
     pub fn apply_leader_list(&self, snapshot: Option<Arc<FleetSnapshot>>) {
         let mut state = self.lock();
         state.confirmed = Some(Instant::now());
@@ -114,37 +117,37 @@
         {
             state.held.clear();
             state.listed = snapshot;
-            self.show(&mut state);
+            self.update_merged(&mut state);
         }
     }
 
-    /// Gives a server nothing new for now.
+    /// Holds a server back from new work.
     pub fn hold(&self, server: &ServerId) {
         let mut state = self.lock();
         state.held.insert(server.clone(), Instant::now());
-        self.show(&mut state);
+        self.update_merged(&mut state);
     }
 
-    /// Gives a server work again.
+    /// Ends the hold on a server.
     pub fn release(&self, server: &ServerId) {
         let mut state = self.lock();
         if state.held.remove(server).is_some() {
-            self.show(&mut state);
+            self.update_merged(&mut state);
         }
     }
 
-    /// Notes the weights that a server told itself: the list lags behind it.
+    /// Records the weights reported by a server, since the list lags behind the server.
     pub fn report_weights(
         &self,
         server: &ServerId,
-        life: Incarnation,
+        incarnation: Incarnation,
         weights: BTreeMap<ModelId, WeightsNumber>,
     ) {
         let mut state = self.lock();
-        let told = (life, weights);
-        if state.told.get(server) != Some(&told) {
-            state.told.insert(server.clone(), told);
-            self.show(&mut state);
+        let report = (incarnation, weights);
+        if state.reported.get(server) != Some(&report) {
+            state.reported.insert(server.clone(), report);
+            self.update_merged(&mut state);
         }
     }
 
@@ -153,27 +156,27 @@
         self.lock().confirmed.is_some_and(|at| at.elapsed() < age)
     }
 
-    fn show(&self, state: &mut ViewState) {
+    fn update_merged(&self, state: &mut ViewState) {
         state.held.retain(|_, since| since.elapsed() < HOLD_LIMIT);
         let mut merged = FleetSnapshot::clone(&state.listed);
         let listed: BTreeSet<&ServerId> = merged.servers.iter().map(|server| &server.id).collect();
-        state.told.retain(|server, _| listed.contains(server));
+        state.reported.retain(|server, _| listed.contains(server));
         for server in &mut merged.servers {
-            if let Some((life, told)) = state.told.get(&server.id)
-                && *life == server.incarnation
+            if let Some((incarnation, reported)) = state.reported.get(&server.id)
+                && *incarnation == server.incarnation
             {
                 for (model, version) in &mut server.weights {
-                    *version = told.get(model).copied().unwrap_or_default().max(*version);
+                    *version = reported.get(model).copied().unwrap_or_default().max(*version);
                 }
             }
             if server.phase == ServerPhase::Ready && state.held.contains_key(&server.id) {
                 server.phase = ServerPhase::Loading;
             }
         }
-        self.merged.send_if_modified(|shown| {
-            let changed = **shown != merged;
+        self.merged.send_if_modified(|current| {
+            let changed = **current != merged;
             if changed {
-                *shown = Arc::new(merged);
+                *current = Arc::new(merged);
             }
             changed
         });
@@ -184,37 +187,37 @@
     }
 }
 
-/// Shows followers the list whenever it changes, the more rarely the longer it is; for ever.
-pub async fn publish_list(board: Arc<FleetView>) {
-    let mut merged = board.subscribe();
+/// Publishes the list whenever it changes, less often the longer it is. Never returns.
+pub async fn publish_list(view: Arc<FleetView>) {
+    let mut merged = view.subscribe();
     merged.mark_changed();
     while merged.changed().await.is_ok() {
         let list = merged.borrow_and_update().clone();
         let count = u32::try_from(list.servers.len()).unwrap_or(u32::MAX);
-        board.shown.send_replace(list);
+        view.published.send_replace(list);
         sleep(PUBLISH_INTERVAL_PER_SERVER.saturating_mul(count).min(PUBLISH_INTERVAL)).await;
     }
 }
 
-/// Tells in the log when the list stops being confirmed, and when it is again.
+/// Logs when the list stops being confirmed and when it is confirmed again.
 #[derive(Debug, Default)]
 pub struct ListMonitor {
-    /// Since when it is not; `None` while it is.
-    lost: Option<Instant>,
+    /// Time since which the list is not confirmed; `None` while it is.
+    unconfirmed_since: Option<Instant>,
 }
 
 impl ListMonitor {
-    /// Takes in whether the list, which names `servers`, was confirmed just now. True if the log
-    /// was told of a change.
+    /// Records whether the list of `servers` servers was just confirmed. Returns true if a change
+    /// was logged.
     pub fn note(&mut self, confirmed: bool, servers: usize) -> bool {
-        match (confirmed, self.lost) {
+        match (confirmed, self.unconfirmed_since) {
             (false, None) => {
-                self.lost = Some(Instant::now());
+                self.unconfirmed_since = Some(Instant::now());
                 log::warn!(servers = servers; "{}", events::LIST_LOST);
                 true
             }
             (true, Some(since)) => {
-                self.lost = None;
+                self.unconfirmed_since = None;
                 log::info!(servers = servers, away_ms = since.elapsed().as_millis() as u64;
                     "{}", events::LIST_BACK);
                 true
@@ -224,20 +227,21 @@
     }
 }
 
-/// Reads the list whenever it is this VM's turn, for ever. `leads` says whether this VM leads now.
+/// Reads the list whenever this VM is responsible for it. Never returns. `leads` tells whether this
+/// VM currently leads.
 pub async fn read_list(
-    board: Arc<FleetView>,
+    view: Arc<FleetView>,
     source: Arc<dyn FleetSource>,
     leads: impl Fn() -> bool,
 ) {
-    let mut notice = ListMonitor::default();
+    let mut monitor = ListMonitor::default();
     loop {
-        if leads() || !board.is_fresh(LEADER_TIMEOUT) {
+        if leads() || !view.is_fresh(LEADER_TIMEOUT) {
             let reading = source.read().await;
-            let known = board.subscribe().borrow().servers.len();
+            let known = view.subscribe().borrow().servers.len();
             let servers = reading.as_ref().map_or(known, |snapshot| snapshot.servers.len());
-            notice.note(reading.is_some(), servers);
-            reading.into_iter().for_each(|snapshot| board.apply_reading(snapshot));
+            monitor.note(reading.is_some(), servers);
+            reading.into_iter().for_each(|snapshot| view.apply_reading(snapshot));
         }
         sleep(READ_INTERVAL).await;
     }
--- a/src/storage.rs
+++ b/src/storage.rs
@@ -1,8 +1,10 @@
-//! Durable files: the write-ahead log and snapshots. A write counts only once it is synced.
+//! Durable storage of a replica: a write-ahead log and snapshots. A write counts only once it is
+//! synced.
 //!
-//! One folder holds one replica's state as a *generation*: a log file, and the snapshot that the
-//! log follows if there is one. Opening the folder and each new snapshot write a new generation
-//! whole, sync it, and only then rename it into place; the one before is removed afterwards.
+//! A folder holds the state of one replica as a *generation*: a log file and, if there is one, the
+//! snapshot that the log follows. Opening the folder and saving a snapshot each write a complete
+//! new generation, sync it, and only then rename it to its final name. The previous generation is
+//! removed afterwards.
 
 pub mod files;
 pub mod frame;
--- a/src/storage/files.rs
+++ b/src/storage/files.rs
@@ -1,4 +1,4 @@
-//! The files of one folder behind a small trait, so that tests can make them fail.
+//! File system access to one folder, behind a trait so that tests can inject faults.
 
 use std::{
     fs::{self, File, OpenOptions, TryLockError},
@@ -6,69 +6,69 @@
     path::{Path, PathBuf},
 };
 
-/// Where files that cannot be trusted are kept for a person to look at.
+/// Subfolder that keeps damaged files for inspection.
 pub const QUARANTINE: &str = "quarantine";
 const LOCK: &str = "lock";
 
-/// A file that only grows.
+/// Append-only file.
 pub trait LogFile: Send {
-    /// Adds bytes at the end; they count only after [`LogFile::sync`].
+    /// Appends bytes. They are durable only after [`LogFile::sync`].
     ///
     /// # Errors
-    /// As the file system gives them.
+    /// Returns errors of the file system.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes everything added so far survive a crash.
+    /// Makes all bytes appended so far durable.
     ///
     /// # Errors
-    /// As the file system gives them. After one nothing is known about the file.
+    /// Returns errors of the file system. After an error the content of the file is undefined.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// The files of one folder, by name.
+/// Files of one folder, identified by name.
 pub trait FileSystem: Send {
-    /// The names of the files, in order.
+    /// Lists the names of the files in ascending order.
     ///
     /// # Errors
-    /// As the file system gives them.
+    /// Returns errors of the file system.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// The whole of a file.
+    /// Reads a whole file.
     ///
     /// # Errors
-    /// As the file system gives them.
+    /// Returns errors of the file system.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Begins a file anew.
+    /// Creates an empty file, or truncates an existing one.
     ///
     /// # Errors
-    /// As the file system gives them.
+    /// Returns errors of the file system.
     fn create(&mut self, name: &str) -> io::Result<Box<dyn LogFile>>;
 
-    /// Gives a file another name, in place of any that had it, and syncs the folder.
+    /// Renames a file, replacing any file of that name, and syncs the folder.
     ///
     /// # Errors
-    /// As the file system gives them.
+    /// Returns errors of the file system.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file.
+    /// Removes a file; the folder is not synced.
     ///
     /// # Errors
-    /// As the file system gives them.
+    /// Returns errors of the file system.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Moves files out of use under [`QUARANTINE`], where nothing reads them again, and syncs.
+    /// Moves files to [`QUARANTINE`], where nothing reads them, and syncs the folders.
     ///
     /// # Errors
-    /// As the file system gives them.
+    /// Returns errors of the file system.
     fn quarantine(&mut self, names: &[String]) -> io::Result<()>;
 }
 
-/// The files of a folder on disk, locked for this process.
+/// Files of a folder on disk, locked by this process.
 #[derive(Debug)]
 pub struct DiskFiles {
     folder: PathBuf,
-    /// Held for as long as the folder is in use; two processes on one log would ruin it.
+    /// Held while the folder is open, because two processes writing one log would corrupt it.
     _lock: File,
 }
 
@@ -76,7 +76,7 @@
     /// Opens a folder, creating it if it is missing.
     ///
     /// # Errors
-    /// When it cannot be created, or another process uses it.
+    /// Returns an error if the folder cannot be created or is in use by another process.
     pub fn open(folder: impl AsRef<Path>) -> io::Result<Self> {
         let folder = folder.as_ref().to_path_buf();
         fs::create_dir_all(&folder)?;
--- a/src/storage/frame.rs
+++ b/src/storage/frame.rs
@@ -1,31 +1,33 @@
-//! Frames: length, checksums and payload. Tells a write that was cut off from a damaged file.
+//! Frames of a log file: length, checksums and payload. They distinguish a torn write from a
+//! damaged file.
 
-/// Begins each frame.
+/// First bytes of each frame.
 const MAGIC: [u8; 4] = *b"OLM1";
-/// Magic, length, checksum of the payload, checksum of the twelve bytes before it.
+/// Size of a frame header: magic, payload length, checksum of the payload, checksum of the
+/// preceding twelve bytes.
 pub const HEADER_BYTES: usize = 16;
-/// What a disk writes at once; a write that was cut off leaves whole sectors untouched.
+/// Unit of a disk write. A torn write leaves whole sectors unwritten.
 const SECTOR_BYTES: usize = 512;
 
-/// What stands at some place of a file.
+/// Result of reading a frame at an offset of a file.
 #[derive(Debug, PartialEq)]
 pub enum FrameRead<'a> {
-    /// A whole frame, and where the next one begins.
+    /// Complete frame.
     Complete {
-        /// The payload.
+        /// Payload of the frame.
         payload: &'a [u8],
-        /// The place after the frame.
+        /// Offset of the next frame.
         next: usize,
     },
-    /// The end of the file.
+    /// End of the file.
     End,
-    /// The last write was cut off by a crash. It was never synced, so nobody relies on it.
+    /// The last write was interrupted by a crash. It was never synced, so nothing relies on it.
     Torn,
-    /// A frame that was once whole is damaged, or something follows a frame that is not.
+    /// A frame that was once complete is damaged, or data follows an incomplete frame.
     Damaged,
 }
 
-/// The payload as a frame.
+/// Encodes a payload as a frame.
 pub fn encode_frame(payload: &[u8]) -> Vec<u8> {
     let length = u32::try_from(payload.len()).expect("payloads are far shorter than 4 GiB");
     let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
@@ -38,10 +40,10 @@
     frame
 }
 
-/// Reads the frame at `start`.
+/// Reads the frame at offset `start`.
 ///
-/// The length has a checksum of its own: a flipped bit in it would otherwise look like a frame
-/// that was cut off, and an acknowledged write would be dropped as if it had never been synced.
+/// The length has its own checksum. Otherwise a flipped bit in the length would look like a torn
+/// write, and an acknowledged write would be dropped as if it had never been synced.
 pub fn read_frame(file: &[u8], start: usize) -> FrameRead<'_> {
     let rest = &file[start..];
     if rest.is_empty() {
@@ -49,39 +51,40 @@
     }
     let Some((header, body)) = rest.split_at_checked(HEADER_BYTES) else {
         let begun = rest.iter().zip(&MAGIC).all(|(found, wanted)| found == wanted);
-        return if begun { FrameRead::Torn } else { unreadable(file, start) };
+        return if begun { FrameRead::Torn } else { classify_unreadable(file, start) };
     };
     let number = |at: usize| {
-        u32::from_le_bytes(header[at..at + 4].try_into().expect("four bytes are taken"))
+        u32::from_le_bytes(header[at..at + 4].try_into().expect("the slice has four bytes"))
     };
     if header[..4] != MAGIC || number(12) != crc32fast::hash(&header[..12]) {
-        return unreadable(file, start);
+        return classify_unreadable(file, start);
     }
     let Some(payload) = body.get(..number(4) as usize) else { return FrameRead::Torn };
     if crc32fast::hash(payload) != number(8) {
-        return unreadable(file, start);
+        return classify_unreadable(file, start);
     }
     FrameRead::Complete { payload, next: start + HEADER_BYTES + payload.len() }
 }
 
-/// A crash can leave the file grown but some sectors of the last write unwritten, which read as
-/// zeros. Anything else that does not add up was whole once.
-fn unreadable(file: &[u8], start: usize) -> FrameRead<'static> {
+/// Classifies a frame that cannot be read. After a crash the file may have grown while some sectors
+/// of the last write remain unwritten, which read as zeros. Any other inconsistency is damage to a
+/// frame that was complete.
+fn classify_unreadable(file: &[u8], start: usize) -> FrameRead<'static> {
     let first = start.next_multiple_of(SECTOR_BYTES);
     let unwritten = file[start..].iter().all(|byte| *byte == 0)
         || file.get(first..).is_some_and(|rest| {
             rest.chunks(SECTOR_BYTES).any(|sector| sector.iter().all(|b| *b == 0))
         });
     let follows = (start + 1..file.len().saturating_sub(HEADER_BYTES - 1))
-        .any(|place| matches!(whole_at(file, place), Some(true)));
+        .any(|offset| matches!(has_valid_header(file, offset), Some(true)));
     if unwritten && !follows { FrameRead::Torn } else { FrameRead::Damaged }
 }
 
-/// Whether a whole frame stands at `place`; `None` when nothing there looks like one.
-fn whole_at(file: &[u8], place: usize) -> Option<bool> {
-    file[place..].starts_with(&MAGIC).then(|| {
-        let header = &file[place..place + HEADER_BYTES];
-        let checksum = u32::from_le_bytes(header[12..].try_into().expect("four bytes are left"));
+/// Whether a valid frame header starts at `offset`; `None` if there is no magic.
+fn has_valid_header(file: &[u8], offset: usize) -> Option<bool> {
+    file[offset..].starts_with(&MAGIC).then(|| {
+        let header = &file[offset..offset + HEADER_BYTES];
+        let checksum = u32::from_le_bytes(header[12..].try_into().expect("four bytes remain"));
         checksum == crc32fast::hash(&header[..12])
     })
 }
--- a/src/storage/log_store.rs
+++ b/src/storage/log_store.rs
@@ -1,4 +1,4 @@
-//! A replica's durable state in one folder.
+//! Durable state of a replica in one folder.
 
 use {
     crate::{
@@ -14,118 +14,122 @@
     std::io,
 };
 
-/// The version of the files; another one is refused.
+/// Version of the file format; other versions are refused.
 pub const FORMAT_VERSION: u32 = 1;
 const LOG_PREFIX: &str = "log-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
 const NEW_SUFFIX: &str = ".new";
 
-/// Why the store cannot go on.
+/// Error of the store.
 #[derive(Debug, Display)]
 pub enum StorageError {
     /// cannot {action} in the data folder: {error}; check space, rights and the disk, then start the daemon again
     Files {
-        /// What was tried.
+        /// Operation that failed.
         action: &'static str,
-        /// What the file system said.
+        /// Error of the file system.
         error: io::Error,
     },
     /// the data folder has format version {found}, which this release does not read; run the release that wrote it
     UnknownVersion {
-        /// The version found.
+        /// Version of the files in the folder.
         found: u32,
     },
-    /// the store has failed before and accepts nothing; start the daemon again once the disk is sound
+    /// the store has failed before and accepts nothing; restart the daemon once the disk works
     Stopped,
 }
 
 impl std::error::Error for StorageError {}
 
-/// The first frame of a log file.
+/// First frame of a log file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct LogHeader {
     incarnation: Incarnation,
     generation: u64,
-    /// Whether the generation has a snapshot file.
+    /// Whether the generation includes a snapshot file.
     has_snapshot: bool,
-    /// How many writes follow in the second frame, which was synced before the file had its name.
+    /// Number of writes in the second frame, which was synced before the file was renamed to its
+    /// final name.
     base_writes: u64,
 }
 
-/// What stands in a folder.
+/// Content of a folder.
 enum FolderContent {
-    Nothing,
+    Empty,
     Saved { header: LogHeader, state: SavedState },
     Damaged { reason: String },
 }
 
-/// A store and what it held.
+/// Opened store and the state that it held.
 pub struct OpenedStore {
-    /// The store.
+    /// Opened store.
     pub store: LogStore,
-    /// What it held: nothing, under a new incarnation, if the folder was empty or set aside.
+    /// State read from the folder; empty under a new incarnation if the folder was empty or its
+    /// files were quarantined.
     pub state: SavedState,
-    /// Why files were set aside, if any were.
+    /// Reason why files were quarantined; `None` if none were.
     pub quarantined: Option<String>,
 }
 
-/// A folder that is written to.
+/// Log and snapshots of a replica in an open folder.
 pub struct LogStore {
     files: Box<dyn FileSystem>,
     log: Box<dyn LogFile>,
     incarnation: Incarnation,
-    /// Grows with each new generation.
+    /// Number of the current generation; only grows.
     generation: u64,
-    /// What the present generation adds up to, but for the bytes of its snapshot: the next
-    /// generation brings its own, and holds the rest.
+    /// State stored by the current generation, without the bytes of its snapshot. A new generation
+    /// is written with a new snapshot and otherwise from this state.
     state: SavedState,
-    /// Set by the first failure and never cleared: what the file holds then is not known, since a
-    /// failed sync may drop the pages and report success the next time.
+    /// Set by the first error and never cleared. The content of the file is undefined from then on,
+    /// because a failed sync may drop pages and report success the next time.
     stopped: bool,
 }
 
 impl LogStore {
-    /// Opens a folder. `fresh` is the incarnation that an empty disk gets; no disk may ever get
-    /// it twice.
+    /// Opens a folder. An empty disk gets the incarnation `new_incarnation`, which must never have
+    /// been used for a disk before.
     ///
     /// # Errors
-    /// When files cannot be read or written, or are of another release.
+    /// Returns an error if files cannot be read or written, or if they have the format of another
+    /// release.
     pub fn open(
         files: Box<dyn FileSystem>,
-        fresh: Incarnation,
+        new_incarnation: Incarnation,
     ) -> Result<OpenedStore, StorageError> {
         let mut files = files;
-        let names = own_files(files.as_ref())?;
+        let names = store_files(files.as_ref())?;
         let (generation, state, quarantined) = match read_folder(files.as_ref(), &names)? {
-            FolderContent::Nothing => (0, SavedState::empty(fresh), None),
+            FolderContent::Empty => (0, SavedState::empty(new_incarnation), None),
             FolderContent::Saved { header, state } => (header.generation, state, None),
-            // What a damaged file still holds is not guessed: a log with a hole could make this
-            // replica vote as if it had never acknowledged what is gone. As a new incarnation it
-            // has no vote and gets everything from the others.
+            // The remaining content of a damaged file is not used. A log with a gap could make this
+            // replica vote as if it had never acknowledged the missing entries. Under a new
+            // incarnation it has no vote and receives everything from the other replicas.
             FolderContent::Damaged { reason } => {
-                files.quarantine(&names).map_err(failed("set files aside"))?;
-                (0, SavedState::empty(fresh), Some(reason))
+                files.quarantine(&names).map_err(files_error("quarantine files"))?;
+                (0, SavedState::empty(new_incarnation), Some(reason))
             }
         };
-        // The files found are never written to again: a new generation is a synced copy, so what
-        // was cut off, or never reached the disk though it could be read, does not matter.
+        // Existing files are never written again. A new generation is a synced copy, so a torn
+        // tail, or data that was readable but never reached the disk, has no effect.
         let (log, generation) = write_generation(files.as_mut(), generation + 1, &state)?;
         let incarnation = state.incarnation;
         let mut kept = state.clone();
-        forget_snapshot(&mut kept);
+        drop_snapshot_data(&mut kept);
         let store = LogStore { files, log, incarnation, generation, state: kept, stopped: false };
         Ok(OpenedStore { store, state, quarantined })
     }
 
-    /// The incarnation of the disk.
+    /// Incarnation of the disk.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Writes changes and syncs them. When it returns, they survive a crash.
+    /// Writes changes and syncs them. They are durable when this function returns.
     ///
     /// # Errors
-    /// When anything fails; then nothing of it may be acknowledged, and the store is stopped.
+    /// Returns an error if any step fails. Then none of the changes may be acknowledged, and the
+    /// store stops.
     pub fn append(&mut self, writes: Vec<DurableWrite>) -> Result<(), StorageError> {
         if self.stopped {
             return Err(StorageError::Stopped);
@@ -136,32 +140,32 @@
     }
 
     fn append_writes(&mut self, writes: Vec<DurableWrite>) -> Result<(), StorageError> {
-        let whole = writes.iter().any(|write| matches!(write, DurableWrite::Snapshot(_)));
-        if !whole {
+        let has_snapshot = writes.iter().any(|write| matches!(write, DurableWrite::Snapshot(_)));
+        if !has_snapshot {
             let payload = postcard::to_stdvec(&writes).expect("writes always encode");
-            self.log.append(&encode_frame(&payload)).map_err(failed("write the log"))?;
-            self.log.sync().map_err(failed("sync the log"))?;
+            self.log.append(&encode_frame(&payload)).map_err(files_error("write the log"))?;
+            self.log.sync().map_err(files_error("sync the log"))?;
         }
         for write in writes {
             assert!(self.state.apply(write), "a replica writes its log without gaps");
         }
-        if whole {
+        if has_snapshot {
             let next = self.generation + 1;
             let (log, generation) = write_generation(self.files.as_mut(), next, &self.state)?;
             (self.log, self.generation) = (log, generation);
-            forget_snapshot(&mut self.state);
+            drop_snapshot_data(&mut self.state);
         }
         Ok(())
     }
 }
 
-fn forget_snapshot(state: &mut SavedState) {
+fn drop_snapshot_data(state: &mut SavedState) {
     if let Some(snapshot) = &mut state.snapshot {
         snapshot.data = Vec::new();
     }
 }
 
-fn failed(action: &'static str) -> impl Fn(io::Error) -> StorageError {
+fn files_error(action: &'static str) -> impl Fn(io::Error) -> StorageError {
     move |error| StorageError::Files { action, error }
 }
 
@@ -173,15 +177,15 @@
     format!("{SNAPSHOT_PREFIX}{generation:016x}")
 }
 
-/// The files that a store may have written; others in the folder are not touched.
-fn own_files(files: &dyn FileSystem) -> Result<Vec<String>, StorageError> {
-    let mut names = files.list().map_err(failed("list files"))?;
+/// Names of the files written by a store; other files in the folder are not touched.
+fn store_files(files: &dyn FileSystem) -> Result<Vec<String>, StorageError> {
+    let mut names = files.list().map_err(files_error("list files"))?;
     names.retain(|name| name.starts_with(LOG_PREFIX) || name.starts_with(SNAPSHOT_PREFIX));
     Ok(names)
 }
 
-/// Writes a generation whole, then removes the others. The log gets its name last: until then the
-/// generation before it stands.
+/// Writes a complete generation, then removes the others. The log is renamed last; until then the
+/// previous generation is valid.
 fn write_generation(
     files: &mut dyn FileSystem,
     generation: u64,
@@ -203,7 +207,7 @@
     let mut content = encode_frame(&header);
     content.extend(encode_frame(&writes));
     let log = write_named(files, &log_name(generation), &content)?;
-    remove_others(files, generation)?;
+    remove_other_generations(files, generation)?;
     Ok((log, generation))
 }
 
@@ -221,36 +225,39 @@
     name: &str,
     content: &[u8],
 ) -> Result<Box<dyn LogFile>, StorageError> {
-    let unfinished = format!("{name}{NEW_SUFFIX}");
-    let mut file = files.create(&unfinished).map_err(failed("create a file"))?;
-    file.append(content).map_err(failed("write a file"))?;
-    file.sync().map_err(failed("sync a file"))?;
-    files.rename(&unfinished, name).map_err(failed("rename a file"))?;
+    let temporary = format!("{name}{NEW_SUFFIX}");
+    let mut file = files.create(&temporary).map_err(files_error("create a file"))?;
+    file.append(content).map_err(files_error("write a file"))?;
+    file.sync().map_err(files_error("sync a file"))?;
+    files.rename(&temporary, name).map_err(files_error("rename a file"))?;
     Ok(file)
 }
 
-fn remove_others(files: &mut dyn FileSystem, generation: u64) -> Result<(), StorageError> {
+fn remove_other_generations(
+    files: &mut dyn FileSystem,
+    generation: u64,
+) -> Result<(), StorageError> {
     let keep = [log_name(generation), snapshot_name(generation)];
-    for name in own_files(files)? {
+    for name in store_files(files)? {
         if !keep.contains(&name) {
-            files.remove(&name).map_err(failed("remove a file"))?;
+            files.remove(&name).map_err(files_error("remove a file"))?;
         }
     }
     Ok(())
 }
 
 fn read_folder(files: &dyn FileSystem, names: &[String]) -> Result<FolderContent, StorageError> {
-    let is_whole = |name: &&String| !name.ends_with(NEW_SUFFIX);
-    let is_log = |name: &&String| is_whole(name) && name.starts_with(LOG_PREFIX);
+    let is_finished = |name: &&String| !name.ends_with(NEW_SUFFIX);
+    let is_log = |name: &&String| is_finished(name) && name.starts_with(LOG_PREFIX);
     let Some(name) = names.iter().rfind(is_log) else {
-        // A first start that was cut off leaves nothing but unfinished files. A snapshot without
-        // a log means that the log is gone.
-        let lost = names.iter().find(is_whole);
-        return Ok(lost.map_or(FolderContent::Nothing, |name| FolderContent::Damaged {
+        // An interrupted first start leaves only unfinished files. A snapshot without a log means
+        // that the log is lost.
+        let lost = names.iter().find(is_finished);
+        return Ok(lost.map_or(FolderContent::Empty, |name| FolderContent::Damaged {
             reason: format!("{name} has no log beside it"),
         }));
     };
-    let file = files.read(name).map_err(failed("read the log"))?;
+    let file = files.read(name).map_err(files_error("read the log"))?;
     let content = match read_log(files, &file)? {
         Ok((header, state)) => FolderContent::Saved { header, state },
         Err(reason) => FolderContent::Damaged { reason: format!("{name}: {reason}") },
@@ -291,7 +298,7 @@
     let file = match files.read(name) {
         Ok(file) => file,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(error) => return Err(failed("read the snapshot")(error)),
+        Err(error) => return Err(files_error("read the snapshot")(error)),
     };
     let snapshot = match read_frame(&file, 0) {
         FrameRead::Complete { payload, next } if next == file.len() => {
@@ -308,25 +315,25 @@
     start: usize,
     state: &mut SavedState,
 ) -> Result<(), String> {
-    let mut place = start;
+    let mut offset = start;
     let mut frames = 0;
     loop {
-        let (payload, next) = match read_frame(file, place) {
+        let (payload, next) = match read_frame(file, offset) {
             FrameRead::Complete { payload, next } => (payload, next),
-            // The first frame was synced before the file had its name, so it cannot be torn.
+            // The first frame was synced before the file was renamed, so it cannot be torn.
             FrameRead::End | FrameRead::Torn if frames > 0 => return Ok(()),
-            _ => return Err(format!("the frame at byte {place} is damaged")),
+            _ => return Err(format!("the frame at byte {offset} is damaged")),
         };
         let writes: Vec<DurableWrite> = postcard::from_bytes(payload)
-            .map_err(|error| format!("the frame at byte {place} does not decode: {error}"))?;
+            .map_err(|error| format!("the frame at byte {offset} does not decode: {error}"))?;
         if frames == 0 && writes.len() as u64 != header.base_writes {
             return Err("the log does not begin with its base".to_owned());
         }
         for write in writes {
             if !state.apply(write) {
-                return Err(format!("the frame at byte {place} leaves a gap"));
+                return Err(format!("the frame at byte {offset} leaves a gap"));
             }
         }
-        (place, frames) = (next, frames + 1);
+        (offset, frames) = (next, frames + 1);
     }
 }
