--- a/models/config.pml
+++ b/models/config.pml
@@ -1,35 +1,36 @@
 /*
- * Configuration: what is in force at an entry without a disk never falls, also over its restart in
- * a domain that is cut off. Code: src/daemon/config_spread/spread_core.rs and history.rs.
+ * Dissemination of the configuration: the revision served by an entry without a disk never
+ * decreases, even if the entry restarts in a failure domain that is cut off.
+ * Code: src/daemon/config_spread/spread_core.rs and history.rs.
  *
- * One domain with a disk replica and two diskless entries; outside it the leader, which commits
- * revisions 1 to 3. The domain is cut off and joined again, the disk replica stops and comes back
- * with its disk, the entries restart at any time, and replies may be old when they arrive.
+ * The model has one failure domain with a disk replica and two diskless entries. Outside it the
+ * leader commits revisions 1 to 3. The domain is cut off and reconnected, the disk replica stops and
+ * restarts with its disk, the entries restart at any time, and replies may be outdated on arrival.
  *
- * Not covered: the disk replica is away for longer than an entry waits for it (ANCHOR_WAIT), or
- * when an entry starts (COLD_WAIT). The entry then serves with the best that it finds.
+ * Not covered: the disk replica is unavailable for longer than an entry waits for it (ANCHOR_WAIT),
+ * or while an entry starts (COLD_WAIT). The entry then serves the newest revision that it finds.
  *
- * Switches that remove a safeguard, each of which must be found out:
- *   LAST_WINS      a reply is put in force without comparing revisions
- *   FROM_OUTSIDE   an entry takes news from outside before its disk replica has it
- *   UNSYNCED       the disk replica tells others of a revision before it is on its disk
+ * Switches that remove a safeguard; the checker must find a violation with each of them:
+ *   LAST_WINS      a reply is applied without a comparison of revisions
+ *   FROM_OUTSIDE   an entry accepts an update from outside before its disk replica has it
+ *   UNSYNCED       the disk replica serves a revision before it is synced
  */
 #define ENTRIES 2
 #define REVISIONS 3
 
-byte committed = 0;            /* at the leader, outside */
+byte committed = 0;            /* by the leader, outside the domain */
 byte on_disk = 0;              /* at the disk replica */
-byte in_memory = 0;            /* at the disk replica; what it answers with */
+byte in_memory = 0;            /* at the disk replica; the revision that it serves */
 bool anchor_up = true;
 bool cut = false;
 
-byte in_force[ENTRIES];        /* 0: just started, does not serve yet */
-byte highest[ENTRIES];         /* the highest that was ever in force there: what must not fall */
+byte in_force[ENTRIES];        /* 0: starting, serves no requests yet */
+byte highest[ENTRIES];         /* the highest revision ever served; the lower bound that is checked */
 
-/* A reply under way to each entry: what its sender had when it answered. */
+/* A reply in transit to each entry: the revision of its sender when it was sent. */
 byte on_way[ENTRIES];
 bool waits[ENTRIES];
-byte life[ENTRIES];            /* restarts of an entry, at most 2; a restart drops its replies */
+byte life[ENTRIES];            /* restarts of an entry, at most 2; a restart drops its reply in transit */
 
 inline answer(entry, revision) {
     if
@@ -80,16 +81,16 @@
     byte other = 1 - me;
 end:
     do
-    /* A fetch from the disk replica; after a start this is the first to be heard. */
+    /* A fetch from the disk replica, the first source used after a start. */
     :: atomic { anchor_up && !waits[me] -> answer(me, in_memory) }
-    /* A fetch from the other entry, which had it from the disk replica. */
+    /* A fetch from the other entry, which received the revision from the disk replica. */
     :: atomic { in_force[me] > 0 && !waits[me] && in_force[other] > in_force[me] ->
         answer(me, in_force[other]) }
 #ifdef FROM_OUTSIDE
     :: atomic { !cut && !waits[me] && committed > in_force[me] -> answer(me, committed) }
 #endif
 #ifdef LAST_WINS
-    /* A second fetch is under way beside the first; its reply is the older one. */
+    /* A second fetch is in progress; its reply is older than the first one. */
     :: atomic { waits[me] && on_way[me] > 1 -> on_way[me]-- }
 #endif
     :: atomic { waits[me] ->
@@ -105,7 +106,7 @@
             highest[me] = in_force[me]
         :: else
         fi }
-    /* Restarts, with or without the other entry. */
+    /* A restart of this entry; the other one may restart as well. */
     :: atomic { life[me] < 2 -> life[me]++; in_force[me] = 0; waits[me] = false }
     od
 }
--- a/models/discovery.pml
+++ b/models/discovery.pml
@@ -1,18 +1,20 @@
 /*
- * How a control VM outside the group finds the leader: once nothing new can be learned, the leader has
- * heard every VM outside from which a chain of names leads to the group.
+ * Leader discovery by control VMs outside the group: when no VM can learn of another one any more,
+ * the leader has received a probe of every outside VM that is connected to the group by a chain of
+ * configured names.
  * Code: src/control/replica/contacts.rs and the probes of src/control/replica/formation.rs.
  *
- * VM 0 leads, VM 1 is a member as well, VMs 2 and 3 are outside. The settings of each name any of the
- * others. VM 3 is the one to be heard; the group may still write to a former disk of it. VMs outside
- * restart and forget what was named to them. Messages are lost or overtaken by taking a step later; one
- * that is sent again and again arrives at last.
+ * VM 0 is the leader and VM 1 another member; VMs 2 and 3 are outside the group. The settings of each
+ * VM name any subset of the VMs. VM 3 is the one that the leader has to hear from; the group may still
+ * send messages to a former disk of it. Outside VMs restart and lose the contacts named to them.
+ * Messages are lost or reordered by taking a step later; a message that is sent repeatedly arrives
+ * eventually.
  *
- * Switches that remove a safeguard, each of which must be found out:
- *   SILENT_MEMBERS     a member that is asked does not name the members
- *   SILENT_OUTSIDERS   a VM outside does not pass on what was named to it
- *   NO_ANNOUNCEMENT    the leader says nothing to VMs of its settings that are outside
- *   FORMER_DISK_MUTE   a message for a former disk is dropped unseen
+ * Switches that remove a safeguard; the checker must find a violation with each of them:
+ *   SILENT_MEMBERS     a probed member does not name the members
+ *   SILENT_OUTSIDERS   an outside VM does not forward the contacts named to it
+ *   NO_ANNOUNCEMENT    the leader sends no contacts to the outside VMs in its settings
+ *   FORMER_DISK_MUTE   a message for a former disk is dropped without recording its sender
  */
 #define VMS 4
 #define LEADER 0
@@ -22,9 +24,9 @@
 #define MEMBERS 3              /* the set of VMs 0 and 1 */
 #define RESTARTS 2
 
-byte named[VMS];               /* by settings, as sets */
-byte contacts[VMS];            /* named by other VMs */
-bool heard;                    /* the leader has heard the newcomer in its present life */
+byte named[VMS];               /* in the settings, as sets of VMs */
+byte contacts[VMS];            /* named by other VMs, as sets */
+bool heard;                    /* the leader has received a probe of the newcomer since its last restart */
 bool had_disk;                 /* the membership still names a former disk of the newcomer */
 byte restarts;
 
--- a/models/election_log.pml
+++ b/models/election_log.pml
@@ -1,38 +1,40 @@
 /*
- * The replicated log: what a leader has committed is in the log of every later leader, with a
- * lost disk, its repair by a change of membership, and the loss of a second disk after the repair.
- * Code: src/control/replica.rs and replica/ (election, lead, follow, change).
+ * Replicated log: every entry that a leader has committed is in the log of every later leader. This
+ * includes the loss of a disk, its repair by a membership change, and the loss of a second disk after
+ * the repair.
+ * Code: src/control/replica.rs and replica/ (election, leader, follower, membership_change).
  *
- * Three replicas. Each step below is one replica's work on one message; messages are lost,
- * delayed or overtaken by leaving a step out or taking it later. A replica may stop at any time by
- * taking no more steps. Replies that arrive after their sender's disk was lost still count, since
- * `votes` and `match` outlive it.
+ * The model has three replicas. In each step one replica processes one message. Messages are lost,
+ * delayed or reordered by omitting a step or taking it later. A replica may stop at any time by taking
+ * no more steps. Replies that arrive after their sender's disk was lost still count, because `votes`
+ * and `match` are kept.
  *
- * A disk is a VM and a life of its folder: 0 at first, 1 after a loss. The membership has three
- * stages, told by the entries of a log: all first disks; without the lost one (OUT); with the new
- * one in its place (IN), which the leader writes once the new disk has all that is committed.
- * A quorum is two in each stage. A second disk may be lost as soon as the repair is committed.
+ * A disk is identified by its VM and the incarnation of its folder: 0 initially, 1 after a loss. The
+ * entries of a log determine one of three stages of the membership: all first disks; without the lost
+ * disk (OUT); with the new disk in its place (IN), which the leader writes once the new disk has all
+ * committed entries. A quorum is two in each stage. A second disk may be lost as soon as the repair is
+ * committed.
  *
  * Variants that must hold as well:
- *   FOUR_TERMS         one more election, with shorter logs and all disks kept
+ *   FOUR_TERMS         one more election, with shorter logs and without disk losses
  *
- * Switches that remove a safeguard, each of which must be found out:
- *   EMPTY_DISK_VOTES   a disk that came back empty votes before it is taken in again
- *   VOTE_ANY_LOG       a vote is given without comparing logs
+ * Switches that remove a safeguard; the checker must find a violation with each of them:
+ *   EMPTY_DISK_VOTES   an emptied disk votes before it is added to the group again
+ *   VOTE_ANY_LOG       a vote is granted without a comparison of logs
  *   COMMIT_OLD_TERM    an entry of an earlier term is committed by counting replicas
- *   VOTE_TWICE         a vote is forgotten when the replica restarts
+ *   VOTE_TWICE         a vote is lost when the replica restarts
  */
 #define VMS 3
 #define NOBODY 3
 #define LENGTH 4               /* entries of a log */
 
-/* It takes four elections to overwrite what was committed by counting alone. */
+/* Overwriting an entry that was committed only by counting replicas takes four elections. */
 #ifdef COMMIT_OLD_TERM
 #define FOUR_TERMS
 #endif
 #ifdef FOUR_TERMS
-#define TERMS 4                /* elections that are looked at */
-#define WRITTEN 3              /* entries that leaders write */
+#define TERMS 4                /* number of elections */
+#define WRITTEN 3              /* maximum log length that leaders write */
 #define MAY_LOSE false
 #else
 #define TERMS 3
@@ -45,12 +47,12 @@
 #define IN 3
 
 byte term[VMS];
-byte vote[VMS] = NOBODY;       /* given in `term` */
-byte life[VMS];                /* of the disk */
-bool stands[VMS];              /* candidate */
+byte vote[VMS] = NOBODY;       /* granted in `term` */
+byte life[VMS];                /* incarnation of the disk */
+bool stands[VMS];              /* whether it is a candidate */
 bool leads[VMS];
 byte votes[VMS];               /* set of VMs that voted for this candidate */
-byte commit[VMS];              /* known to this leader */
+byte commit[VMS];              /* commit index known to this leader */
 byte length[VMS];
 byte entry_term[VMS * LENGTH];
 byte entry_kind[VMS * LENGTH];
@@ -59,7 +61,7 @@
 byte lost = NOBODY;            /* the VM whose disk was lost and is repaired */
 bool lost_again = false;       /* another VM's disk was lost after the repair */
 
-/* Ghost: what was ever committed, and in whose term. */
+/* Ghost variables: all entries ever committed, and the terms in which they were committed. */
 byte ever = 0;
 byte ever_by[LENGTH];
 byte ever_term[LENGTH];
@@ -77,12 +79,12 @@
 #else
 #define IS_DISK(v, wanted) (life[v] == (wanted))
 #endif
-/* Whether the disk that `v` has now is a voter in the membership of `of`'s log. */
+/* Whether the current disk of `v` is a voter in the membership according to the log of `of`. */
 #define VOTER(of, v) ((v) != lost -> IS_DISK(v, 0) : \
     (HAS(of, IN) -> IS_DISK(v, 1) : (!HAS(of, OUT) && IS_DISK(v, 0))))
-/* Whether `of` counts `v` in a quorum; its present disk does not matter, its replies do. */
+/* Whether `of` counts `v` in a quorum. This depends on the replies of `v`, not on its current disk. */
 #define COUNTS(of, v) ((v) != lost || HAS(of, IN) || !HAS(of, OUT))
-/* Whether `of` sends entries to the disk that `v` has now: voters and learners. */
+/* Whether `of` sends entries to the current disk of `v`: it is a voter or a learner. */
 #define MEMBER(of, v) (VOTER(of, v) || ((v) == lost && life[v] == 1 && HAS(of, OUT)))
 
 #ifdef VOTE_ANY_LOG
@@ -92,7 +94,7 @@
     (LAST_TERM(c) == LAST_TERM(v) && length[c] >= length[v]))
 #endif
 
-/* One change at a time, and none before an entry of the own term is committed. */
+/* Membership changes are sequential, and need a committed entry of the leader's own term. */
 #define MAY_CHANGE(l) (commit[l] > 0 && entry_term[AT(l, commit[l] - 1)] == term[l])
 
 inline follow(v, new_term) {
@@ -108,7 +110,7 @@
     skip
 }
 
-/* A stop and a start, then an election; a leader does it when it hears no quorum. */
+/* A restart followed by an election. A leader without replies of a quorum does this as well. */
 inline campaign(v) {
     step_down(v);
     term[v]++; vote[v] = v; stands[v] = true; votes[v] = 1 << v
@@ -126,7 +128,7 @@
     fi
 }
 
-/* The property: a leader has every entry that was committed in an earlier term. */
+/* Checked property: a leader has every entry that was committed in an earlier term. */
 inline lead(c) {
     stands[c] = false; leads[c] = true; votes[c] = 0;
     match[c * VMS + c] = length[c];
@@ -144,7 +146,7 @@
     match[l * VMS + l] = length[l]
 }
 
-/* The follower takes the leader's entries; what conflicts with them falls away. */
+/* The follower stores the leader's entries and drops conflicting ones. */
 inline append(l, v) {
     if
     :: term[l] > term[v] || stands[v] -> follow(v, term[l]); step_down(v)
--- a/models/healing.pml
+++ b/models/healing.pml
@@ -1,16 +1,16 @@
 /*
- * Voters that are replaced by the leader alone: what a leader has committed is in the log of every
- * later leader, although the leader cannot tell a voter that is gone from one that it does not hear.
- * Code: src/control/healing.rs and src/control/replica/change.rs.
+ * Automatic replacement of voters: every entry that a leader has committed is in the log of every
+ * later leader, although the leader cannot tell a lost voter from an unreachable one.
+ * Code: src/control/healing.rs and src/control/replica/membership_change.rs.
  *
- * Three replicas found the group, a fourth with an empty disk stands by. A leader that misses a voter
- * takes the fourth in, once it has all that is committed, and then takes VM 0 out, whichever of the
- * others leads; the founders are alike, so one stands for each. VM 0 may be alive all the while, lead or
- * believe itself a voter still, and stand for election. Messages are lost, delayed or overtaken by leaving a step out or taking it later.
- * Lost disks at the old address are in election_log.pml.
+ * Three replicas found the group, and a fourth one with an empty disk is available. A leader that
+ * misses a voter adds the fourth replica once it has all committed entries, and then removes VM 0. The
+ * founders are symmetric, so VM 0 represents any of them. VM 0 may be running all the time, lead or
+ * still consider itself a voter, and become a candidate. Messages are lost, delayed or reordered by
+ * omitting a step or taking it later. Lost disks of a member's VM are covered by election_log.pml.
  *
- * Switches that remove a safeguard, each of which must be found out:
- *   SWAP_AT_ONCE       the fourth comes in and a voter goes by one entry
+ * Switches that remove a safeguard; the checker must find a violation with each of them:
+ *   SWAP_AT_ONCE       one entry adds the fourth replica and removes a voter
  *   CHANGE_UNSETTLED   a change is written before an entry of the leader's own term is committed
  */
 #define VMS 4
@@ -19,23 +19,23 @@
 #define FOUNDERS 7             /* the set of VMs 0, 1 and 2 */
 #define LENGTH 3               /* entries of a log */
 #ifdef CHANGE_UNSETTLED
-#define TERMS 4                /* elections that are looked at */
+#define TERMS 4                /* number of elections */
 #else
 #define TERMS 3
 #endif
 
 byte term[VMS];
-byte vote[VMS] = NOBODY;       /* given in `term` */
-bool stands[VMS];              /* candidate */
+byte vote[VMS] = NOBODY;       /* granted in `term` */
+bool stands[VMS];              /* whether it is a candidate */
 bool leads[VMS];
 byte votes[VMS];               /* set of VMs that voted for this candidate */
-byte commit[VMS];              /* known to this leader */
+byte commit[VMS];              /* commit index known to this leader */
 byte length[VMS];
 byte entry_term[VMS * LENGTH];
 byte entry_voters[VMS * LENGTH]; /* the voters from this entry on, as a set; 0: no change */
 byte match[VMS * VMS];         /* [leader, follower]: entries the leader knows to be there */
 
-/* Ghost: what was ever committed, and in whose term. */
+/* Ghost variables: all entries ever committed, and the terms in which they were committed. */
 byte ever = 0;
 byte ever_by[LENGTH];
 byte ever_term[LENGTH];
@@ -45,7 +45,7 @@
 
 #define AT(v, k) (v) * LENGTH + (k)
 #define LAST_TERM(v) (length[v] == 0 -> 0 : entry_term[AT(v, length[v] - 1)])
-/* The voters by the log of `v`: those of its last change. */
+/* The voters according to the log of `v`: those of its last membership change. */
 #define VOTERS(v) (length[v] >= 3 && entry_voters[AT(v, 2)] != 0 -> entry_voters[AT(v, 2)] : \
     (length[v] >= 2 && entry_voters[AT(v, 1)] != 0 -> entry_voters[AT(v, 1)] : \
     (length[v] >= 1 && entry_voters[AT(v, 0)] != 0 -> entry_voters[AT(v, 0)] : FOUNDERS)))
@@ -55,7 +55,7 @@
 #define UP_TO_DATE(c, v) (LAST_TERM(c) > LAST_TERM(v) || \
     (LAST_TERM(c) == LAST_TERM(v) && length[c] >= length[v]))
 
-/* One change at a time, and none before an entry of the own term is committed. */
+/* Membership changes are sequential, and need a committed entry of the leader's own term. */
 #ifdef CHANGE_UNSETTLED
 #define MAY_CHANGE(l) true
 #else
@@ -93,7 +93,7 @@
     fi
 }
 
-/* The property: a leader has every entry that was committed in an earlier term. */
+/* Checked property: a leader has every entry that was committed in an earlier term. */
 inline lead(c) {
     stands[c] = false; leads[c] = true; votes[c] = 0;
     match[c * VMS + c] = length[c];
@@ -111,7 +111,7 @@
     match[l * VMS + l] = length[l]
 }
 
-/* The follower takes the leader's entries; what conflicts with them falls away. */
+/* The follower stores the leader's entries and drops conflicting ones. */
 inline append(l, v) {
     if
     :: term[l] > term[v] || stands[v] -> follow(v, term[l]); step_down(v)
@@ -153,7 +153,7 @@
     ((match[(l) * VMS + 2] >= (k)) << 2) + ((match[(l) * VMS + 3] >= (k)) << 3))
 #define CAN_COMMIT(l, k) (length[l] >= (k) && commit[l] < (k) && \
     entry_term[AT(l, (k) - 1)] == term[l] && IS_QUORUM(HELD(l, k), VOTERS(l)))
-/* The fourth gets entries as a learner before it counts. */
+/* The fourth replica receives entries as a learner before it becomes a voter. */
 #define SENDS_TO(l, v) (IN(VOTERS(l), v) || (v) == STRANGER)
 #define CAUGHT_UP(l, v) (match[(l) * VMS + (v)] >= commit[l])
 
--- a/models/ledger.pml
+++ b/models/ledger.pml
@@ -1,29 +1,30 @@
 /*
- * The idempotency ledger: a call that may not be repeated runs at most once, and "did not run" is
- * true. Code: src/control/ledger.rs and the daemon's path of such a call.
+ * Idempotency ledger: a non-repeatable call is executed at most once, and a "did not run" response
+ * is always true.
+ * Code: src/control/ledger.rs and the daemon's processing of non-repeatable calls.
  *
- * One key is submitted three times: the caller's request and two resends, each through any daemon.
- * A submission is one claim attempt. Any process may stop between any two steps, for ever (crash)
- * or for long (SIGSTOP, a partition); every proposal may be applied late, twice, or with its reply
- * lost. The ledger itself is one atomic state: election_log.pml shows why that is fair.
+ * One key is submitted three times: the caller's request and two resends, through two daemons. A
+ * submission is one claim attempt. Any process may stop between any two steps, permanently (crash) or
+ * for long (SIGSTOP, a partition). Every proposal may be applied late or twice, or its reply may be
+ * lost. The ledger is modelled as one atomic state, which election_log.pml justifies.
  *
- * A daemon that goes on tells by its floor which of its attempts are over. Once nothing is on its
- * way any more, no attempt that its daemon's floor has passed holds the call.
+ * A running daemon reports by its floor which of its attempts have ended. Once no proposal is in
+ * transit, no attempt below the floor of its daemon holds the call.
  *
- * Switches that remove a safeguard, each of which must be found out:
- *   CLAIM_EXPIRES     a claim is freed after a time without news from its holder
- *   OTHERS_RELEASE    a daemon that finds a claim held releases it for the holder
- *   TIMER_ANSWERS     a timer answers "did not run" beside a holder that has not given up yet
- *   HTTP_RETRY        the HTTP client repeats a request whose connection broke
- *   HOLDER_ONLY       a release names the daemon alone and not the attempt
- *   FORGETS_ENDS      the ledger forgets which attempts are over
- *   NO_FLOOR          a release that is lost is not made up for
+ * Switches that remove a safeguard; the checker must find a violation with each of them:
+ *   CLAIM_EXPIRES     a claim is freed after a time without contact to its holder
+ *   OTHERS_RELEASE    a daemon releases a claim that another one holds
+ *   TIMER_ANSWERS     a timer responds "did not run" while the holder may still send the call
+ *   HTTP_RETRY        the HTTP client retries a request whose connection broke
+ *   HOLDER_ONLY       a release names the daemon but not the attempt
+ *   FORGETS_ENDS      the ledger does not record which attempts have ended
+ *   NO_FLOOR          nothing replaces a lost release
  *   FLOOR_OVER_SENT   the floor passes an attempt that was sent and whose end is not in the ledger
  */
 #define SUBMISSIONS 3
 #define NOBODY 255
 
-/* Submissions 0 and 1 come through one daemon, submission 2 through another. */
+/* Submissions 0 and 1 go through one daemon, submission 2 through another. */
 #define DAEMON(id) ((id) / 2)
 #ifdef HOLDER_ONLY
 #define RELEASES(id, held) ((held) != NOBODY && DAEMON(id) == DAEMON(held))
@@ -34,18 +35,18 @@
 mtype = { FREE, RESERVED, FINISHED };
 mtype = { NONE, GRANTED, RUNNING, KEPT };
 
-mtype state = FREE;            /* the ledger's entry for the key */
-byte holder = NOBODY;          /* whose attempt holds the claim */
-bool over[SUBMISSIONS];        /* its daemon sends nothing under it any more, and has told its end */
-bool ended[SUBMISSIONS];       /* the ledger knows that it is over */
+mtype state = FREE;            /* of the ledger entry for the key */
+byte holder = NOBODY;          /* the submission that holds the claim */
+bool over[SUBMISSIONS];        /* its daemon sends nothing more under it and has reported its end */
+bool ended[SUBMISSIONS];       /* the ledger has recorded its end */
 
 bool reserve_sent[SUBMISSIONS], release_sent[SUBMISSIONS], finish_sent[SUBMISSIONS];
 mtype reply[SUBMISSIONS] = NONE;
 
-bool on_wire[SUBMISSIONS];     /* the call left for the backend server */
+bool on_wire[SUBMISSIONS];     /* the call was sent to the backend server */
 bool broke[SUBMISSIONS];       /* its connection broke after bytes were sent */
 bool ran[SUBMISSIONS];
-bool told_no[SUBMISSIONS];     /* the caller was told that this submission did not run */
+bool told_no[SUBMISSIONS];     /* the caller received "did not run" for this submission */
 byte runs = 0;
 
 inline tell_no(id) { told_no[id] = true; assert(!ran[id]) }
@@ -63,7 +64,7 @@
 
 inline free_call() { state = FREE; holder = NOBODY }
 
-/* A proposal may stay on its way and be applied again. */
+/* A proposal may stay in transit and be applied again. */
 inline apply_reserve(id) {
     if
     :: ENDED(id)
@@ -91,7 +92,7 @@
     fi
 }
 
-/* A floor stays true, however late it arrives. */
+/* A floor remains valid, however late it is applied. */
 inline apply_floor(id) {
     ended[id] = true;
     if
@@ -114,7 +115,7 @@
     :: atomic { finish_sent[1] -> apply_finish(1) }
     :: atomic { finish_sent[2] -> apply_finish(2) }
 #ifndef NO_FLOOR
-    /* A daemon's floor passes an attempt once it and all before it are over. */
+    /* The floor of a daemon passes an attempt once this attempt and all earlier ones have ended. */
     :: atomic { !ended[0] && BELOW_FLOOR(0) -> apply_floor(0) }
     :: atomic { !ended[1] && BELOW_FLOOR(0) && BELOW_FLOOR(1) -> apply_floor(1) }
     :: atomic { !ended[2] && BELOW_FLOOR(2) -> apply_floor(2) }
@@ -129,43 +130,43 @@
     od
 }
 
-/* Attempt 1 is the second one of its daemon. */
+/* Attempt 1 is the second attempt of its daemon. */
 #define PASSED(id) (over[id] && (id != 1 || over[0]))
 
-/* Nothing is on its way, and nobody takes another step. */
+/* Checked when nothing is in transit and no process can take a step. */
 active proctype Quiescence() {
 end:
     timeout -> assert(!(state == RESERVED && PASSED(holder)))
 }
 
-/* A daemon's work for one submission. Leaving by `stopped` is a crash or an endless pause. */
+/* Processing of one submission by a daemon. A jump to `stopped` is a crash or an unbounded pause. */
 proctype Submission(byte id) {
     reserve_sent[id] = true;
     if
     :: reply[id] == GRANTED
-    :: reply[id] == RUNNING -> goto dropped        /* told "unknown", or waits for the answer */
-    :: reply[id] == KEPT -> goto dropped           /* gets the kept answer */
+    :: reply[id] == RUNNING -> goto dropped        /* responds "unknown" or waits for the stored response */
+    :: reply[id] == KEPT -> goto dropped           /* returns the stored response */
     :: goto give_up                                /* the reply is late or lost */
     :: goto stopped
     fi;
-    /* Holds the claim. The deadline is looked at right before sending, and may have passed. */
+    /* The submission holds the claim. The deadline is checked right before sending and may have passed. */
     if
     :: goto give_up
     :: goto stopped
     :: on_wire[id] = true
     fi;
-    /* From here on nothing releases the claim: bytes may have reached the backend server. */
+    /* From here on nothing releases the claim, because bytes may have reached the backend server. */
     if
-    :: ran[id] -> finish_sent[id] = true           /* the caller gets the answer */
-    :: broke[id] = true                            /* the caller is told "unknown" */
+    :: ran[id] -> finish_sent[id] = true           /* the caller receives the response */
+    :: broke[id] = true                            /* the caller receives "unknown" */
     :: goto stopped                                /* the finish is lost with the holder */
     fi;
     goto stopped;
 give_up:
-    /* The only way to "did not run": after it this submission has no step that sends. */
+    /* The only path to "did not run"; no later step of this submission sends the call. */
     tell_no(id);
 dropped:
-    /* The release may be lost; the floor is told until it has arrived. */
+    /* The release may be lost; the floor is sent repeatedly until it is applied. */
     if
     :: release_sent[id] = true
     :: skip
@@ -177,7 +178,7 @@
 
 inline run_call(id) { ran[id] = true; runs++; assert(runs <= 1); assert(!told_no[id]) }
 
-/* Runs whatever arrives, however late. */
+/* Executes every call that arrives, however late. */
 active proctype Backend() {
 end:
     do
@@ -199,7 +200,7 @@
 }
 #endif
 
-/* The caller: a resend goes out whenever the caller likes, also beside the first. */
+/* The caller may resend at any time, even while the first request is in progress. */
 init {
     run Submission(0);
     run Submission(1);
--- a/models/orders.pml
+++ b/models/orders.pml
@@ -1,37 +1,37 @@
 /*
- * Weight orders: an order of a former leader changes nothing for good, also at an engine that
- * ignores fencing numbers. Code: src/daemon/weight_orders.rs and weight_orders/order_core.rs.
+ * Weight orders: an order of a former leader has no lasting effect, even on an engine that ignores
+ * fencing numbers. Code: src/daemon/weight_orders.rs and weight_orders/order_core.rs.
  *
- * Desired goes from version 1 (noted in term 1) to version 2 (noted in term 2). The leader of
- * term 1 decides on two orders for version 1, may be frozen at any point, also between its last
- * look at the lease and the sending, and its orders may arrive arbitrarily late. The leader of
- * term 2 orders version 2 and goes on comparing desired with observed.
+ * The desired version changes from 1 (set in term 1) to 2 (set in term 2). The leader of term 1
+ * issues two orders for version 1. It may be paused at any point, also between its last check of the
+ * lease and the sending, and its orders may arrive arbitrarily late. The leader of term 2 orders
+ * version 2 and keeps comparing the desired with the observed versions.
  *
- * What is checked: an engine that compares numbers never goes back; when nothing moves any more,
- * both engines run version 2.
+ * Checked properties: an engine that compares fencing numbers never reverts to an older version; when
+ * no process can take a step, both engines run version 2.
  *
- * Switches that remove a safeguard, each of which must be found out:
- *   NO_REORDER      the leader orders once and does not look again
- *   LOCAL_NUMBERS   each leader numbers its orders by a counter of its own
+ * Switches that remove a safeguard; the checker must find a violation with each of them:
+ *   NO_REORDER      the leader sends one order and does not check the observed version again
+ *   LOCAL_NUMBERS   each leader numbers its orders with a counter of its own
  */
 #define ENGINES 2
-#define CHECKS 0               /* this engine compares fencing numbers; the other obeys anybody */
-#define STALE 2                /* orders of the former leader */
+#define CHECKS 0               /* this engine compares fencing numbers; the other one accepts every order */
+#define STALE 2                /* number of orders of the former leader */
 
 byte desired = 1;
-byte version[ENGINES];         /* what the engine runs */
-byte seen[ENGINES];            /* the highest number it has seen */
+byte version[ENGINES];         /* run by the engine */
+byte seen[ENGINES];            /* highest fencing number received */
 bool lease_held = true;        /* of the leader of term 1 */
 
 typedef Order { bool waits; byte weights; byte number };
-Order late[STALE];             /* orders of term 1 under way */
+Order late[STALE];             /* orders of term 1 in transit */
 byte target[STALE];
-Order fresh[ENGINES];          /* orders of term 2 under way, one at a time for each engine */
+Order fresh[ENGINES];          /* orders of term 2 in transit, at most one per engine */
 
 #ifdef LOCAL_NUMBERS
 #define NUMBER_OF(leader, count) (count)
 #else
-/* The term and the log index of the desired state: the later term is always the higher number. */
+/* The term and the log index of the desired state; a later term always gives a higher number. */
 #define NUMBER_OF(leader, count) ((leader) * 8)
 #endif
 
@@ -51,7 +51,7 @@
     bool may_send;
     do
     :: count < STALE ->
-        may_send = lease_held;              /* the last look; a freeze may follow it */
+        may_send = lease_held;              /* last check of the lease; a pause may follow */
         if
         :: may_send ->
             atomic {
@@ -70,7 +70,7 @@
 #ifdef NO_REORDER
 #define MAY_ORDER(engine) (!ordered[engine])
 #else
-/* Compares desired with observed for ever; one order at a time is under way to an engine. */
+/* Compares desired with observed versions forever; at most one order per engine is in transit. */
 #define MAY_ORDER(engine) (version[engine] != desired && !fresh[engine].waits)
 #endif
 
@@ -83,7 +83,7 @@
 
 active proctype NextLeader() {
     bool ordered[ENGINES];
-    lease_held = false;                     /* elected only once the former lease is over */
+    lease_held = false;                     /* elected only after the former lease has expired */
     desired = 2;
 end:
     do
@@ -92,7 +92,7 @@
     od
 }
 
-/* Orders arrive in any order, at any time. */
+/* Delivers orders in any sequence and at any time. */
 active proctype Network() {
 end:
     do
@@ -103,7 +103,7 @@
     od
 }
 
-/* Runs when nothing else can move. */
+/* Checked when no other process can take a step. */
 active proctype Quiet() {
     timeout -> assert(version[0] == desired && version[1] == desired)
 }
