--- a/tests/append_size.rs
+++ b/tests/append_size.rs
@@ -1,4 +1,4 @@
-//! What one append carries, where entries carry documents.
+//! Size of an append whose entries carry documents.
 
 use oleandermount::{
     control::{Command, LogEntry, entry::EntryPayload, replica::log::ReplicaLog},
@@ -13,15 +13,16 @@
     Command::PutDocument { number, body: "x".repeat(DOCUMENT_BYTES) }
 }
 
-/// A replica that was away hears the leader and never catches up: all documents that it lacks go into
-/// one append, and a message of that length is dropped.
+/// Guards against appends that exceed the message size: if the size of documents is not counted,
+/// all documents that a returning replica lacks go into one append, which is dropped, and the
+/// replica never catches up.
 #[test]
-fn documents_count() {
+fn append_counts_document_bytes() {
     let mut log = ReplicaLog::default();
     for index in 1..=DOCUMENTS {
         log.push(LogEntry { term: 1, index, payload: EntryPayload::Command(put(index)) });
     }
-    assert!(DOCUMENT_BYTES * DOCUMENTS as usize > MAX_FRAME, "the load proves nothing");
+    assert!(DOCUMENT_BYTES * DOCUMENTS as usize > MAX_FRAME, "the documents exceed one message");
     assert_eq!(log.batch(1, APPEND_BYTES).len(), APPEND_BYTES / DOCUMENT_BYTES);
     assert!(log.bytes() >= DOCUMENT_BYTES * DOCUMENTS as usize);
 }
--- a/tests/config_race.rs
+++ b/tests/config_race.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration under equal revision numbers, and resends of them.
+//! Concurrent changes of the configuration with equal expected revisions, and their resends.
 
 use oleandermount::{
     control::{
@@ -24,9 +24,9 @@
     state.apply(FencingNumber::default(), &command)
 }
 
-/// What operators see: of two changes under one number the first committed wins, and the other is
-/// told whose digest is in force. A resend after a lost answer gets the first result, also when
-/// more changes came between; it is never applied twice, and never told that it lost to itself.
+/// Of two changes with the same expected revision the one committed first is applied, and the other
+/// receives the digest of the winner. A resend after a lost response receives the first result even
+/// if more changes followed. It is never applied twice and never conflicts with itself.
 #[test]
 fn equal_revisions_and_resends() {
     let mut state = ControlState::default();
@@ -36,7 +36,11 @@
     assert_eq!(change(&mut state, "op-one", 0, &one), applied);
     assert_eq!(change(&mut state, "op-two", 0, &two), lost);
     assert_eq!(change(&mut state, "op-one", 0, &one), applied);
-    assert_eq!(change(&mut state, "op-one", 0, &two), lost, "the id is used up");
+    assert_eq!(
+        change(&mut state, "op-one", 0, &two),
+        lost,
+        "the id cannot be used for another change"
+    );
     let second = CommandOutcome::Applied { revision: 2 };
     assert_eq!(change(&mut state, "op-three", 1, &two), second);
     assert_eq!(change(&mut state, "op-one", 0, &one), applied);
@@ -46,7 +50,7 @@
     assert_eq!(copy, state, "a snapshot carries the results too");
 }
 
-/// What operators see: a change that no replica can read is refused and changes nothing.
+/// A change that cannot be parsed is refused and changes nothing.
 #[test]
 fn unreadable_body_refused() {
     let mut state = ControlState::default();
@@ -55,10 +59,9 @@
     assert_eq!(state.configuration().active().revision, 0);
 }
 
-/// What operators see: a resend that comes after so many changes that its result is forgotten
-/// gets a conflict; it is not applied a second time.
+/// A resend whose result is no longer retained receives a conflict and is not applied again.
 #[test]
-fn forgotten_resend_conflicts() {
+fn late_resend_conflicts() {
     let mut state = ControlState::default();
     let body = register("ub-north");
     for revision in 0..=RETAINED_OPERATIONS as u64 {
--- a/tests/configured_peers.rs
+++ b/tests/configured_peers.rs
@@ -1,9 +1,9 @@
-//! A replica of an empty disk finds the group through VMs that its settings name only later.
+//! A replica with an empty disk finds the group through VMs that were added to its settings after
+//! its start.
 //!
-//! What operators saw without it: a control VM that was started while all VMs that its settings named
-//! were gone stood by for ever, although the settings were corrected soon after. Order of events: it
-//! starts and asks the VMs that it was told of; the settings change; it goes on asking the first ones
-//! alone, so no leader ever hears of it.
+//! Guards against a control VM that never joins the group. It starts while all VMs named in its
+//! settings are lost, and the settings are corrected later. If it kept probing only the first VMs,
+//! no leader would receive its probes.
 
 use {
     oleandermount::control::{
@@ -19,9 +19,9 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// The VMs that the replica turns to when it is next due.
-fn asked(replica: &mut Replica) -> BTreeSet<String> {
-    let due = replica.next_wakeup().expect("it asks again");
+/// VMs that the replica probes when its timer is due.
+fn probed_vms(replica: &mut Replica) -> BTreeSet<String> {
+    let due = replica.next_wakeup().expect("it probes again");
     let actions = replica.handle(due, ReplicaInput::Tick);
     let sent = actions.into_iter().filter_map(|action| match action {
         ReplicaAction::Send { to, .. } => Some(to),
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn asks_whom_the_settings_name() {
+fn probes_configured_vms() {
     let settings = ReplicaSettings {
         vm: "vm-d".to_owned(),
         founders: names(&["vm-a", "vm-b"]),
@@ -41,8 +41,8 @@
     };
     let saved = SavedState::empty(7);
     let mut replica = Replica::new(settings, saved, Instant::now()).expect("the disk is empty");
-    assert_eq!(asked(&mut replica), names(&["vm-a", "vm-b"]));
+    assert_eq!(probed_vms(&mut replica), names(&["vm-a", "vm-b"]));
     let input = ReplicaInput::ConfiguredPeers { peers: names(&["vm-c", "vm-d"]) };
     replica.handle(Instant::now(), input);
-    assert_eq!(asked(&mut replica), names(&["vm-a", "vm-b", "vm-c"]));
+    assert_eq!(probed_vms(&mut replica), names(&["vm-a", "vm-b", "vm-c"]));
 }
--- a/tests/desired_weights.rs
+++ b/tests/desired_weights.rs
@@ -28,12 +28,14 @@
     assert_eq!(desire(&mut state, 3, "3"), CommandOutcome::Desired { fencing: number(3) });
 }
 
-/// Guards against an upgrade that loses the desired weights: earlier releases kept them by server.
+/// Guards against an upgrade that loses the desired weights: earlier releases stored them per
+/// server.
 #[test]
-fn former_snapshot_read() {
+fn legacy_snapshot_is_read() {
     let empty = ControlState::default().encode();
-    // The version is the first byte. Empty weights and suspects take one byte each, an empty document
-    // and no named weights three. Earlier ledgers lacked the first attempt, which is one byte.
+    // The version is the first byte. Empty weights and suspects take one byte each, an empty
+    // document and no named weights take three. Earlier ledgers lacked the first attempt, which
+    // takes one byte.
     let (head, tail) = (&empty[1..empty.len() - 6], &empty[empty.len() - 4..]);
     let place = |server: &str| (server.to_owned(), MODEL.to_owned());
     let desired = BTreeMap::from([
@@ -42,15 +44,16 @@
         (place("s2"), ("3".to_owned(), number(7))),
     ]);
     let desired = postcard::to_stdvec(&desired).expect("a map encodes");
-    let former = [&[2], head, &desired, tail].concat();
-    let state = ControlState::decode(&former).expect("it is read");
+    let legacy = [&[2], head, &desired, tail].concat();
+    let state = ControlState::decode(&legacy).expect("it is read");
     let expected = BTreeMap::from([(MODEL.to_owned(), ("3".to_owned(), number(7)))]);
     assert_eq!(*state.orders().desired(), expected);
 }
 
-/// Guards against a log that cannot be read after an upgrade: earlier releases noted each server.
+/// Guards against a log that cannot be read after an upgrade: earlier releases wrote one entry per
+/// server.
 #[test]
-fn former_log_read() {
+fn legacy_log_is_read() {
     let mut state = ControlState::default();
     for (index, server) in [(4, "s0"), (5, "s1")] {
         let (server, model) = (server.to_owned(), MODEL.to_owned());
--- a/tests/disk_faults.rs
+++ b/tests/disk_faults.rs
@@ -1,5 +1,4 @@
-//! Faults of the disk under the write-ahead log: writes cut off, bytes flipped, no space, failed
-//! syncs.
+//! Disk faults under the write-ahead log: torn writes, flipped bits, no space, failed syncs.
 
 #[path = "fakes/memory_files.rs"]
 mod memory_files;
@@ -24,7 +23,7 @@
 const NEXT_INCARNATION: u64 = 12;
 
 fn entries(index: u64, term: u64) -> DurableWrite {
-    // The last ones are longer than a sector of the disk.
+    // The last entries are longer than a disk sector.
     let weights = "w".repeat(if index > 3 { 700 } else { 7 });
     let (server, model) = (format!("server-{index}"), "model".to_owned());
     let command = Command::DesireWeights { server, model, weights };
@@ -49,15 +48,15 @@
     ]
 }
 
-/// A folder after all writes, and the states after the base of its last file and each further
-/// write.
+/// Returns a folder after all writes, the state after the base of its last file, and the state
+/// after each further write.
 fn filled() -> (MemoryFiles, Vec<SavedState>) {
     let files = MemoryFiles::default();
     let mut store = LogStore::open(Box::new(files.clone()), INCARNATION).expect("it opens").store;
     let mut state = SavedState::empty(INCARNATION);
     let mut states = Vec::new();
     for batch in writes() {
-        store.append(batch.clone()).expect("the disk is sound");
+        store.append(batch.clone()).expect("the disk works");
         batch.into_iter().for_each(|write| assert!(state.apply(write)));
         states.push(state.clone());
     }
@@ -68,21 +67,25 @@
     content.keys().find(|name| name.starts_with("log-")).expect("there is a log").clone()
 }
 
-/// The state found in a folder with this content; `None` when it was set aside.
+/// Returns the state read from a folder with this content; `None` if its files were quarantined.
 fn reopen(content: &BTreeMap<String, Vec<u8>>) -> Option<SavedState> {
-    let files = MemoryFiles::holding(content);
+    let files = MemoryFiles::with_files(content);
     let opened = LogStore::open(Box::new(files.clone()), NEXT_INCARNATION).expect("it opens");
     if opened.quarantined.is_some() {
-        assert_eq!(opened.state, SavedState::empty(NEXT_INCARNATION), "nothing is guessed");
-        assert_eq!(files.image().aside.len(), content.len(), "nothing is thrown away");
+        assert_eq!(
+            opened.state,
+            SavedState::empty(NEXT_INCARNATION),
+            "no state is recovered from damaged files"
+        );
+        assert_eq!(files.image().quarantined.len(), content.len(), "every file is kept");
         return None;
     }
     Some(opened.state)
 }
 
-/// What operators see: a replica killed at any moment of a write comes back with every write that
-/// was synced and none that was not whole. The log file ends at each possible byte, also with
-/// the rest of the sector read as zeros, since a file may grow before its bytes arrive.
+/// A replica killed at any moment of a write restarts with every synced write and without any
+/// incomplete one. The log file is truncated at each byte, with and without the rest of the sector
+/// filled with zeros, since a file may grow before its bytes are written.
 #[test]
 fn each_prefix_recovers() {
     let (files, states) = filled();
@@ -97,7 +100,10 @@
         let known = state.as_ref().map(|state| {
             states.iter().position(|known| known == state).expect("a state between two writes")
         });
-        assert!(found.last().is_none_or(|last| *last <= known), "longer files hold no less");
+        assert!(
+            found.last().is_none_or(|last| *last <= known),
+            "a longer file never holds fewer writes"
+        );
         if known.is_some() {
             let mut padded = whole[..length].to_vec();
             padded.resize(whole.len().next_multiple_of(512), 0);
@@ -111,15 +117,15 @@
     assert_eq!(found.last(), Some(&Some(states.len() - 1)));
     found.dedup();
     let all: Vec<Option<usize>> = (0..states.len()).map(Some).collect();
-    assert!(found.ends_with(&all), "each write is one step: {found:?}");
+    assert!(found.ends_with(&all), "each write is atomic: {found:?}");
 }
 
-/// What operators see: a replica whose disk returns wrong bytes does not come back with part of
-/// its past. One bit of each byte of each file is flipped; the folder is set aside whole and the
-/// replica is empty under a new incarnation, which has no vote. If it were cut at the damage, an
-/// acknowledged booking would be gone and the replica could elect a leader without it.
+/// Guards against a replica that restarts with part of its state after the disk returns wrong
+/// bytes. One bit of each byte of each file is flipped. The whole folder is quarantined, and the
+/// replica is empty under a new incarnation without a vote. If the log were truncated at the
+/// damage, an acknowledged call would be lost and the replica could elect a leader without it.
 #[test]
-fn flipped_bytes_set_aside() {
+fn flipped_bytes_are_quarantined() {
     let (files, _) = filled();
     let content = files.content();
     for (name, bytes) in &content {
@@ -131,12 +137,12 @@
     }
     let mut missing = content.clone();
     missing.remove(&the_log(&content));
-    assert_eq!(reopen(&missing), None, "the log is gone");
+    assert_eq!(reopen(&missing), None, "the log is missing");
 }
 
-/// What operators see: with no space left the replica stops with an error that names the remedy,
-/// and nothing that was acknowledged before is lost. The disk fills up at each possible byte; the
-/// write that does not fit fails, none is accepted after it, also if space comes back.
+/// A replica without disk space stops with an error that names the remedy, and no acknowledged
+/// write is lost. The disk becomes full at each byte. The write that does not fit fails, and no
+/// later one is accepted, even if space becomes available.
 #[test]
 fn full_disk_stops() {
     for space in 0..5000 {
@@ -163,16 +169,16 @@
             }
         }
         let found = reopen(&files.content());
-        let found = found.unwrap_or_else(|| panic!("set aside with space for {space} bytes"));
+        let found = found.unwrap_or_else(|| panic!("quarantined with space for {space} bytes"));
         if state != SavedState::empty(INCARNATION) {
             assert_eq!(found, state, "space for {space} bytes");
         }
     }
 }
 
-/// What operators see: a disk that fails to sync stops the replica; the proposer is not told that
-/// its command is accepted, and later ones are refused. A second try to sync may succeed without
-/// the bytes having arrived, so the file is not trusted again.
+/// A disk that fails to sync stops the replica. The proposer receives no acceptance, and later
+/// commands are refused. A second sync may succeed although the bytes were not written, so the file
+/// is not used again.
 #[tokio::test]
 async fn failed_sync_stops() {
     let files = MemoryFiles::default();
@@ -204,7 +210,7 @@
     let mut content = files.content();
     let header = postcard::to_stdvec(&(2_u32, "of a later release")).expect("it encodes");
     content.insert(the_log(&content), encode_frame(&header));
-    let files = MemoryFiles::holding(&content);
+    let files = MemoryFiles::with_files(&content);
     let error = LogStore::open(Box::new(files.clone()), NEXT_INCARNATION).err();
     assert!(matches!(error, Some(StorageError::UnknownVersion { found: 2 })));
     assert_eq!(files.content(), content, "the folder is left as it is");
--- a/tests/fakes/memory_files.rs
+++ b/tests/fakes/memory_files.rs
@@ -1,4 +1,4 @@
-//! A folder in memory whose disk can be full, fail to sync, or be changed behind the store's back.
+//! In-memory folder whose disk can be full, fail to sync, or be modified externally.
 #![allow(dead_code)] // Each test file uses a part of it.
 
 use {
@@ -12,20 +12,20 @@
 
 type FileBytes = Arc<Mutex<Vec<u8>>>;
 
-/// What the disk holds and how it fails.
+/// Content of the disk and its faults.
 #[derive(Debug, Default)]
 pub struct DiskImage {
     files: BTreeMap<String, FileBytes>,
-    /// Names of the files that were set aside.
-    pub aside: Vec<String>,
-    /// Bytes that still fit; a write past them is cut off and fails.
+    /// Names of the quarantined files.
+    pub quarantined: Vec<String>,
+    /// Free space in bytes; a write beyond it is truncated and fails.
     pub space: Option<usize>,
     pub sync_fails: bool,
-    /// A sync waits here while the gate is shut.
+    /// Blocks syncs while the gate is shut.
     pub gate: Arc<SyncGate>,
 }
 
-/// Holds up syncs, as a disk that answers nothing does.
+/// Blocks syncs, as an unresponsive disk does.
 #[derive(Debug, Default)]
 pub struct SyncGate {
     shut: Mutex<bool>,
@@ -44,7 +44,7 @@
     }
 }
 
-/// A folder; its clones are the same one.
+/// Folder; all clones share the same content.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryFiles(Arc<Mutex<DiskImage>>);
 
@@ -54,7 +54,7 @@
 }
 
 impl MemoryFiles {
-    pub fn holding(files: &BTreeMap<String, Vec<u8>>) -> Self {
+    pub fn with_files(files: &BTreeMap<String, Vec<u8>>) -> Self {
         let shared = |(name, bytes): (&String, &Vec<u8>)| {
             (name.clone(), Arc::new(Mutex::new(bytes.clone())))
         };
@@ -123,7 +123,7 @@
         let mut image = self.image();
         for name in names {
             image.files.remove(name);
-            image.aside.push(name.clone());
+            image.quarantined.push(name.clone());
         }
         Ok(())
     }
--- a/tests/fakes/replica_group.rs
+++ b/tests/fakes/replica_group.rs
@@ -1,6 +1,6 @@
-//! Several replicas in virtual time: a wire that drops, doubles and reorders, disks that forget
-//! what was not synced, crashes, frozen processes and lost disks, with the invariants checked after
-//! each step.
+//! Simulation of several replicas in virtual time. The network drops, duplicates and reorders
+//! messages, disks lose what was not synced, processes crash and pause, and disks are lost. The
+//! invariants are checked after each step.
 #![allow(dead_code)] // Each test file uses a part of it.
 
 use {
@@ -25,60 +25,61 @@
     },
 };
 
-const USUAL_SYNC: Duration = Duration::from_millis(5);
-/// How often the leader looks whether a replica is to be replaced, as on the control VMs.
-pub const HEAL_EVERY: Duration = Duration::from_millis(250);
+const DEFAULT_SYNC: Duration = Duration::from_millis(5);
+/// Interval at which the leader checks whether a repair is needed, as on the control VMs.
+pub const REPAIR_INTERVAL: Duration = Duration::from_millis(250);
 const BULK_BYTES: usize = 64 << 10;
 const FIRST_INCARNATION: Incarnation = 100;
 
 pub type ProposalOutcome = Result<CommandOutcome, LocalProposeError>;
 
-/// How rough the world is, in chances of a hundred for each message.
+/// Fault rates of the network, in percent of the messages.
 #[derive(Clone, Copy)]
-pub struct WireFaults {
+pub struct NetworkFaults {
     pub drop: u64,
-    pub double: u64,
-    /// The longest way of a message.
+    pub duplicate: u64,
+    /// Maximum delay of a message.
     pub delay: Duration,
 }
 
-pub const CALM: WireFaults = WireFaults { drop: 0, double: 0, delay: Duration::from_millis(2) };
+pub const NO_FAULTS: NetworkFaults =
+    NetworkFaults { drop: 0, duplicate: 0, delay: Duration::from_millis(2) };
 
 pub struct GroupNode {
     pub replica: Option<Replica>,
     pub disk: SavedState,
-    /// Handed out and not yet synced.
+    /// Batches that are issued but not yet synced.
     unsynced: VecDeque<(Instant, PersistBatch)>,
-    /// The longest that its disk takes to sync.
+    /// Maximum duration of a sync of the disk.
     pub slowest_sync: Duration,
-    frozen_until: Instant,
+    paused_until: Instant,
     checked: LogIndex,
-    shown: Revision,
+    published: Revision,
 }
 
-/// The replicas, their wire, and what was seen of them so far.
+/// Replicas, the network between them, and everything observed so far.
 pub struct ReplicaGroup {
     pub now: Instant,
     pub random: Xoshiro256PlusPlus,
     pub nodes: BTreeMap<VmId, GroupNode>,
-    pub faults: WireFaults,
-    /// How much longer messages of over [`BULK_BYTES`] are on their way, as on a slow link.
+    pub faults: NetworkFaults,
+    /// Additional delay of messages of more than [`BULK_BYTES`], as on a slow link.
     pub bulk_delay: Duration,
-    /// Pairs that do not hear each other.
-    pub cut: BTreeSet<(VmId, VmId)>,
+    /// Sender and receiver of blocked links.
+    pub blocked_links: BTreeSet<(VmId, VmId)>,
     pub outcomes: BTreeMap<u64, ProposalOutcome>,
-    /// Events carried out so far.
+    /// Number of processed events.
     pub steps: u64,
     founders: BTreeSet<VmId>,
     seed: u64,
     limits: ReplicaLimits,
     pub timing: ReplicaTiming,
-    wire: BTreeMap<(Instant, u64), (VmId, VmId, ReplicaMessage)>,
+    network: BTreeMap<(Instant, u64), (VmId, VmId, ReplicaMessage)>,
     sent: u64,
     next_incarnation: Incarnation,
     next_proposal: u64,
     leaders: BTreeMap<Term, (VmId, Incarnation)>,
-    /// With the term in which each was first seen committed.
+    /// Committed entries, with the term in which each was first observed as committed.
     committed: BTreeMap<LogIndex, (LogEntry, Term)>,
     written: BTreeMap<(LogIndex, Term), (LogEntry, Option<Term>)>,
     states: BTreeMap<LogIndex, Vec<u8>>,
@@ -92,7 +93,7 @@
     pub fn timed(names: &[&str], seed: u64, timing: ReplicaTiming) -> Self {
         let now = Instant::now();
         let founders: BTreeSet<VmId> = names.iter().map(ToString::to_string).collect();
-        // Small bounds, so that short runs meet snapshots in several pieces and full windows.
+        // Small limits, so that short runs include snapshots in several chunks and full windows.
         let limits = ReplicaLimits {
             append_bytes: 2000,
             appends_in_flight: 3,
@@ -105,16 +106,16 @@
             now,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             nodes: BTreeMap::new(),
-            faults: CALM,
+            faults: NO_FAULTS,
             bulk_delay: Duration::ZERO,
-            cut: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             outcomes: BTreeMap::new(),
             steps: 0,
             founders: founders.clone(),
             seed,
             limits,
             timing,
-            wire: BTreeMap::new(),
+            network: BTreeMap::new(),
             sent: 0,
             next_incarnation: FIRST_INCARNATION,
             next_proposal: 0,
@@ -146,15 +147,19 @@
         if node.replica.is_none() {
             let replica = Replica::new(settings, node.disk.clone(), self.now)
                 .expect("a snapshot of its own decodes");
-            let shown = replica.config().revision;
-            assert!(shown >= node.shown, "{vm} restarts below a configuration it has shown");
+            let published = replica.config().revision;
+            assert!(
+                published >= node.published,
+                "{vm} restarts with a configuration older than the published one"
+            );
             node.checked = replica.base();
             node.replica = Some(replica);
-            node.frozen_until = self.now;
+            node.paused_until = self.now;
         }
     }
 
-    /// Kills the process; some of what was not synced may have reached the disk, in order.
+    /// Kills the process. Some of the batches that were not synced may have reached the disk, in
+    /// order.
     pub fn crash(&mut self, vm: &str) {
         let node = self.nodes.get_mut(vm).expect("the VM is one of the group");
         let kept = (self.random.next_u64() % (node.unsynced.len() as u64 + 1)) as usize;
@@ -171,28 +176,28 @@
             replica: None,
             disk: SavedState::empty(self.next_incarnation),
             unsynced: VecDeque::new(),
-            slowest_sync: USUAL_SYNC,
-            frozen_until: self.now,
+            slowest_sync: DEFAULT_SYNC,
+            paused_until: self.now,
             checked: 0,
-            shown: 0,
+            published: 0,
         };
         self.nodes.insert(vm.to_owned(), node);
     }
 
-    /// Stops the process for a while, as SIGSTOP does.
-    pub fn freeze(&mut self, vm: &str, pause: Duration) {
-        self.nodes.get_mut(vm).expect("the VM is one of the group").frozen_until = self.now + pause;
+    /// Pauses the process, as SIGSTOP does.
+    pub fn pause(&mut self, vm: &str, pause: Duration) {
+        self.nodes.get_mut(vm).expect("the VM is one of the group").paused_until = self.now + pause;
     }
 
-    /// Bytes of the messages that wait for a VM.
+    /// Size in bytes of the messages in transit to a VM.
     pub fn waiting_bytes(&self, vm: &str) -> usize {
-        let waiting = self.wire.values().filter(|(_, to, _)| to == vm);
+        let waiting = self.network.values().filter(|(_, to, _)| to == vm);
         waiting
             .map(|(_, _, message)| postcard::to_stdvec(message).map_or(0, |bytes| bytes.len()))
             .sum()
     }
 
-    /// Proposes at one replica; the number finds the outcome.
+    /// Proposes a command at one replica; the returned number identifies the outcome.
     pub fn propose(&mut self, vm: &str, command: Command) -> u64 {
         self.next_proposal += 1;
         let proposal = self.next_proposal;
@@ -207,27 +212,27 @@
         self.nodes.iter().find(|(_, node)| leads(node)).map(|(vm, _)| vm.clone())
     }
 
-    /// What the leader says of itself.
-    pub fn led_status(&self) -> Option<ReplicaStatus> {
+    /// Status of the leader.
+    pub fn leader_status(&self) -> Option<ReplicaStatus> {
         let leader = self.leader()?;
         Some(self.nodes[&leader].replica.as_ref()?.status(self.now))
     }
 
-    /// Lets time pass; the leader repairs a group of `founders` as control VMs do.
-    pub fn heal_for(&mut self, time: Duration, founders: usize) {
+    /// Advances the time; the leader repairs a group of `founders` as on the control VMs.
+    pub fn run_with_repair(&mut self, time: Duration, founders: usize) {
         let end = self.now + time;
         while self.now < end {
-            self.run_for(HEAL_EVERY.min(end - self.now));
-            let Some(status) = self.led_status() else { continue };
+            self.run_for(REPAIR_INTERVAL.min(end - self.now));
+            let Some(status) = self.leader_status() else { continue };
             let voters = target_voters(&status, founders);
             if let Some(command) = next_repair(self.now, &status, voters) {
-                let leader = self.leader().expect("it has just led");
+                let leader = self.leader().expect("it leads");
                 self.propose(&leader, command);
             }
         }
     }
 
-    /// The newest membership among committed entries.
+    /// Newest committed membership.
     pub fn membership(&self) -> Option<Membership> {
         self.committed.values().rev().find_map(|(entry, _)| match &entry.payload {
             EntryPayload::Membership(membership) => Some(membership.clone()),
@@ -235,8 +240,8 @@
         })
     }
 
-    /// Whether each voter still has the disk that the membership names. Before the founding one
-    /// disk may be lost: the founding may name it all the same, but no second one.
+    /// Whether each voter still has the disk named in the membership. One disk may be lost before
+    /// the group is founded, because the founding may still name it, but no second one.
     pub fn is_intact(&self) -> bool {
         let has_group = self
             .nodes
@@ -244,7 +249,7 @@
             .any(|node| node.disk.hard_state.group.is_some() || !node.unsynced.is_empty())
             || self.next_incarnation > FIRST_INCARNATION + self.founders.len() as u64;
         let Some(membership) = self.membership() else { return !has_group };
-        // No change of the membership may be on its way either.
+        // No membership change may be in progress either.
         let intact = |(vm, incarnation): (&VmId, &Incarnation)| {
             self.nodes.get(vm).is_some_and(|node| {
                 let replica = node.replica.as_ref().map(|replica| replica.status(self.now));
@@ -256,7 +261,7 @@
         enough && membership.voters.iter().all(intact)
     }
 
-    /// Steps until the condition holds; `false` if it does not within the virtual time.
+    /// Runs until the condition holds; returns `false` if it does not hold within the virtual time.
     pub fn run_until(&mut self, within: Duration, done: impl Fn(&ReplicaGroup) -> bool) -> bool {
         let end = self.now + within;
         while !done(self) {
@@ -272,9 +277,9 @@
         self.run_until(time, |_| false);
     }
 
-    /// Goes to the next event before `end` and carries it out.
+    /// Advances to the next event before `end` and processes it.
     fn step(&mut self, end: Instant) {
-        let message = self.wire.first_key_value().map(|((at, _), _)| *at);
+        let message = self.network.first_key_value().map(|((at, _), _)| *at);
         let node = self.nodes.iter().filter_map(|(vm, node)| Some((node_due(node)?, vm.clone())));
         let node = node.min();
         let node_at = node.as_ref().map(|(at, _)| *at);
@@ -286,7 +291,7 @@
         self.now = self.now.max(next);
         self.steps += 1;
         if message == Some(next) {
-            let ((_, _), (from, to, message)) = self.wire.pop_first().expect("it was seen");
+            let ((_, _), (from, to, message)) = self.network.pop_first().expect("it was seen");
             self.deliver(from, to, message);
         } else if let Some((_, vm)) = node {
             self.wake(&vm);
@@ -294,11 +299,11 @@
     }
 
     fn deliver(&mut self, from: VmId, to: VmId, message: ReplicaMessage) {
-        let frozen_until = self.nodes.get(&to).map_or(self.now, |node| node.frozen_until);
-        if frozen_until > self.now {
+        let paused_until = self.nodes.get(&to).map_or(self.now, |node| node.paused_until);
+        if paused_until > self.now {
             self.sent += 1;
-            self.wire.insert((frozen_until, self.sent), (from, to, message));
-        } else if !self.cut.contains(&(from.clone(), to.clone())) {
+            self.network.insert((paused_until, self.sent), (from, to, message));
+        } else if !self.blocked_links.contains(&(from.clone(), to.clone())) {
             self.input(&to, ReplicaInput::Received { from, message });
         }
     }
@@ -318,7 +323,7 @@
     pub fn input(&mut self, vm: &str, input: ReplicaInput) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(vm) else { return };
-        let Some(replica) = node.replica.as_mut().filter(|_| node.frozen_until <= now) else {
+        let Some(replica) = node.replica.as_mut().filter(|_| node.paused_until <= now) else {
             if let ReplicaInput::Propose { proposal, .. } = input {
                 let nobody = LocalProposeError::NotLeader { leader: None };
                 self.outcomes.insert(proposal, Err(nobody));
@@ -341,7 +346,7 @@
                 node.unsynced.push_back((before.max(self.now) + pause, batch));
             }
             ReplicaAction::Send { to, message } => {
-                let copies = 1 + u64::from(self.below(100) < self.faults.double);
+                let copies = 1 + u64::from(self.below(100) < self.faults.duplicate);
                 for _ in 0..copies {
                     if self.below(100) >= self.faults.drop {
                         let delay = self.below(self.faults.delay.as_micros() as u64 + 1);
@@ -350,7 +355,7 @@
                         let at = self.now + Duration::from_micros(100 + delay) + more;
                         self.sent += 1;
                         let envelope = (vm.to_owned(), to.clone(), message.clone());
-                        self.wire.insert((at, self.sent), envelope);
+                        self.network.insert((at, self.sent), envelope);
                     }
                 }
             }
@@ -362,7 +367,7 @@
         }
     }
 
-    /// The invariants, as far as the replica that has just moved bears on them.
+    /// Checks the invariants that concern the replica that has just changed.
     fn check(&mut self, vm: &str) {
         let (now, seed) = (self.now, self.seed);
         let leased = self
@@ -373,9 +378,9 @@
         let node = self.nodes.get_mut(vm).expect("the VM is one of the group");
         let Some(replica) = &node.replica else { return };
         let status = replica.status(now);
-        let shown = replica.config().revision;
-        assert!(shown >= node.shown, "seed {seed}: the configuration of {vm} fell");
-        node.shown = shown;
+        let published = replica.config().revision;
+        assert!(published >= node.published, "seed {seed}: the configuration of {vm} went back");
+        node.published = published;
         let first = node.checked.max(replica.base()) + 1;
         for index in first..=status.last {
             let entry = replica.entry(index).expect("entries after the base are held");
@@ -401,7 +406,7 @@
         if status.role == ReplicaRole::Leader {
             let place = (vm.to_owned(), status.incarnation);
             if !self.leaders.contains_key(&status.term) {
-                // A leader of an earlier term may still come late; it commits nothing.
+                // A leader of an earlier term may still be elected late; it commits nothing.
                 let held = |index| replica.entry(index);
                 for (index, (entry, term)) in self.committed.range(replica.base() + 1..) {
                     let kept = *term >= status.term || held(*index) == Some(entry);
@@ -418,12 +423,12 @@
     let wakeup = node.replica.as_ref()?.next_wakeup();
     let synced = node.unsynced.front().map(|(at, _)| *at);
     let due = wakeup.into_iter().chain(synced).min()?;
-    Some(due.max(node.frozen_until))
+    Some(due.max(node.paused_until))
 }
 
 fn write_batch(disk: &mut SavedState, batch: PersistBatch) {
     for write in batch.writes {
         let text = matches!(write, DurableWrite::Entries(_));
-        assert!(disk.apply(write), "writes follow each other (entries: {text})");
+        assert!(disk.apply(write), "writes are consecutive (entries: {text})");
     }
 }
--- a/tests/fleet_list.rs
+++ b/tests/fleet_list.rs
@@ -1,4 +1,4 @@
-//! What a follower has learned never goes back, whichever control VM it turns to.
+//! State received by a follower never goes back, whichever control VM it follows.
 
 use {
     oleandermount::{
@@ -29,11 +29,12 @@
 
 fn listed(state: &mut SharedState, fleet: FleetSnapshot) -> ServerPhase {
     state.take(FollowReply { fleet: Some(fleet), ..FollowReply::default() });
-    state.fleet.as_ref().expect("a list was taken").servers[0].phase
+    state.fleet.as_ref().expect("a list was applied").servers[0].phase
 }
 
-/// A leaving server got new work again. Order of events: an entry learns that it drains; its control
-/// VM is cut off, and the next one it asks read the list a second earlier.
+/// Guards against new work for a server that is being removed. An entry learns that the server is
+/// draining; its control VM is partitioned, and the next control VM has read the list a second
+/// earlier.
 #[test]
 fn draining_stays() {
     let mut state = SharedState::default();
@@ -47,9 +48,10 @@
     );
 }
 
-/// Control VM and follower would otherwise exchange the whole list without a pause.
+/// Guards against a control VM and a follower that exchange the whole list continuously because
+/// their digests differ.
 #[test]
-fn digest_is_the_senders() {
+fn digest_matches_sender() {
     let mut state = SharedState::default();
     listed(&mut state, list(ServerPhase::Draining, 1));
     let older = list(ServerPhase::Ready, 1);
@@ -80,8 +82,8 @@
     Arc::new(FleetSnapshot::new(servers.collect()))
 }
 
-/// Guards against control VMs that cannot lead for all the lists they send: each server that loads new
-/// weights changes the list, and every daemon was sent all of it each time.
+/// Guards against control VMs that fail to lead because of the lists that they send: each server
+/// that loads weights changes the list, and every daemon received the whole list each time.
 #[test]
 fn followers_get_differences() {
     let mut history = FleetHistory::default();
@@ -89,11 +91,11 @@
     for loading in 0..100 {
         let phase =
             |number| if number == loading { ServerPhase::Loading } else { ServerPhase::Ready };
-        let present = fleet_of(870, phase);
-        let change = history.change_since(state.fleet_digest, &present).expect("it changed");
+        let current = fleet_of(870, phase);
+        let change = history.change_since(state.fleet_digest, &current).expect("it changed");
         let reply = match change {
             FleetChange::Full(fleet) => {
-                assert_eq!(loading, 0, "the first list alone is sent whole");
+                assert_eq!(loading, 0, "only the first list is sent whole");
                 FollowReply { fleet: Some(FleetSnapshot::clone(&fleet)), ..FollowReply::default() }
             }
             FleetChange::Delta(delta) => FollowReply {
@@ -104,37 +106,38 @@
         let length = postcard::to_stdvec(&reply).expect("it encodes").len();
         assert!(loading == 0 || length < 512, "{length} bytes for two servers that changed");
         state.take(reply);
-        assert_eq!(state.fleet.as_ref(), Some(&present));
-        assert_eq!(history.change_since(state.fleet_digest, &present), None);
+        assert_eq!(state.fleet.as_ref(), Some(&current));
+        assert_eq!(history.change_since(state.fleet_digest, &current), None);
     }
 }
 
 #[test]
-fn differences_end_alike() {
+fn delta_reproduces_list() {
     let one = fleet_of(5, |_| ServerPhase::Ready);
     let other = fleet_of(7, |number| match number {
         2 => ServerPhase::Draining,
         _ => ServerPhase::Ready,
     });
-    for (former, present) in [(&one, &other), (&other, &one)] {
+    for (previous, current) in [(&one, &other), (&other, &one)] {
         let mut history = FleetHistory::default();
-        history.change_since(0, former);
-        let Some(FleetChange::Delta(delta)) = history.change_since(former.digest(), present) else {
-            panic!("the former list is known");
+        history.change_since(0, previous);
+        let Some(FleetChange::Delta(delta)) = history.change_since(previous.digest(), current)
+        else {
+            panic!("the previous list is known");
         };
-        assert_eq!(former.apply(&delta), **present);
-        assert_eq!(delta.digest, present.digest());
+        assert_eq!(previous.apply(&delta), **current);
+        assert_eq!(delta.digest, current.digest());
     }
 }
 
-/// Guards against a list put together from two others: a difference applies to its own base alone.
+/// Guards against a list assembled from two others: a difference applies only to its own base.
 #[test]
 fn other_base_ignored() {
     let (one, other) = (fleet_of(3, |_| ServerPhase::Ready), fleet_of(3, |_| ServerPhase::Loading));
     let mut history = FleetHistory::default();
     history.change_since(0, &one);
     let Some(FleetChange::Delta(delta)) = history.change_since(one.digest(), &other) else {
-        panic!("the former list is known");
+        panic!("the previous list is known");
     };
     let mut state = SharedState::default();
     state.take(FollowReply {
@@ -143,33 +146,38 @@
     });
     assert_eq!((state.fleet, state.fleet_digest), (None, 0));
     let whole = history.change_since(77, &other);
-    assert_eq!(whole, Some(FleetChange::Full(other)), "a list that is not known is replaced whole");
+    assert_eq!(
+        whole,
+        Some(FleetChange::Full(other)),
+        "an unknown list is replaced by the whole list"
+    );
 }
 
-/// Guards against followers that are shown each change by itself while hundreds of servers load.
+/// Guards against followers that receive each change separately while hundreds of servers load
+/// weights.
 #[tokio::test(start_paused = true)]
-async fn changes_shown_together() {
-    let board = Arc::new(FleetView::default());
+async fn changes_are_batched() {
+    let view = Arc::new(FleetView::default());
     let ready = fleet_of(870, |_| ServerPhase::Ready);
-    board.apply_reading(FleetSnapshot::clone(&ready));
-    let mut shown = board.subscribe_published();
-    tokio::spawn(publish_list(Arc::clone(&board)));
-    let first = timeout(Duration::from_secs(1), shown.changed()).await;
-    assert!(first.is_ok(), "a list is shown");
-    assert_eq!(*shown.borrow_and_update(), ready, "what was read before is shown");
+    view.apply_reading(FleetSnapshot::clone(&ready));
+    let mut published = view.subscribe_published();
+    tokio::spawn(publish_list(Arc::clone(&view)));
+    let first = timeout(Duration::from_secs(1), published.changed()).await;
+    assert!(first.is_ok(), "a list is published");
+    assert_eq!(*published.borrow_and_update(), ready, "the earlier reading is published");
     let mut times = 0;
     let mut ticks = interval(Duration::from_millis(10));
     for number in 0..100 {
-        board.hold(&format!("i-{number:04}"));
+        view.hold(&format!("i-{number:04}"));
         ticks.tick().await;
-        times += usize::from(shown.has_changed().expect("the board is there"));
-        shown.mark_unchanged();
+        times += usize::from(published.has_changed().expect("the view exists"));
+        published.mark_unchanged();
     }
     assert!(times <= 11, "{times} lists in a second");
     let last = fleet_of(870, |number| match number {
         0..100 => ServerPhase::Loading,
         _ => ServerPhase::Ready,
     });
-    let seen = timeout(Duration::from_secs(1), shown.wait_for(|list| **list == *last)).await;
-    assert!(seen.is_ok(), "the last one is shown");
+    let seen = timeout(Duration::from_secs(1), published.wait_for(|list| **list == *last)).await;
+    assert!(seen.is_ok(), "the last list is published");
 }
--- a/tests/healing_group.rs
+++ b/tests/healing_group.rs
@@ -1,9 +1,8 @@
 //! The leader replaces lost replicas by itself.
 //!
-//! What operators saw without it: after two control VMs had been replaced one after the other, the
-//! last configuration could neither be read nor changed. Order of events: an empty disk comes in
-//! place of the first lost voter and nobody takes it in; the second voter is lost; one of three is
-//! no quorum.
+//! Guards against the loss of the configuration after two control VMs were replaced one after the
+//! other. An empty disk replaces the first lost voter but is not added to the group; then the
+//! second voter is lost, and one of three voters is no quorum.
 
 #[path = "fakes/replica_group.rs"]
 mod replica_group;
@@ -14,7 +13,7 @@
         healing::{VOTER_TIMEOUT, next_repair, target_voters},
         replica::ReplicaStatus,
     },
-    replica_group::{ReplicaGroup, WireFaults},
+    replica_group::{NetworkFaults, ReplicaGroup},
     std::{
         collections::BTreeMap,
         time::{Duration, Instant},
@@ -39,26 +38,26 @@
     }
 }
 
-fn taken_in(vm: &str, disk: u64) -> Option<Command> {
+fn added(vm: &str, disk: u64) -> Option<Command> {
     Some(Command::ReplaceReplica { vm: vm.to_owned(), incarnation: Some(disk) })
 }
 
 #[test]
-fn empty_disk_takes_its_place() {
+fn empty_disk_replaces_voter() {
     let now = Instant::now();
     let healthy = leader(now);
     assert_eq!(next_repair(now, &healthy, VOTERS), None);
     let wiped = ReplicaStatus { non_members: names(&[("vm-b", 9)]), ..healthy };
-    assert_eq!(next_repair(now, &wiped, VOTERS), taken_in("vm-b", 9));
+    assert_eq!(next_repair(now, &wiped, VOTERS), added("vm-b", 9));
 }
 
 #[test]
-fn stranger_replaces_silent_voter() {
+fn spare_replaces_unresponsive_voter() {
     let now = Instant::now();
     let mut status = ReplicaStatus { non_members: names(&[("vm-d", 4)]), ..leader(now) };
-    assert_eq!(next_repair(now, &status, VOTERS), None, "nobody is missed");
+    assert_eq!(next_repair(now, &status, VOTERS), None, "no voter is missing");
     status.last_replies.insert("vm-c".to_owned(), now - VOTER_TIMEOUT - Duration::from_millis(1));
-    assert_eq!(next_repair(now, &status, VOTERS), taken_in("vm-d", 4));
+    assert_eq!(next_repair(now, &status, VOTERS), added("vm-d", 4));
     status.members.learners.insert("vm-d".to_owned(), 4);
     status.non_members.clear();
     assert_eq!(next_repair(now, &status, VOTERS), None, "it catches up first");
@@ -69,13 +68,13 @@
     assert_eq!(next_repair(now, &status, VOTERS), removed);
 }
 
-/// What operators saw without it: a leader took in a disk that was long gone, found it silent, took it
-/// out, and so on for ever, while a sound one stood by. (Found by seed 59 of healing_simulation.)
+/// Guards against a leader that adds a lost disk, finds it unresponsive and removes it, over and
+/// over, while a working replica is available.
 #[test]
-fn unheard_disk_is_no_candidate() {
+fn lost_disk_is_not_added() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 1);
-    let led = |group: &ReplicaGroup| group.leader().is_some();
-    assert!(group.run_until(Duration::from_secs(30), led), "a group forms");
+    let has_leader = |group: &ReplicaGroup| group.leader().is_some();
+    assert!(group.run_until(Duration::from_secs(30), has_leader), "a group forms");
     group.lose_disk("d");
     group.start("d");
     group.run_for(Duration::from_secs(1));
@@ -83,15 +82,15 @@
         let leader = group.leader().and_then(|leader| group.nodes[&leader].replica.clone());
         leader.expect("one leads").status(group.now).non_members
     };
-    assert!(non_members(&group).contains_key("d"), "it makes itself known");
+    assert!(non_members(&group).contains_key("d"), "it sends probes");
     group.crash("d");
     group.run_for(Duration::from_secs(3));
-    assert!(non_members(&group).is_empty(), "it is not heard any more");
+    assert!(non_members(&group).is_empty(), "its observation has expired");
 }
 
-/// Without a lease another leader may exist, and two would mend different things.
+/// Without a lease another leader may exist, and the two could make conflicting repairs.
 #[test]
-fn only_under_a_lease() {
+fn repair_requires_lease() {
     let now = Instant::now();
     let non_members = names(&[("vm-b", 9)]);
     for lease_until in [None, Some(now)] {
@@ -100,11 +99,11 @@
     }
 }
 
-/// What operators saw without it: no repair was made any more. Order of events: a stranger is taken in
-/// as a learner in place of a silent voter; its VM is lost before it has caught up; every later repair
-/// waits for it. (Found by seed 8 of healing_simulation.)
+/// Guards against a learner that blocks all repairs. A spare is added as a learner in place of an
+/// unresponsive voter, and its VM is lost before it has caught up; every later repair would wait
+/// for it.
 #[test]
-fn lost_learner_goes() {
+fn lost_learner_is_removed() {
     let now = Instant::now();
     let mut status = ReplicaStatus { non_members: names(&[("vm-e", 5)]), ..leader(now) };
     let long_ago = now - VOTER_TIMEOUT - Duration::from_millis(1);
@@ -117,18 +116,17 @@
     assert_eq!(next_repair(now, &status, VOTERS), removed);
 }
 
-/// Six control VMs bear the loss of two disks at the same moment. What operators saw without it: the
-/// last configuration was gone and no further one was taken, while entries served by an older one or
-/// answered 404. Order of events: three of six VMs are voters; one of them acknowledges; the power goes
-/// everywhere, and two disks that had written it come back empty; one of three is no quorum.
+/// Six control VMs tolerate the simultaneous loss of two disks. Guards against the loss of the last
+/// configuration: with three voters, one of the others acknowledges a change, all VMs lose power,
+/// and two disks that had written the change return empty; one of three voters is no quorum.
 #[test]
-fn two_disks_at_once() {
+fn two_disks_lost_together() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 3);
     for vm in ["d", "e", "f"] {
         group.lose_disk(vm);
         group.start(vm);
     }
-    group.heal_for(Duration::from_secs(10), VOTERS);
+    group.run_with_repair(Duration::from_secs(10), VOTERS);
     let leader = group.leader().expect("one leads");
     let command = Command::PutDocument { number: 7, body: "routes".to_owned() };
     let proposal = group.propose(&leader, command);
@@ -143,16 +141,17 @@
     group.lose_disk(&leader);
     group.lose_disk(second);
     vms.iter().for_each(|vm| group.start(vm));
-    group.heal_for(Duration::from_secs(10), VOTERS);
-    let status = group.led_status().expect("the group goes on");
+    group.run_with_repair(Duration::from_secs(10), VOTERS);
+    let status = group.leader_status().expect("the group has a leader");
     let replica = group.nodes[&group.leader().expect("one leads")].replica.as_ref();
     let number = replica.expect("it runs").state().documents().document().number;
     assert_eq!((number, status.members.voters.len(), status.members.learners.len()), (7, 5, 0));
 }
 
-/// A group of three with one VM in reserve stays at three: four voters bear no more losses than three.
+/// A group of three with one spare VM stays at three voters, because four voters tolerate no more
+/// losses than three.
 #[test]
-fn one_in_reserve_stays_out() {
+fn single_spare_is_not_added() {
     let now = Instant::now();
     let status = ReplicaStatus { non_members: names(&[("vm-d", 4)]), ..leader(now) };
     assert_eq!(target_voters(&status, VOTERS), VOTERS);
@@ -160,29 +159,29 @@
     assert_eq!(target_voters(&status, VOTERS), 5);
 }
 
-/// A replica that was just taken in has had no time to reply. What operators saw without it: a lost
-/// disk's place was given to the new one and taken from it again within a quarter of a second, and the
-/// group stayed one voter short. Order of events: the leader has led for long; an empty disk comes; it
-/// is taken in; its first reply takes longer than the leader's next look.
+/// Guards against the removal of a replica that was just added and has had no time to reply. The
+/// leader has has_leader for long, an empty disk is added, and its first reply takes longer than the
+/// leader's next check. The replica would be removed within a quarter of a second, and the group
+/// would stay one voter short.
 #[test]
-fn newcomer_has_time_to_reply() {
+fn new_learner_has_time_to_reply() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 1);
-    group.heal_for(VOTER_TIMEOUT * 3, VOTERS);
+    group.run_with_repair(VOTER_TIMEOUT * 3, VOTERS);
     let leader = group.leader().expect("one leads");
     let lost = ["a", "b", "c"].into_iter().find(|vm| *vm != leader).expect("there are others");
     group.crash(lost);
     group.lose_disk(lost);
     group.start(lost);
     let seen = |group: &ReplicaGroup| {
-        group.led_status().is_some_and(|status| !status.non_members.is_empty())
+        group.leader_status().is_some_and(|status| !status.non_members.is_empty())
     };
-    assert!(group.run_until(Duration::from_secs(2), seen), "it makes itself known");
-    let status = group.led_status().expect("one leads");
-    let command = next_repair(group.now, &status, VOTERS).expect("its place is given to it");
+    assert!(group.run_until(Duration::from_secs(2), seen), "it sends probes");
+    let status = group.leader_status().expect("one leads");
+    let command = next_repair(group.now, &status, VOTERS).expect("the replica is due to be added");
     group.propose(&leader, command);
-    group.faults = WireFaults { drop: 0, double: 0, delay: Duration::from_millis(400) };
+    group.faults = NetworkFaults { drop: 0, duplicate: 0, delay: Duration::from_millis(400) };
     group.run_for(Duration::from_millis(50));
-    let status = group.led_status().expect("one leads");
-    assert_eq!(status.members.learners.len(), 1, "it is taken in");
+    let status = group.leader_status().expect("one leads");
+    assert_eq!(status.members.learners.len(), 1, "it is added");
     assert_eq!(next_repair(group.now, &status, VOTERS), None);
 }
--- a/tests/healing_simulation.rs
+++ b/tests/healing_simulation.rs
@@ -1,10 +1,11 @@
-//! Randomised runs of a group whose leader replaces lost replicas by itself.
-//! `HEALING_SEED=N cargo test --test healing_simulation` runs one seed, `HEALING_SEEDS=N` that many.
+//! Randomised simulation of a group whose leader replaces lost replicas by itself. `HEALING_SEED=N
+//! cargo test --test healing_simulation` runs one seed, `HEALING_SEEDS=N` that many.
 //!
-//! What operators count on: whatever one lost disk, or one VM that is gone for good, and any number of
-//! crashes, cuts, freezes and power losses do, an acknowledged document is never lost or shown older,
-//! and afterwards the group is three sound voters again without a hand on it. With six control VMs it is
-//! five voters, and two disks may be lost at the same moment.
+//! Checked properties: one lost disk or one permanently lost VM, with any number of crashes,
+//! partitions, pauses and power losses, never causes an acknowledged document to be lost or an
+//! older one to be read, and afterwards the group is restored to three working voters without
+//! operator action. With six control VMs it has five voters, and two disks may be lost at the same
+//! moment.
 
 #[path = "fakes/replica_group.rs"]
 mod replica_group;
@@ -18,28 +19,28 @@
         },
         ids::{DocumentNumber, VmId},
     },
-    replica_group::{CALM, HEAL_EVERY, ReplicaGroup, WireFaults},
+    replica_group::{NO_FAULTS, NetworkFaults, REPAIR_INTERVAL, ReplicaGroup},
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Seeds of each CI run.
+/// Number of seeds of each CI run.
 const SEEDS: u64 = 24;
-/// Seeds that once failed: 8, a learner that was lost before it had caught up held up every later
-/// repair; 59, a disk that was long gone was taken in and out for ever; 75, a voter came back after a
-/// stranger had taken its place, and the group stayed at six.
-const KEPT_SEEDS: [u64; 3] = [8, 59, 75];
+/// Seeds that failed before. 8: a learner that was lost before it had caught up blocked every later
+/// repair. 59: a lost disk was added and removed over and over. 75: a voter returned after a spare
+/// had taken its place, and the group stayed at six voters.
+const REGRESSION_SEEDS: [u64; 3] = [8, 59, 75];
 const ROUNDS: u64 = 150;
 const VOTERS: usize = 3;
-/// VMs that settings name where they do not name all.
+/// Number of VMs named in the settings if they do not name all.
 const NAMED: usize = 3;
-/// VMs of the runs in which the group grows, and their voters.
+/// VMs of the runs with a large group, and their number of voters.
 const LARGE_VMS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 const LARGE_VOTERS: usize = 5;
-/// Within this, once all faults have ended, the group is whole: several repairs, each after the
-/// silence that makes a voter missed.
-const WHOLE_WITHIN: Duration = Duration::from_secs(120);
+/// Time within which the group is restored once all faults have ended: several repairs, each after
+/// the time that makes a voter unresponsive.
+const REPAIR_LIMIT: Duration = Duration::from_secs(120);
 
-/// Elections so fast that leaders follow each other within one step.
+/// Timing with elections so fast that leaders follow each other within one step.
 const FAST: ReplicaTiming = ReplicaTiming {
     heartbeat: Duration::from_millis(30),
     election: Duration::from_millis(120),
@@ -47,23 +48,23 @@
     probe: Duration::from_millis(100),
 };
 
-/// A group with an operator who sends documents.
-struct HealedWorld {
+/// Group with an operator who submits documents.
+struct HealingSimulation {
     group: ReplicaGroup,
-    /// VMs that are gone for good.
-    gone: Vec<VmId>,
-    strangers: u64,
+    /// Permanently lost VMs.
+    lost_vms: Vec<VmId>,
+    spares: u64,
     next: DocumentNumber,
     waiting: BTreeMap<u64, DocumentNumber>,
     acknowledged: DocumentNumber,
     losses: u64,
-    /// Whether there are six VMs.
+    /// Whether the group has six VMs.
     is_large: bool,
-    /// VMs that the settings of a VM name when it starts, at most.
+    /// Maximum number of VMs named in the settings of a VM when it starts.
     named: usize,
 }
 
-impl HealedWorld {
+impl HealingSimulation {
     fn new(seed: u64, named: usize) -> Self {
         let timing = match seed % 3 {
             0 => FAST,
@@ -75,10 +76,10 @@
             group.lose_disk(vm);
             group.start(vm);
         }
-        HealedWorld {
+        HealingSimulation {
             group,
-            gone: Vec::new(),
-            strangers: 0,
+            lost_vms: Vec::new(),
+            spares: 0,
             next: 0,
             waiting: BTreeMap::new(),
             acknowledged: 0,
@@ -93,7 +94,7 @@
     }
 
     fn vms(&self) -> Vec<VmId> {
-        self.group.nodes.keys().filter(|vm| !self.gone.contains(vm)).cloned().collect()
+        self.group.nodes.keys().filter(|vm| !self.lost_vms.contains(vm)).cloned().collect()
     }
 
     fn some_vm(&mut self) -> VmId {
@@ -101,11 +102,11 @@
         vms[self.group.below(vms.len() as u64) as usize].clone()
     }
 
-    /// Lets time pass; each replica that leads mends the group.
+    /// Advances the time; each replica that leads repairs the group.
     fn pass(&mut self, time: Duration) {
         let end = self.group.now + time;
         while self.group.now < end {
-            self.group.run_for(HEAL_EVERY.min(end - self.group.now));
+            self.group.run_for(REPAIR_INTERVAL.min(end - self.group.now));
             for vm in self.vms() {
                 let Some(replica) = &self.group.nodes[&vm].replica else { continue };
                 let status = replica.status(self.group.now);
@@ -129,7 +130,7 @@
         self.waiting.insert(proposal, self.next);
     }
 
-    /// Notes what was acknowledged, and reads at the leader as operators do.
+    /// Records acknowledged documents, and reads the document at the leader as operators do.
     fn collect(&mut self) {
         let outcomes = &self.group.outcomes;
         let acknowledged = &mut self.acknowledged;
@@ -148,7 +149,7 @@
         }
     }
 
-    fn break_something(&mut self) {
+    fn inject_fault(&mut self) {
         let vm = self.some_vm();
         match self.group.below(14) {
             0 => self.group.crash(&vm),
@@ -158,35 +159,36 @@
             }
             3 => {
                 let pause = Duration::from_millis(self.group.below(6_000));
-                self.group.freeze(&vm, pause);
+                self.group.pause(&vm, pause);
             }
-            4 | 5 => self.cut_off(&vm),
-            6 => self.group.cut.clear(),
+            4 | 5 => self.partition(&vm),
+            6 => self.group.blocked_links.clear(),
             7 => {
                 let delay = Duration::from_millis([2, 20, 60, 400][self.group.below(4) as usize]);
                 let drop = [0, 5, 25][self.group.below(3) as usize];
-                self.group.faults = WireFaults { drop, double: drop, delay };
+                self.group.faults = NetworkFaults { drop, duplicate: drop, delay };
             }
-            // A power loss everywhere, right after whatever was last acknowledged.
+            // Power loss of all VMs, right after the last acknowledgement.
             8 => {
                 self.vms().iter().for_each(|vm| self.group.crash(vm));
                 self.start_all();
             }
-            // One disk at a time, or two of five: with a quorum of disks gone no protocol could go on.
-            9 | 10 if self.is_sound() => {
+            // One disk at a time, or two of five: without a quorum of disks no protocol can make
+            // progress.
+            9 | 10 if self.tolerates_losses() => {
                 self.lose_disk(&vm);
                 if self.is_large {
                     let second = self.some_vm();
                     self.lose_disk(&second);
                 }
             }
-            11 | 12 if self.is_sound() && self.vms().len() < 7 => self.replace_vm(vm),
+            11 | 12 if self.tolerates_losses() && self.vms().len() < 7 => self.replace_vm(vm),
             _ => self.start_all(),
         }
     }
 
-    /// Whether the group bears the loss of as many disks as it should.
-    fn is_sound(&self) -> bool {
+    /// Whether the group tolerates the loss of as many disks as it should.
+    fn tolerates_losses(&self) -> bool {
         let voters = self.group.membership().map_or(0, |members| members.voters.len());
         self.group.is_intact() && voters >= self.voters()
     }
@@ -198,18 +200,18 @@
         self.start(vm);
     }
 
-    /// A VM is gone for good, and another one with an empty disk comes at another address.
+    /// Loses a VM permanently and starts another one with an empty disk under another name.
     fn replace_vm(&mut self, vm: VmId) {
         self.losses += 1;
         self.group.crash(&vm);
-        self.gone.push(vm);
-        self.strangers += 1;
-        let stranger = format!("stranger-{}", self.strangers);
-        self.group.lose_disk(&stranger);
-        self.start(&stranger);
+        self.lost_vms.push(vm);
+        self.spares += 1;
+        let spare = format!("stranger-{}", self.spares);
+        self.group.lose_disk(&spare);
+        self.start(&spare);
     }
 
-    /// Starts a VM whose settings name control VMs of this moment.
+    /// Starts a VM whose settings name current control VMs.
     fn start(&mut self, vm: &str) {
         let peers = self.vms().into_iter().take(self.named).collect();
         self.group.start(vm);
@@ -224,34 +226,35 @@
         }
     }
 
-    fn cut_off(&mut self, vm: &VmId) {
+    fn partition(&mut self, vm: &VmId) {
         let ways = self.group.below(3);
         for other in self.vms().into_iter().filter(|other| other != vm) {
             if ways != 0 {
-                self.group.cut.insert((vm.clone(), other.clone()));
+                self.group.blocked_links.insert((vm.clone(), other.clone()));
             }
             if ways != 1 {
-                self.group.cut.insert((other, vm.clone()));
+                self.group.blocked_links.insert((other, vm.clone()));
             }
         }
     }
 
-    /// What each replica believes, for a failed run.
+    /// Describes the state of each replica, for the message of a failed run.
     fn describe(&self) -> String {
         let nodes = self.vms().into_iter().map(|vm| {
             let node = &self.group.nodes[&vm];
             let status = node.replica.as_ref().map(|replica| replica.status(self.group.now));
             format!("\n{vm} with disk {}: {status:?}", node.disk.incarnation)
         });
-        format!("gone {:?}{}", self.gone, nodes.collect::<String>())
+        format!("lost VMs {:?}{}", self.lost_vms, nodes.collect::<String>())
     }
 
-    /// As many sound voters as there should be, one of which leads, and all of them have caught up.
-    fn is_whole(&self) -> bool {
+    /// Whether the group has the required number of working voters, one of them leads, and all have
+    /// caught up.
+    fn is_repaired(&self) -> bool {
         let Some(leader) = self.group.leader() else { return false };
         let status = self.group.nodes[&leader].replica.as_ref().expect("it leads");
         let status = status.status(self.group.now);
-        let sound = |(vm, disk): (&VmId, &u64)| {
+        let is_working = |(vm, disk): (&VmId, &u64)| {
             let node = &self.group.nodes[vm];
             let replica = node.replica.as_ref().map(|replica| replica.status(self.group.now));
             node.disk.incarnation == *disk
@@ -261,63 +264,66 @@
         };
         status.members.learners.is_empty()
             && status.members.voters.len() == self.voters()
-            && status.members.voters.iter().all(sound)
+            && status.members.voters.iter().all(is_working)
     }
 }
 
-/// Runs one seed; returns the events carried out, the losses borne and the last document.
+/// Runs one seed; returns the number of processed events, the number of losses, and the last
+/// acknowledged document.
 fn run_seed(seed: u64, named: usize) -> (u64, u64, DocumentNumber) {
-    let mut world = HealedWorld::new(seed, named);
-    world.pass(Duration::from_secs(3));
+    let mut simulation = HealingSimulation::new(seed, named);
+    simulation.pass(Duration::from_secs(3));
     for _ in 0..ROUNDS {
-        let pause = Duration::from_millis(world.group.below(400));
-        world.pass(pause);
-        if world.group.below(2) == 0 {
-            world.send_document();
+        let pause = Duration::from_millis(simulation.group.below(400));
+        simulation.pass(pause);
+        if simulation.group.below(2) == 0 {
+            simulation.send_document();
         }
-        // Within a few milliseconds, so that what was sent is on the way.
-        let pause = Duration::from_micros(world.group.below(12_000));
-        world.pass(pause);
-        if world.group.below(5) == 0 {
-            world.break_something();
+        // Faults follow within a few milliseconds, so that messages are in transit.
+        let pause = Duration::from_micros(simulation.group.below(12_000));
+        simulation.pass(pause);
+        if simulation.group.below(5) == 0 {
+            simulation.inject_fault();
         }
     }
-    (world.group.faults, world.group.cut) = (CALM, Default::default());
-    world.start_all();
-    let end = world.group.now + WHOLE_WITHIN;
-    while !world.is_whole() {
-        assert!(world.group.now < end, "seed {seed}: not mended: {}", world.describe());
-        world.pass(Duration::from_millis(500));
+    (simulation.group.faults, simulation.group.blocked_links) = (NO_FAULTS, Default::default());
+    simulation.start_all();
+    let end = simulation.group.now + REPAIR_LIMIT;
+    while !simulation.is_repaired() {
+        assert!(simulation.group.now < end, "seed {seed}: not repaired: {}", simulation.describe());
+        simulation.pass(Duration::from_millis(500));
     }
-    world.collect();
-    (world.group.steps, world.losses, world.acknowledged)
+    simulation.collect();
+    (simulation.group.steps, simulation.losses, simulation.acknowledged)
 }
 
-fn run_seeds(kept: &[u64], named: usize) {
+fn run_seeds(regression_seeds: &[u64], named: usize) {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let seeds: Vec<u64> = match number("HEALING_SEED") {
         Some(seed) => vec![seed],
-        None => {
-            (1..=number("HEALING_SEEDS").unwrap_or(SEEDS)).chain(kept.iter().copied()).collect()
-        }
+        None => (1..=number("HEALING_SEEDS").unwrap_or(SEEDS))
+            .chain(regression_seeds.iter().copied())
+            .collect(),
     };
     let runs: Vec<(u64, u64, u64)> = seeds.iter().map(|seed| run_seed(*seed, named)).collect();
     let steps: u64 = runs.iter().map(|run| run.0).sum();
     let losses: u64 = runs.iter().map(|run| run.1).sum();
     println!("{} seeds, {steps} events, {losses} disks or VMs lost", runs.len());
-    // A VM that is gone while another is cut off all day leaves no quorum; that is rare.
+    // A VM that is lost while another one is partitioned for the whole run leaves no quorum; this
+    // is rare.
     let idle = runs.iter().filter(|run| run.2 == 0).count();
     assert!(idle * 20 <= runs.len(), "{idle} of {} runs acknowledged nothing", runs.len());
     assert!(losses >= runs.len() as u64, "{losses} losses in {} runs", runs.len());
 }
 
 #[test]
-fn mends_itself() {
-    run_seeds(&KEPT_SEEDS, usize::MAX);
+fn group_is_repaired() {
+    run_seeds(&REGRESSION_SEEDS, usize::MAX);
 }
 
-/// Settings name three VMs, and the leader need not be one of them: a lost replica is not replaced.
+/// Guards against a lost replica that is not replaced because the settings name three VMs and the
+/// leader is none of them.
 #[test]
-fn mends_by_few_names() {
+fn repaired_with_few_configured_names() {
     run_seeds(&[], NAMED);
 }
--- a/tests/leader_discovery.rs
+++ b/tests/leader_discovery.rs
@@ -1,4 +1,5 @@
-//! A leader that no settings name: replicas outside the group know the founders alone.
+//! Discovery of a leader that is not named in any settings: replicas outside the group know only
+//! the founders.
 
 #[path = "fakes/replica_group.rs"]
 mod replica_group;
@@ -12,34 +13,34 @@
     std::time::Duration,
 };
 
-/// The VMs that all settings name.
+/// VMs named in all settings.
 const FOUNDERS: [&str; 3] = ["a", "b", "c"];
 const VOTERS: usize = 5;
 const SEED: u64 = 3;
-/// Several repairs, each after the silence that makes a voter missed.
+/// Time for several repairs, each after the time that makes a voter unresponsive.
 const REPAIR_TIME: Duration = Duration::from_secs(15);
-/// An election, with room for one that nobody wins.
+/// Time for an election, including one without a winner.
 const ELECTION_TIME: Duration = Duration::from_secs(6);
 
-/// A group of five voters: the founders and two of `others`; the rest of these stand by.
+/// Creates a group of five voters: the founders and two of `others`. The remaining VMs are spares.
 fn large_group(others: &[&str]) -> ReplicaGroup {
     let mut group = ReplicaGroup::new(&FOUNDERS, SEED);
     for vm in others {
         group.lose_disk(vm);
         group.start(vm);
     }
-    group.heal_for(REPAIR_TIME, FOUNDERS.len());
-    assert!(is_whole(&group));
+    group.run_with_repair(REPAIR_TIME, FOUNDERS.len());
+    assert!(is_repaired(&group));
     group
 }
 
-fn is_whole(group: &ReplicaGroup) -> bool {
+fn is_repaired(group: &ReplicaGroup) -> bool {
     let voters = group.membership().map_or(0, |members| members.voters.len());
     group.is_intact() && voters == VOTERS
 }
 
-/// Restarts leaders until one leads that is no founder.
-fn elect_unnamed(group: &mut ReplicaGroup) -> VmId {
+/// Restarts leaders until the leader is no founder.
+fn elect_non_founder(group: &mut ReplicaGroup) -> VmId {
     for _ in 0..30 {
         let leader = group.leader().expect("one leads");
         if !FOUNDERS.contains(&leader.as_str()) {
@@ -48,7 +49,7 @@
         group.crash(&leader);
         group.run_until(ELECTION_TIME, |group| group.leader().is_some());
         group.start(&leader);
-        group.heal_for(REPAIR_TIME, FOUNDERS.len());
+        group.run_with_repair(REPAIR_TIME, FOUNDERS.len());
     }
     panic!("founders alone are elected");
 }
@@ -61,33 +62,34 @@
     group.start(vm);
 }
 
-/// The voters, without the leader.
+/// Voters other than the leader.
 fn followers(group: &ReplicaGroup) -> Vec<VmId> {
     let leader = group.leader();
     let members = group.membership().expect("it was founded");
     members.voters.into_keys().filter(|vm| Some(vm) != leader.as_ref()).collect()
 }
 
-/// An emptied voter is never taken in again: it asks the founders, and the leader is none of them.
+/// Guards against an emptied voter that is never added again because it probes only the founders
+/// and the leader is none of them.
 #[test]
 fn emptied_voter_returns() {
     let mut group = large_group(&["d", "e", "f"]);
-    elect_unnamed(&mut group);
+    elect_non_founder(&mut group);
     let lost = followers(&group).pop().expect("there are others");
     empty_disk(&mut group, &lost);
-    group.heal_for(REPAIR_TIME, FOUNDERS.len());
-    assert!(is_whole(&group), "{lost}: {:?}", group.led_status());
+    group.run_with_repair(REPAIR_TIME, FOUNDERS.len());
+    assert!(is_repaired(&group), "{lost}: {:?}", group.leader_status());
 }
 
-/// The last configuration is gone and no further one is taken: a voter that was lost before was not
-/// replaced when the power goes and two more disks are lost.
+/// Guards against the loss of the last configuration: a lost voter was not replaced, then all VMs
+/// lose power and two more disks are lost.
 #[test]
-fn losses_by_turns_are_borne() {
+fn survives_successive_losses() {
     let mut group = large_group(&["d", "e", "f"]);
-    let leader = elect_unnamed(&mut group);
+    let leader = elect_non_founder(&mut group);
     let lost = followers(&group).pop().expect("there are others");
     empty_disk(&mut group, &lost);
-    group.heal_for(REPAIR_TIME, FOUNDERS.len());
+    group.run_with_repair(REPAIR_TIME, FOUNDERS.len());
     let command = Command::PutDocument { number: 7, body: "routes".to_owned() };
     let proposal = group.propose(&leader, command);
     let held = Ok(CommandOutcome::DocumentHeld { number: 7 });
@@ -99,41 +101,41 @@
     group.lose_disk(&leader);
     group.lose_disk(&second);
     vms.iter().for_each(|vm| group.start(vm));
-    group.heal_for(REPAIR_TIME, FOUNDERS.len());
-    let leader = group.leader().expect("the group goes on");
+    group.run_with_repair(REPAIR_TIME, FOUNDERS.len());
+    let leader = group.leader().expect("the group has a leader");
     let replica = group.nodes[&leader].replica.as_ref().expect("it runs");
     assert_eq!(replica.state().documents().document().number, 7);
-    assert!(is_whole(&group));
+    assert!(is_repaired(&group));
 }
 
-/// Five voters, none of them a founder; the founders are down.
+/// Creates a group of five voters without founders; the founders are down.
 fn group_without_founders() -> ReplicaGroup {
     let mut group = large_group(&["d", "e", "f", "g", "h"]);
     for founder in FOUNDERS {
         group.crash(founder);
-        group.heal_for(REPAIR_TIME, FOUNDERS.len());
+        group.run_with_repair(REPAIR_TIME, FOUNDERS.len());
     }
     assert!(followers(&group).iter().all(|vm| !FOUNDERS.contains(&vm.as_str())));
     group
 }
 
-/// An emptied voter stands by for ever: all VMs that its settings name are down.
+/// Guards against an emptied voter that never joins because all VMs named in its settings are down.
 #[test]
 fn found_without_founders() {
     let mut group = group_without_founders();
     let lost = followers(&group).pop().expect("there are others");
     empty_disk(&mut group, &lost);
-    group.heal_for(REPAIR_TIME, FOUNDERS.len());
-    assert!(is_whole(&group), "{lost}: {:?}", group.led_status());
+    group.run_with_repair(REPAIR_TIME, FOUNDERS.len());
+    assert!(is_repaired(&group), "{lost}: {:?}", group.leader_status());
 }
 
-/// A VM that is new stands by for ever: of the VMs that its settings name one is down, and the others
-/// came back outside the group with empty disks that know nobody.
+/// Guards against a new VM that never joins: one of the VMs named in its settings is down, and the
+/// others are outside the group with empty disks and know no members.
 #[test]
-fn found_through_strangers() {
+fn found_through_empty_replicas() {
     let mut group = group_without_founders();
     ["a", "b", "i"].into_iter().for_each(|vm| empty_disk(&mut group, vm));
-    group.heal_for(REPAIR_TIME, FOUNDERS.len());
-    let status = group.led_status().expect("one leads");
+    group.run_with_repair(REPAIR_TIME, FOUNDERS.len());
+    let status = group.leader_status().expect("one leads");
     assert!(status.non_members.contains_key("i"), "{status:?}");
 }
--- a/tests/ledger_interleavings.rs
+++ b/tests/ledger_interleavings.rs
@@ -1,5 +1,5 @@
-//! Daemons and the ledger exchange commands that arrive late, twice, in any order or never: a call
-//! runs at most once, and in the end nobody waits for a claim that nobody holds.
+//! Randomised simulation of daemons whose commands reach the ledger late, twice, in any order or
+//! never. A call is executed at most once, and in the end no abandoned claim remains.
 
 use {
     oleandermount::{
@@ -15,21 +15,21 @@
 const DAEMONS: usize = 3;
 const LAST_CHECK: &str = "check";
 
-/// How far a daemon is with its present attempt.
+/// Stage of the current attempt of a daemon.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AttemptStage {
-    Over,
-    Asked,
+    Ended,
+    Requested,
     Granted,
     Sent,
 }
 
-/// A daemon and the commands that it has given to the network.
+/// Daemon with its commands in transit.
 struct RandomDaemon {
     vm: String,
     attempt: AttemptId,
     stage: AttemptStage,
-    /// At most one for each step.
+    /// At most one command for each step.
     network: Vec<Command>,
 }
 
@@ -58,29 +58,29 @@
         Command::Finish { organisation, key, holder, incarnation: 1, attempt, answer }
     }
 
-    /// The attempts below the present one, and it as well if it is over.
+    /// Ends the attempts below the current one, and the current one as well if it has ended.
     fn floor(&self) -> Command {
-        let floor = self.attempt + AttemptId::from(self.stage == AttemptStage::Over);
+        let floor = self.attempt + AttemptId::from(self.stage == AttemptStage::Ended);
         Command::EndAttempts { vm: self.vm.clone(), incarnation: 1, floor, now_ms: 1 }
     }
 }
 
-struct RandomRun {
+struct LedgerSimulation {
     random: Xoshiro256PlusPlus,
     state: ControlState,
     daemons: Vec<RandomDaemon>,
     runs: u32,
 }
 
-impl RandomRun {
+impl LedgerSimulation {
     fn new(seed: u64) -> Self {
         let daemons = (0..DAEMONS).map(|number| RandomDaemon {
             vm: format!("vm-{number}"),
             attempt: 0,
-            stage: AttemptStage::Over,
+            stage: AttemptStage::Ended,
             network: Vec::new(),
         });
-        RandomRun {
+        LedgerSimulation {
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             state: ControlState::default(),
             daemons: daemons.collect(),
@@ -96,7 +96,8 @@
         self.state.apply(FencingNumber::default(), command)
     }
 
-    /// A command arrives; it may arrive again, and its reply is heard only if the daemon still asks.
+    /// Applies a command. It may be applied again, and its reply counts only if the daemon still
+    /// waits for it.
     fn deliver(&mut self, number: usize) {
         if self.daemons[number].network.is_empty() {
             return;
@@ -107,28 +108,30 @@
             _ => self.daemons[number].network.swap_remove(place),
         };
         let outcome = self.apply(&command);
-        let heard = self.below(3) > 0;
+        let is_delivered = self.below(3) > 0;
         let daemon = &mut self.daemons[number];
         match command {
             Command::Reserve { attempt, .. }
-                if attempt == daemon.attempt && daemon.stage == AttemptStage::Asked && heard =>
+                if attempt == daemon.attempt
+                    && daemon.stage == AttemptStage::Requested
+                    && is_delivered =>
             {
                 match outcome {
                     CommandOutcome::Reserved => daemon.stage = AttemptStage::Granted,
                     _ => self.give_up(number),
                 }
             }
-            Command::Finish { .. } if heard => daemon.stage = AttemptStage::Over,
+            Command::Finish { .. } if is_delivered => daemon.stage = AttemptStage::Ended,
             _ => {}
         }
     }
 
-    /// The attempt ends with nothing sent; the word of it may be lost.
+    /// Ends the attempt without sending the call; the release may be lost.
     fn give_up(&mut self, number: usize) {
-        let is_told = self.below(2) == 0;
+        let sends_release = self.below(2) == 0;
         let daemon = &mut self.daemons[number];
-        daemon.stage = AttemptStage::Over;
-        if is_told {
+        daemon.stage = AttemptStage::Ended;
+        if sends_release {
             daemon.network.push(daemon.release());
         }
     }
@@ -138,36 +141,37 @@
         let choice = self.below(6);
         let daemon = &mut self.daemons[number];
         match (choice, daemon.stage) {
-            (0, AttemptStage::Over) => {
+            (0, AttemptStage::Ended) => {
                 daemon.attempt += 1;
-                daemon.stage = AttemptStage::Asked;
+                daemon.stage = AttemptStage::Requested;
                 daemon.network.push(daemon.reserve());
             }
-            (0, AttemptStage::Asked) => daemon.network.push(daemon.reserve()),
+            (0, AttemptStage::Requested) => daemon.network.push(daemon.reserve()),
             (0, AttemptStage::Granted) => {
                 daemon.stage = AttemptStage::Sent;
                 self.runs += 1;
             }
             (0, AttemptStage::Sent) => daemon.network.push(daemon.finish()),
-            (1, AttemptStage::Asked | AttemptStage::Granted) => self.give_up(number),
+            (1, AttemptStage::Requested | AttemptStage::Granted) => self.give_up(number),
             (2, _) => daemon.network.push(daemon.floor()),
             _ => self.deliver(number),
         }
     }
 
-    /// Everybody stops; whatever is on its way arrives in any order, then each tells its floor.
+    /// Ends all attempts, applies the commands in transit in any order, and then reports the floor
+    /// of each daemon.
     fn settle(&mut self) {
         for number in 0..DAEMONS {
             match self.daemons[number].stage {
-                AttemptStage::Asked | AttemptStage::Granted => {
-                    self.daemons[number].stage = AttemptStage::Over;
+                AttemptStage::Requested | AttemptStage::Granted => {
+                    self.daemons[number].stage = AttemptStage::Ended;
                 }
                 AttemptStage::Sent => {
                     let finish = self.daemons[number].finish();
                     self.apply(&finish);
-                    self.daemons[number].stage = AttemptStage::Over;
+                    self.daemons[number].stage = AttemptStage::Ended;
                 }
-                AttemptStage::Over => {}
+                AttemptStage::Ended => {}
             }
         }
         while self.daemons.iter().any(|daemon| !daemon.network.is_empty()) {
@@ -181,12 +185,12 @@
     }
 }
 
-// Guards against a second run and against a claim for nobody, whatever order commands arrive in.
+// Guards against a second execution and against an abandoned claim, in any order of commands.
 #[test]
 fn any_order_runs_once() {
     let mut run_seeds = 0;
     for seed in 0..SEEDS {
-        let mut run = RandomRun::new(seed);
+        let mut run = LedgerSimulation::new(seed);
         for _ in 0..STEPS {
             run.step();
             assert!(run.runs <= 1, "seed {seed}: the call ran {} times", run.runs);
@@ -195,15 +199,15 @@
         let daemon = RandomDaemon {
             vm: LAST_CHECK.to_owned(),
             attempt: 1,
-            stage: AttemptStage::Over,
+            stage: AttemptStage::Ended,
             network: Vec::new(),
         };
         let outcome = run.apply(&daemon.reserve());
         match run.runs {
-            0 => assert_eq!(outcome, CommandOutcome::Reserved, "seed {seed}: nobody holds it"),
+            0 => assert_eq!(outcome, CommandOutcome::Reserved, "seed {seed}: no claim is held"),
             _ => assert!(matches!(outcome, CommandOutcome::Finished { .. }), "seed {seed}"),
         }
         run_seeds += u64::from(run.runs > 0);
     }
-    assert!((SEEDS / 10..SEEDS).contains(&run_seeds), "both ends occur: {run_seeds}");
+    assert!((SEEDS / 10..SEEDS).contains(&run_seeds), "both outcomes occur: {run_seeds}");
 }
--- a/tests/ledger_rules.rs
+++ b/tests/ledger_rules.rs
@@ -1,4 +1,5 @@
-//! The idempotency ledger: one claim permits one run, and no time or restart frees it.
+//! Rules of the idempotency ledger: one claim permits one execution, and neither time nor a restart
+//! frees it.
 
 use oleandermount::{
     control::{
@@ -9,42 +10,42 @@
     ids::{AttemptId, FencingNumber, Incarnation},
 };
 
-/// A ledger as the release before floors wrote it: one call running, one finished, one unknown, and
-/// one given back.
-const FORMER_SNAPSHOT: &[u8] = include_bytes!("snapshots/ledger-3.bin");
+/// Snapshot of the release before floors, with one running, one finished, one unknown and one
+/// released call.
+const LEGACY_SNAPSHOT: &[u8] = include_bytes!("snapshots/ledger-3.bin");
 
 const DAY_MS: u64 = 24 * 3_600_000;
 
-/// A daemon's try at the call `key`.
+/// Attempt of a daemon at the call `key`.
 #[derive(Clone)]
-struct TryOfCall {
+struct CallAttempt {
     key: String,
     holder: &'static str,
     incarnation: Incarnation,
     attempt: AttemptId,
 }
 
-fn first_try() -> TryOfCall {
-    TryOfCall { key: "slot-7".to_owned(), holder: "entry-a", incarnation: 1, attempt: 1 }
+fn first_attempt() -> CallAttempt {
+    CallAttempt { key: "slot-7".to_owned(), holder: "entry-a", incarnation: 1, attempt: 1 }
 }
 
-fn other_try() -> TryOfCall {
-    TryOfCall { holder: "entry-b", attempt: 2, ..first_try() }
+fn other_attempt() -> CallAttempt {
+    CallAttempt { holder: "entry-b", attempt: 2, ..first_attempt() }
 }
 
 #[derive(Default)]
-struct LedgerBench(ControlState);
+struct LedgerHarness(ControlState);
 
-impl LedgerBench {
+impl LedgerHarness {
     fn apply(&mut self, command: Command) -> CommandOutcome {
         self.0.apply(FencingNumber::default(), &command)
     }
 
-    fn reserve(&mut self, call: &TryOfCall, now_ms: u64) -> CommandOutcome {
+    fn reserve(&mut self, call: &CallAttempt, now_ms: u64) -> CommandOutcome {
         self.reserve_body(call, now_ms, "one body")
     }
 
-    fn reserve_body(&mut self, call: &TryOfCall, now_ms: u64, body: &str) -> CommandOutcome {
+    fn reserve_body(&mut self, call: &CallAttempt, now_ms: u64, body: &str) -> CommandOutcome {
         self.apply(Command::Reserve {
             organisation: "baskets".to_owned(),
             key: call.key.clone(),
@@ -56,7 +57,7 @@
         })
     }
 
-    fn finish(&mut self, call: &TryOfCall, body: Vec<u8>) -> CommandOutcome {
+    fn finish(&mut self, call: &CallAttempt, body: Vec<u8>) -> CommandOutcome {
         let (organisation, key) = ("baskets".to_owned(), call.key.clone());
         let (holder, incarnation) = (call.holder.to_owned(), call.incarnation);
         let answer = KeptAnswer { status: 201, content_type: String::new(), body };
@@ -64,30 +65,36 @@
         self.apply(Command::Finish { organisation, key, holder, incarnation, attempt, answer })
     }
 
-    fn release(&mut self, call: &TryOfCall) -> CommandOutcome {
+    fn release(&mut self, call: &CallAttempt) -> CommandOutcome {
         let (organisation, key) = ("baskets".to_owned(), call.key.clone());
         let (holder, incarnation) = (call.holder.to_owned(), call.incarnation);
         let attempt = call.attempt;
         self.apply(Command::Release { organisation, key, holder, incarnation, attempt })
     }
 
-    /// The daemon says that its attempts below `floor` are over.
-    fn end_attempts(&mut self, call: &TryOfCall, floor: AttemptId, now_ms: u64) -> CommandOutcome {
+    /// Reports that the attempts of the daemon below `floor` have ended.
+    fn end_attempts(
+        &mut self,
+        call: &CallAttempt,
+        floor: AttemptId,
+        now_ms: u64,
+    ) -> CommandOutcome {
         let (vm, incarnation) = (call.holder.to_owned(), call.incarnation);
         self.apply(Command::EndAttempts { vm, incarnation, floor, now_ms })
     }
 
-    fn mark_unknown(&mut self, call: &TryOfCall) -> CommandOutcome {
+    fn mark_unknown(&mut self, call: &CallAttempt) -> CommandOutcome {
         let (organisation, key) = ("baskets".to_owned(), call.key.clone());
         let (holder, incarnation) = (call.holder.to_owned(), call.incarnation);
         let attempt = call.attempt;
         self.apply(Command::MarkUnknown { organisation, key, holder, incarnation, attempt })
     }
 
-    /// Two daemons whose clocks agree; one alone does not move the ledger's clock.
+    /// Advances the ledger's clock by two daemons whose clocks agree; one daemon alone does not
+    /// advance it.
     fn pass_time(&mut self, now_ms: u64) {
         for (holder, attempt) in [("clock-a", 901), ("clock-b", 902)] {
-            let call = TryOfCall { key: holder.to_owned(), holder, incarnation: 1, attempt };
+            let call = CallAttempt { key: holder.to_owned(), holder, incarnation: 1, attempt };
             self.reserve(&call, now_ms);
         }
     }
@@ -97,220 +104,245 @@
     CommandOutcome::Running { holder: "entry-a".to_owned(), incarnation: 1 }
 }
 
-/// What the caller sees: a booking sent twice runs once, and both get its answer. The claim of the
-/// first daemon stands against another daemon, another try of the same daemon and another body;
-/// only the identical claim, sent again after a lost reply, is granted again.
+/// A non-repeatable call that is sent twice is executed once, and both requests receive its
+/// response. The claim of the first daemon excludes other daemons, other attempts of the same
+/// daemon and other bodies. Only the identical claim, resent after a lost reply, is granted again.
 #[test]
 fn one_claim_one_run() {
-    let mut bench = LedgerBench::default();
-    assert_eq!(bench.reserve(&first_try(), 1), CommandOutcome::Reserved);
-    assert_eq!(bench.reserve(&first_try(), 2), CommandOutcome::Reserved);
-    assert_eq!(bench.reserve(&other_try(), 3), running());
-    assert_eq!(bench.reserve(&TryOfCall { attempt: 3, ..first_try() }, 3), running());
-    assert_eq!(bench.reserve_body(&other_try(), 3, "another"), CommandOutcome::KeyReused);
-    assert_eq!(bench.finish(&other_try(), vec![1]), CommandOutcome::NotHolder);
-    assert_eq!(bench.finish(&first_try(), vec![1]), CommandOutcome::Noted);
+    let mut ledger = LedgerHarness::default();
+    assert_eq!(ledger.reserve(&first_attempt(), 1), CommandOutcome::Reserved);
+    assert_eq!(ledger.reserve(&first_attempt(), 2), CommandOutcome::Reserved);
+    assert_eq!(ledger.reserve(&other_attempt(), 3), running());
+    assert_eq!(ledger.reserve(&CallAttempt { attempt: 3, ..first_attempt() }, 3), running());
+    assert_eq!(ledger.reserve_body(&other_attempt(), 3, "another"), CommandOutcome::KeyReused);
+    assert_eq!(ledger.finish(&other_attempt(), vec![1]), CommandOutcome::NotHolder);
+    assert_eq!(ledger.finish(&first_attempt(), vec![1]), CommandOutcome::Noted);
     let answer = KeptAnswer { status: 201, content_type: String::new(), body: vec![1] };
-    assert_eq!(bench.reserve(&other_try(), 4), CommandOutcome::Finished { answer });
-    assert_eq!(bench.release(&first_try()), CommandOutcome::NotHolder, "it ran");
+    assert_eq!(ledger.reserve(&other_attempt(), 4), CommandOutcome::Finished { answer });
+    assert_eq!(
+        ledger.release(&first_attempt()),
+        CommandOutcome::NotHolder,
+        "the call was executed"
+    );
 }
 
-/// What the caller sees: after a truthful "did not run" the booking can be made, and then only
-/// once. Copies of the old commands come late: a `Release` of the first claim must not free the
-/// second one, and a `Reserve` of the first must not claim the call for nobody.
+/// After a "did not run" response the call can be executed, but only once. Copies of the earlier
+/// commands arrive late: a `Release` of the first claim must not free the second one, and a
+/// `Reserve` of the first must not claim the call again.
 #[test]
 fn late_copies_do_nothing() {
-    let mut bench = LedgerBench::default();
-    assert_eq!(bench.reserve(&first_try(), 1), CommandOutcome::Reserved);
-    assert_eq!(bench.release(&first_try()), CommandOutcome::Released);
-    assert_eq!(bench.reserve(&first_try(), 2), CommandOutcome::Released);
-    let again = TryOfCall { attempt: 5, ..first_try() };
-    assert_eq!(bench.reserve(&again, 3), CommandOutcome::Reserved);
-    assert_eq!(bench.release(&first_try()), CommandOutcome::NotHolder);
-    assert_eq!(bench.mark_unknown(&first_try()), CommandOutcome::NotHolder);
-    assert_eq!(bench.reserve(&other_try(), 4), running());
-    let overtaken = TryOfCall { key: "slot-8".to_owned(), attempt: 6, ..first_try() };
-    assert_eq!(bench.release(&overtaken), CommandOutcome::Released);
-    assert_eq!(bench.reserve(&overtaken, 5), CommandOutcome::Released, "it was given up");
+    let mut ledger = LedgerHarness::default();
+    assert_eq!(ledger.reserve(&first_attempt(), 1), CommandOutcome::Reserved);
+    assert_eq!(ledger.release(&first_attempt()), CommandOutcome::Released);
+    assert_eq!(ledger.reserve(&first_attempt(), 2), CommandOutcome::Released);
+    let again = CallAttempt { attempt: 5, ..first_attempt() };
+    assert_eq!(ledger.reserve(&again, 3), CommandOutcome::Reserved);
+    assert_eq!(ledger.release(&first_attempt()), CommandOutcome::NotHolder);
+    assert_eq!(ledger.mark_unknown(&first_attempt()), CommandOutcome::NotHolder);
+    assert_eq!(ledger.reserve(&other_attempt(), 4), running());
+    let overtaken = CallAttempt { key: "slot-8".to_owned(), attempt: 6, ..first_attempt() };
+    assert_eq!(ledger.release(&overtaken), CommandOutcome::Released);
+    assert_eq!(ledger.reserve(&overtaken, 5), CommandOutcome::Released, "the attempt was released");
 }
 
-/// What the caller sees: "may have run", for ever, when the daemon that sent the booking died. It
-/// is known to be gone only by a later life of its VM; no time that passes frees the claim, and
-/// the dead life can claim nothing more.
+/// The outcome of a call stays unknown if the daemon that sent it has stopped. Only a later
+/// incarnation of its VM shows this. No elapsed time frees the claim, and the earlier incarnation
+/// can claim nothing more.
 #[test]
 fn lost_holder_is_unknown() {
-    let mut bench = LedgerBench::default();
-    assert_eq!(bench.reserve(&first_try(), 1), CommandOutcome::Reserved);
-    bench.pass_time(400 * DAY_MS);
-    assert_eq!(bench.reserve(&other_try(), 400 * DAY_MS), running());
+    let mut ledger = LedgerHarness::default();
+    assert_eq!(ledger.reserve(&first_attempt(), 1), CommandOutcome::Reserved);
+    ledger.pass_time(400 * DAY_MS);
+    assert_eq!(ledger.reserve(&other_attempt(), 400 * DAY_MS), running());
     let (vm, now_ms) = ("entry-a".to_owned(), 400 * DAY_MS);
-    let life = bench.apply(Command::NoteLife { vm, incarnation: 2, now_ms });
-    assert_eq!(life, CommandOutcome::Noted);
-    assert_eq!(bench.reserve(&other_try(), 401 * DAY_MS), CommandOutcome::Unknown);
-    let ghost = TryOfCall { key: "slot-8".to_owned(), attempt: 10, ..first_try() };
-    assert!(matches!(bench.reserve(&ghost, 1), CommandOutcome::Refused { .. }));
-    assert_eq!(bench.release(&first_try()), CommandOutcome::NotHolder, "it may have run");
-    assert_eq!(bench.finish(&first_try(), vec![2]), CommandOutcome::Noted, "the truth comes late");
-    assert!(matches!(bench.reserve(&other_try(), 1), CommandOutcome::Finished { .. }));
+    let noted = ledger.apply(Command::NoteLife { vm, incarnation: 2, now_ms });
+    assert_eq!(noted, CommandOutcome::Noted);
+    assert_eq!(ledger.reserve(&other_attempt(), 401 * DAY_MS), CommandOutcome::Unknown);
+    let superseded = CallAttempt { key: "slot-8".to_owned(), attempt: 10, ..first_attempt() };
+    assert!(matches!(ledger.reserve(&superseded, 1), CommandOutcome::Refused { .. }));
+    assert_eq!(
+        ledger.release(&first_attempt()),
+        CommandOutcome::NotHolder,
+        "the call may have been executed"
+    );
+    assert_eq!(
+        ledger.finish(&first_attempt(), vec![2]),
+        CommandOutcome::Noted,
+        "the response arrives late"
+    );
+    assert!(matches!(ledger.reserve(&other_attempt(), 1), CommandOutcome::Finished { .. }));
 }
 
-/// What the caller sees: a resend within the stated retention gets the kept answer, whatever one
-/// wrong clock says. A daemon whose clock is a year ahead would otherwise end the retention of
-/// all answers at once, and a resend would book a second time.
+/// A resend within the retention receives the stored response, even if one clock is wrong. If a
+/// single daemon whose clock is a year ahead could advance the ledger's clock, the retention of all
+/// responses would end at once, and a resend would execute the call again.
 #[test]
 fn retention_needs_two_clocks() {
-    let mut bench = LedgerBench::default();
-    bench.pass_time(DAY_MS);
-    assert_eq!(bench.reserve(&first_try(), DAY_MS), CommandOutcome::Reserved);
-    bench.finish(&first_try(), vec![1]);
-    let ahead = TryOfCall { key: "slot-8".to_owned(), holder: "entry-c", ..other_try() };
-    assert_eq!(bench.reserve(&ahead, u64::MAX), CommandOutcome::Reserved);
-    bench.finish(&ahead, vec![2]);
-    let resend = TryOfCall { attempt: 7, ..ahead };
-    assert!(matches!(bench.reserve(&resend, 1), CommandOutcome::Finished { .. }));
-    assert!(matches!(bench.reserve(&other_try(), 2 * DAY_MS), CommandOutcome::Finished { .. }));
-    bench.pass_time(7 * DAY_MS);
-    assert!(matches!(bench.reserve(&other_try(), 7 * DAY_MS), CommandOutcome::Finished { .. }));
-    bench.pass_time(8 * DAY_MS + 1);
-    assert_eq!(bench.reserve(&other_try(), 8 * DAY_MS + 1), CommandOutcome::Reserved);
-    // Closed under the absurd clock: kept, not wrapped around into the past.
-    assert!(matches!(bench.reserve(&resend, 8 * DAY_MS + 1), CommandOutcome::Finished { .. }));
+    let mut ledger = LedgerHarness::default();
+    ledger.pass_time(DAY_MS);
+    assert_eq!(ledger.reserve(&first_attempt(), DAY_MS), CommandOutcome::Reserved);
+    ledger.finish(&first_attempt(), vec![1]);
+    let ahead = CallAttempt { key: "slot-8".to_owned(), holder: "entry-c", ..other_attempt() };
+    assert_eq!(ledger.reserve(&ahead, u64::MAX), CommandOutcome::Reserved);
+    ledger.finish(&ahead, vec![2]);
+    let resend = CallAttempt { attempt: 7, ..ahead };
+    assert!(matches!(ledger.reserve(&resend, 1), CommandOutcome::Finished { .. }));
+    assert!(matches!(
+        ledger.reserve(&other_attempt(), 2 * DAY_MS),
+        CommandOutcome::Finished { .. }
+    ));
+    ledger.pass_time(7 * DAY_MS);
+    assert!(matches!(
+        ledger.reserve(&other_attempt(), 7 * DAY_MS),
+        CommandOutcome::Finished { .. }
+    ));
+    ledger.pass_time(8 * DAY_MS + 1);
+    assert_eq!(ledger.reserve(&other_attempt(), 8 * DAY_MS + 1), CommandOutcome::Reserved);
+    // The call closed under the wrong clock is still retained; its time has not wrapped around.
+    assert!(matches!(ledger.reserve(&resend, 8 * DAY_MS + 1), CommandOutcome::Finished { .. }));
 }
 
-/// What the caller sees: a refusal that says "did not run" when the ledger is full, instead of a
-/// forgotten claim. Calls that run are never dropped; what a dead daemon held is, once its
-/// retention is over.
+/// A full ledger refuses a call with "did not run" instead of dropping a claim. Running calls are
+/// never dropped; those of a stopped daemon are dropped once their retention is over.
 #[test]
 fn full_ledger_refuses() {
-    let mut bench = LedgerBench::default();
-    let call = |number: u64| TryOfCall {
+    let mut ledger = LedgerHarness::default();
+    let call = |number: u64| CallAttempt {
         key: format!("call-{number}"),
         attempt: AttemptId::from(number),
-        ..first_try()
+        ..first_attempt()
     };
     let most = 2 * 64 * SHARD_ENTRIES as u64;
     let full =
-        (0..most).find(|number| bench.reserve(&call(*number), 1) != CommandOutcome::Reserved);
+        (0..most).find(|number| ledger.reserve(&call(*number), 1) != CommandOutcome::Reserved);
     let full = full.expect("the ledger is bounded");
-    assert_eq!(bench.reserve(&call(full), 2), CommandOutcome::LedgerFull);
-    assert_eq!(bench.reserve(&call(0), 2), CommandOutcome::Reserved, "the claim stands");
-    bench.pass_time(DAY_MS);
-    let reborn = TryOfCall { incarnation: 2, ..call(full) };
-    assert_eq!(bench.reserve(&reborn, DAY_MS), CommandOutcome::LedgerFull);
-    bench.pass_time(9 * DAY_MS);
-    assert_eq!(bench.reserve(&reborn, 9 * DAY_MS), CommandOutcome::Reserved);
+    assert_eq!(ledger.reserve(&call(full), 2), CommandOutcome::LedgerFull);
+    assert_eq!(ledger.reserve(&call(0), 2), CommandOutcome::Reserved, "the claim is kept");
+    ledger.pass_time(DAY_MS);
+    let restarted = CallAttempt { incarnation: 2, ..call(full) };
+    assert_eq!(ledger.reserve(&restarted, DAY_MS), CommandOutcome::LedgerFull);
+    ledger.pass_time(9 * DAY_MS);
+    assert_eq!(ledger.reserve(&restarted, 9 * DAY_MS), CommandOutcome::Reserved);
 }
 
 #[test]
-fn long_answers_not_cut() {
-    let mut bench = LedgerBench::default();
-    bench.reserve(&first_try(), 1);
-    assert_eq!(bench.finish(&first_try(), vec![0; ANSWER_BYTES + 1]), CommandOutcome::Noted);
-    assert_eq!(bench.reserve(&other_try(), 1), CommandOutcome::Unknown);
-    let copy = ControlState::decode(&bench.0.encode()).expect("it decodes");
-    assert_eq!(copy, bench.0, "a snapshot carries all of it");
+fn long_responses_are_not_truncated() {
+    let mut ledger = LedgerHarness::default();
+    ledger.reserve(&first_attempt(), 1);
+    assert_eq!(ledger.finish(&first_attempt(), vec![0; ANSWER_BYTES + 1]), CommandOutcome::Noted);
+    assert_eq!(ledger.reserve(&other_attempt(), 1), CommandOutcome::Unknown);
+    let copy = ControlState::decode(&ledger.0.encode()).expect("it decodes");
+    assert_eq!(copy, ledger.0, "a snapshot carries all of it");
 }
 
-// Guards against a claim for nobody by a `Reserve` that comes after its own `Release` and another claim.
+// Guards against an abandoned claim by a `Reserve` that arrives after its own `Release` and another
+// claim.
 #[test]
 fn late_reserve_claims_nothing() {
-    let mut bench = LedgerBench::default();
-    assert_eq!(bench.release(&first_try()), CommandOutcome::Released);
-    assert_eq!(bench.reserve(&other_try(), 1), CommandOutcome::Reserved);
-    assert_eq!(bench.release(&other_try()), CommandOutcome::Released);
-    assert_eq!(bench.reserve(&first_try(), 2), CommandOutcome::Released);
+    let mut ledger = LedgerHarness::default();
+    assert_eq!(ledger.release(&first_attempt()), CommandOutcome::Released);
+    assert_eq!(ledger.reserve(&other_attempt(), 1), CommandOutcome::Reserved);
+    assert_eq!(ledger.release(&other_attempt()), CommandOutcome::Released);
+    assert_eq!(ledger.reserve(&first_attempt(), 2), CommandOutcome::Released);
 }
 
-// Guards against the same where the `Release` comes while another daemon holds the call.
+// Guards against an abandoned claim by a late `Reserve` whose `Release` arrived while another
+// daemon held the call.
 #[test]
-fn late_reserve_after_a_refused_release() {
-    let mut bench = LedgerBench::default();
-    assert_eq!(bench.reserve(&other_try(), 1), CommandOutcome::Reserved);
-    bench.release(&first_try());
-    assert_eq!(bench.release(&other_try()), CommandOutcome::Released);
-    assert_eq!(bench.reserve(&first_try(), 2), CommandOutcome::Released);
+fn late_reserve_after_refused_release() {
+    let mut ledger = LedgerHarness::default();
+    assert_eq!(ledger.reserve(&other_attempt(), 1), CommandOutcome::Reserved);
+    ledger.release(&first_attempt());
+    assert_eq!(ledger.release(&other_attempt()), CommandOutcome::Released);
+    assert_eq!(ledger.reserve(&first_attempt(), 2), CommandOutcome::Released);
 }
 
-// Guards against callers who wait for a claim of an attempt that its daemon has given up.
+// Guards against callers that wait for the claim of an abandoned attempt.
 #[test]
 fn floor_frees_calls() {
-    let mut bench = LedgerBench::default();
-    assert_eq!(bench.reserve(&first_try(), 1), CommandOutcome::Reserved);
-    assert_eq!(bench.end_attempts(&first_try(), 1, 2), CommandOutcome::Noted);
-    assert_eq!(bench.reserve(&other_try(), 3), running(), "attempt 1 itself may not be over");
-    assert_eq!(bench.end_attempts(&first_try(), 2, 4), CommandOutcome::Noted);
-    assert_eq!(bench.end_attempts(&first_try(), 1, 4), CommandOutcome::Noted, "a late copy");
-    assert_eq!(bench.reserve_body(&other_try(), 5, "another"), CommandOutcome::Reserved);
-    assert_eq!(bench.reserve(&first_try(), 6), CommandOutcome::Released);
-    assert_eq!(bench.release(&other_try()), CommandOutcome::Released);
-    assert_eq!(bench.reserve(&first_try(), 7), CommandOutcome::Released);
+    let mut ledger = LedgerHarness::default();
+    assert_eq!(ledger.reserve(&first_attempt(), 1), CommandOutcome::Reserved);
+    assert_eq!(ledger.end_attempts(&first_attempt(), 1, 2), CommandOutcome::Noted);
+    assert_eq!(
+        ledger.reserve(&other_attempt(), 3),
+        running(),
+        "attempt 1 itself may not have ended"
+    );
+    assert_eq!(ledger.end_attempts(&first_attempt(), 2, 4), CommandOutcome::Noted);
+    assert_eq!(ledger.end_attempts(&first_attempt(), 1, 4), CommandOutcome::Noted, "a late copy");
+    assert_eq!(ledger.reserve_body(&other_attempt(), 5, "another"), CommandOutcome::Reserved);
+    assert_eq!(ledger.reserve(&first_attempt(), 6), CommandOutcome::Released);
+    assert_eq!(ledger.release(&other_attempt()), CommandOutcome::Released);
+    assert_eq!(ledger.reserve(&first_attempt(), 7), CommandOutcome::Released);
 }
 
-// Guards against a second run of a call that was sent before the floor rose past its attempt.
+// Guards against a second execution of a call that was sent before the floor passed its attempt.
 #[test]
-fn floor_frees_no_ended_call() {
-    let mut bench = LedgerBench::default();
-    let lost = TryOfCall { key: "slot-8".to_owned(), attempt: 2, ..first_try() };
-    assert_eq!(bench.reserve(&first_try(), 1), CommandOutcome::Reserved);
-    assert_eq!(bench.reserve(&lost, 1), CommandOutcome::Reserved);
-    bench.finish(&first_try(), vec![1]);
-    bench.mark_unknown(&lost);
-    bench.end_attempts(&first_try(), 9, 2);
-    assert!(matches!(bench.reserve(&other_try(), 3), CommandOutcome::Finished { .. }));
-    let resend = TryOfCall { key: lost.key.clone(), attempt: 3, ..other_try() };
-    assert_eq!(bench.reserve(&resend, 3), CommandOutcome::Unknown);
+fn floor_keeps_ended_call() {
+    let mut ledger = LedgerHarness::default();
+    let lost = CallAttempt { key: "slot-8".to_owned(), attempt: 2, ..first_attempt() };
+    assert_eq!(ledger.reserve(&first_attempt(), 1), CommandOutcome::Reserved);
+    assert_eq!(ledger.reserve(&lost, 1), CommandOutcome::Reserved);
+    ledger.finish(&first_attempt(), vec![1]);
+    ledger.mark_unknown(&lost);
+    ledger.end_attempts(&first_attempt(), 9, 2);
+    assert!(matches!(ledger.reserve(&other_attempt(), 3), CommandOutcome::Finished { .. }));
+    let resend = CallAttempt { key: lost.key.clone(), attempt: 3, ..other_attempt() };
+    assert_eq!(ledger.reserve(&resend, 3), CommandOutcome::Unknown);
 }
 
-// Guards against a floor of a former life that ends the attempts of a later one.
+// Guards against a floor of an earlier incarnation that ends attempts of a later one.
 #[test]
-fn floor_belongs_to_a_life() {
-    let mut bench = LedgerBench::default();
-    let later = TryOfCall { incarnation: 2, attempt: 3, ..first_try() };
-    assert_eq!(bench.reserve(&later, 1), CommandOutcome::Reserved);
-    assert!(matches!(bench.end_attempts(&first_try(), 9, 2), CommandOutcome::Refused { .. }));
+fn floor_applies_to_one_incarnation() {
+    let mut ledger = LedgerHarness::default();
+    let later = CallAttempt { incarnation: 2, attempt: 3, ..first_attempt() };
+    assert_eq!(ledger.reserve(&later, 1), CommandOutcome::Reserved);
+    assert!(matches!(ledger.end_attempts(&first_attempt(), 9, 2), CommandOutcome::Refused { .. }));
     let holds = CommandOutcome::Running { holder: "entry-a".to_owned(), incarnation: 2 };
-    assert_eq!(bench.reserve(&other_try(), 3), holds);
+    assert_eq!(ledger.reserve(&other_attempt(), 3), holds);
 }
 
-// Guards against a second run of a call that a lost life may have sent, by the floor of the next one.
+// Guards against a second execution of a call that an earlier incarnation may have sent, caused by
+// the floor of the next one.
 #[test]
-fn floor_frees_no_lost_call() {
-    let mut bench = LedgerBench::default();
-    assert_eq!(bench.reserve(&first_try(), 1), CommandOutcome::Reserved);
-    let later = TryOfCall { incarnation: 2, ..first_try() };
-    assert_eq!(bench.end_attempts(&later, 9, 2), CommandOutcome::Noted);
-    assert_eq!(bench.reserve(&other_try(), 3), CommandOutcome::Unknown);
+fn floor_keeps_lost_call() {
+    let mut ledger = LedgerHarness::default();
+    assert_eq!(ledger.reserve(&first_attempt(), 1), CommandOutcome::Reserved);
+    let later = CallAttempt { incarnation: 2, ..first_attempt() };
+    assert_eq!(ledger.end_attempts(&later, 9, 2), CommandOutcome::Noted);
+    assert_eq!(ledger.reserve(&other_attempt(), 3), CommandOutcome::Unknown);
 }
 
-// Guards against a claim for nobody by a late reservation of a daemon that fell out of the ledger.
+// Guards against an abandoned claim by a late reservation of a daemon that was evicted from the
+// ledger.
 #[test]
-fn forgotten_daemon_claims_anew() {
-    let mut bench = LedgerBench::default();
-    assert_eq!(bench.release(&first_try()), CommandOutcome::Released);
+fn evicted_daemon_claims_again() {
+    let mut ledger = LedgerHarness::default();
+    assert_eq!(ledger.release(&first_attempt()), CommandOutcome::Released);
     for number in 0..2 * 1024 {
         let (vm, now_ms) = (format!("other-{number}"), DAY_MS);
-        bench.apply(Command::NoteLife { vm, incarnation: 1, now_ms });
+        ledger.apply(Command::NoteLife { vm, incarnation: 1, now_ms });
     }
-    let outcome = bench.reserve(&first_try(), 1);
+    let outcome = ledger.reserve(&first_attempt(), 1);
     let CommandOutcome::Forgotten { below } = outcome else { panic!("{outcome:?}") };
-    let newer = TryOfCall { attempt: below, ..first_try() };
-    assert_eq!(bench.reserve(&newer, 2 * DAY_MS), CommandOutcome::Reserved);
+    let newer = CallAttempt { attempt: below, ..first_attempt() };
+    assert_eq!(ledger.reserve(&newer, 2 * DAY_MS), CommandOutcome::Reserved);
 }
 
-// Guards against an upgrade that loses claims, answers, or which attempts were given back.
+// Guards against an upgrade that loses claims, responses or released attempts.
 #[test]
-fn former_snapshot_read() {
-    let mut bench = LedgerBench(ControlState::decode(FORMER_SNAPSHOT).expect("it is read"));
+fn legacy_snapshot_is_read() {
+    let mut ledger = LedgerHarness(ControlState::decode(LEGACY_SNAPSHOT).expect("it is read"));
     let now_ms = DAY_MS;
-    let resend = |key: &str| TryOfCall { key: key.to_owned(), attempt: 9, ..other_try() };
-    let given_back = TryOfCall { attempt: 4, ..resend("released") };
-    assert_eq!(bench.reserve(&given_back, now_ms), CommandOutcome::Released);
-    assert_eq!(bench.reserve(&resend("released"), now_ms), CommandOutcome::Reserved);
-    assert_eq!(bench.reserve(&resend("running"), now_ms), running());
-    assert_eq!(bench.reserve(&resend("unknown"), now_ms), CommandOutcome::Unknown);
+    let resend = |key: &str| CallAttempt { key: key.to_owned(), attempt: 9, ..other_attempt() };
+    let released = CallAttempt { attempt: 4, ..resend("released") };
+    assert_eq!(ledger.reserve(&released, now_ms), CommandOutcome::Released);
+    assert_eq!(ledger.reserve(&resend("released"), now_ms), CommandOutcome::Reserved);
+    assert_eq!(ledger.reserve(&resend("running"), now_ms), running());
+    assert_eq!(ledger.reserve(&resend("unknown"), now_ms), CommandOutcome::Unknown);
     let answer = KeptAnswer { status: 201, content_type: String::new(), body: vec![1] };
-    assert_eq!(bench.reserve(&resend("finished"), now_ms), CommandOutcome::Finished { answer });
-    // A claim for nobody that the former release granted is freed by its daemon's floor.
-    bench.end_attempts(&first_try(), 5, now_ms);
-    assert_eq!(bench.reserve(&resend("running"), now_ms), CommandOutcome::Reserved);
+    assert_eq!(ledger.reserve(&resend("finished"), now_ms), CommandOutcome::Finished { answer });
+    // An abandoned claim granted by the earlier release is freed by the floor of its daemon.
+    ledger.end_attempts(&first_attempt(), 5, now_ms);
+    assert_eq!(ledger.reserve(&resend("running"), now_ms), CommandOutcome::Reserved);
 }
--- a/tests/lost_disk.rs
+++ b/tests/lost_disk.rs
@@ -1,4 +1,4 @@
-//! A voter returns with an empty disk, and a second one fails right after the repair.
+//! Loss of a voter's disk, and failure of a second voter right after the repair.
 
 #[path = "fakes/replica_group.rs"]
 mod replica_group;
@@ -39,7 +39,7 @@
     group.nodes[vm].replica.as_ref().map_or(0, |replica| replica.config().revision)
 }
 
-fn empty(group: &mut ReplicaGroup, vm: &str) {
+fn empty_disk(group: &mut ReplicaGroup, vm: &str) {
     group.crash(vm);
     group.lose_disk(vm);
     group.start(vm);
@@ -66,19 +66,19 @@
     group
 }
 
-/// What operators see: every acknowledged change is still there. 120 changes are acknowledged, the
-/// first replica's disk is emptied and the replica taken in again from a snapshot; right after
-/// that a second one loses its disk, and the repaired one and the third go on.
+/// No acknowledged change is lost. 120 changes are acknowledged, then the first replica's disk is
+/// emptied and the replica is added again from a snapshot. Right after that a second replica loses
+/// its disk, and the repaired one and the third continue.
 #[test]
 fn second_failure_after_repair() {
     let mut group = formed(5);
     for (expected, vm) in (120..).zip(["a", "b", "c"]) {
-        empty(&mut group, vm);
+        empty_disk(&mut group, vm);
         let leads = |group: &ReplicaGroup| group.leader().is_some_and(|leader| leader != vm);
-        assert!(group.run_until(WAIT, leads), "the others go on without {vm}");
+        assert!(group.run_until(WAIT, leads), "the others continue without {vm}");
         let seen = Duration::from_secs(2);
         group.run_for(seen);
-        assert_eq!(role(&group, vm), ReplicaRole::Waiting, "{vm} does not come back by itself");
+        assert_eq!(role(&group, vm), ReplicaRole::Waiting, "{vm} does not rejoin by itself");
         replace(&mut group, vm);
         assert_eq!(
             apply(&mut group, expected),
@@ -89,10 +89,10 @@
     assert!(group.run_until(WAIT, all), "each disk has every change");
 }
 
-/// What operators see: no leader, rather than one that has forgotten. The replica that holds the
-/// last changes is cut off, a second one's disk is emptied, and the third, which never got those
-/// changes, has only the empty one to ask. If the empty disk could vote, the third would lead and
-/// the acknowledged changes would be gone.
+/// Without a quorum of intact disks no leader is elected. The replica that holds the last changes
+/// is stopped, a second replica's disk is emptied, and the third, which never received those
+/// changes, can only request the vote of the empty one. If the empty disk could vote, the third
+/// would lead and the acknowledged changes would be lost.
 #[test]
 fn empty_disk_elects_nobody() {
     let mut group = formed(6);
@@ -102,26 +102,26 @@
     group.crash(late);
     assert_eq!(apply(&mut group, 120), Ok(CommandOutcome::Applied { revision: 121 }));
     group.crash(&leader);
-    empty(&mut group, holder);
+    empty_disk(&mut group, holder);
     group.start(late);
-    assert!(!group.run_until(WAIT, |group| group.leader().is_some()), "nobody may lead");
+    assert!(!group.run_until(WAIT, |group| group.leader().is_some()), "no replica may lead");
     group.start(&leader);
     assert!(group.run_until(WAIT, |group| group.leader().is_some()));
-    assert_eq!(group.leader().as_ref(), Some(&leader), "only it holds the last change");
+    assert_eq!(group.leader().as_ref(), Some(&leader), "only this replica holds the last change");
     replace(&mut group, &holder.clone());
     assert!(group.run_until(WAIT, |group| revision(group, late) == 121));
 }
 
-/// What operators see: a founder that is emptied in the first seconds founds no second group. It
-/// is the one that writes founding memberships, it hears probes that the others sent before they
-/// were founded, and must not take them for empty disks.
+/// A founder that is emptied in the first seconds founds no second group. It is the founder that
+/// writes founding memberships, and it receives probes that the others sent before the group was
+/// founded. It must not treat them as probes of empty disks.
 #[test]
 fn emptied_founder_founds_nothing() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 7);
     let has_group = |group: &ReplicaGroup, vm: &str| group.nodes[vm].disk.hard_state.group;
     assert!(group.run_until(WAIT, |group| has_group(group, "b").is_some()));
     let founded = has_group(&group, "b");
-    empty(&mut group, "a");
+    empty_disk(&mut group, "a");
     group.run_for(WAIT);
     assert_eq!(has_group(&group, "a"), None);
     assert_eq!(role(&group, "a"), ReplicaRole::Waiting);
@@ -129,16 +129,16 @@
     assert_eq!(has_group(&group, "a"), founded);
 }
 
-/// What operators see: the group goes on when a founder that missed the founding is needed. Two
-/// founders form the group and compact its first entries away while the third is cut off; then one
-/// of the two fails. The third has lost nothing, so it may vote, though its log is empty.
+/// A founder that missed the founding may vote. Two founders form the group and compact its first
+/// entries while the third is partitioned; then one of the two fails. The third has lost nothing,
+/// so it may vote although its log is empty.
 #[test]
 fn late_founder_votes() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 8);
     let founded = |group: &ReplicaGroup| group.nodes["a"].disk.hard_state.group.is_some();
     assert!(group.run_until(WAIT, founded));
     for vm in ["a", "b"] {
-        group.cut.insert((vm.to_owned(), "c".to_owned()));
+        group.blocked_links.insert((vm.to_owned(), "c".to_owned()));
     }
     assert!(group.run_until(WAIT, |group| group.leader().is_some()), "two are a quorum");
     for expected in 0..120 {
@@ -148,39 +148,39 @@
     assert_eq!(role(&group, "c"), ReplicaRole::Waiting);
     let leader = group.leader().expect("there is a leader");
     group.crash(&leader);
-    group.cut.clear();
+    group.blocked_links.clear();
     assert!(group.run_until(WAIT, |group| group.leader().is_some()), "the founder votes");
     assert!(group.run_until(WAIT, |group| revision(group, "c") == 120));
 }
 
-/// What operators see: a replica that was taken out without hearing of it can be taken in again.
-/// The first leader removes the second replica, then the third, which is cut off; the second is
-/// taken in again and leads. The third still believes in a membership without the present leader.
+/// A replica that was removed without receiving the change can be added again. The first leader
+/// removes the second replica, then the third, which is partitioned. The second is added again and
+/// becomes leader. The third still has a membership without the current leader.
 #[test]
-fn unheard_removal_returns() {
+fn removed_replica_rejoins() {
     let mut group = formed(9);
     let first = group.leader().expect("there is a leader");
     let others: Vec<VmId> = group.nodes.keys().filter(|vm| **vm != first).cloned().collect();
     let (second, third) = (&others[0], &others[1]);
     remove(&mut group, second);
     for other in [&first, second] {
-        group.cut.insert((other.clone(), third.clone()));
-        group.cut.insert((third.clone(), other.clone()));
+        group.blocked_links.insert((other.clone(), third.clone()));
+        group.blocked_links.insert((third.clone(), other.clone()));
     }
     remove(&mut group, third);
     replace(&mut group, second);
-    // A restart forgets whom it has heard before.
+    // A restart clears the observed peers.
     group.crash(second);
     group.start(second);
     for _ in 0..40 {
         if group.leader().as_ref() == Some(second) {
             break;
         }
-        group.freeze(&first, Duration::from_millis(1500));
+        group.pause(&first, Duration::from_millis(1500));
         group.run_for(Duration::from_secs(6));
     }
     assert_eq!(group.leader().as_ref(), Some(second));
-    group.cut.clear();
+    group.blocked_links.clear();
     group.run_for(WAIT);
     replace(&mut group, third);
 }
--- a/tests/numbered_documents.rs
+++ b/tests/numbered_documents.rs
@@ -1,4 +1,4 @@
-//! The highest number that an operator chose wins, and resends are acknowledged again.
+//! The highest document number is applied, and resends are acknowledged.
 
 use oleandermount::{
     control::{Command, CommandOutcome, state::ControlState},
@@ -9,9 +9,9 @@
     state.apply(FencingNumber::default(), &Command::PutDocument { number, body: body.to_owned() })
 }
 
-/// An operator whose acknowledgement was lost sends its change again, while another has already
-/// changed more. A conflict would make it try on for ever, and taking the older one back would undo
-/// what was acknowledged.
+/// An operator whose acknowledgement was lost resends a change after another operator has made
+/// later ones. With a conflict the operator would resend forever, and applying the older document
+/// would revert acknowledged changes.
 #[test]
 fn highest_number_wins() {
     let mut state = ControlState::default();
@@ -33,8 +33,8 @@
     }
 }
 
-/// A snapshot of the release before documents were kept is read without them, and one that holds
-/// them comes back whole.
+/// A snapshot of the release without documents is read, and a snapshot with documents is restored
+/// completely.
 #[test]
 fn snapshots_survive() {
     let mut state = ControlState::default();
@@ -42,6 +42,6 @@
     assert_eq!(ControlState::decode(&state.encode()).as_ref(), Ok(&state));
     let empty = ControlState::default().encode();
     // The version is the first byte; a document without number, body and weights takes three.
-    let former = [&[1], &empty[1..empty.len() - 3]].concat();
-    assert_eq!(ControlState::decode(&former), Ok(ControlState::default()));
+    let legacy = [&[1], &empty[1..empty.len() - 3]].concat();
+    assert_eq!(ControlState::decode(&legacy), Ok(ControlState::default()));
 }
--- a/tests/queued_bytes.rs
+++ b/tests/queued_bytes.rs
@@ -1,4 +1,5 @@
-//! What waits for a replica that is busy or whose disk answers nothing, while long documents change.
+//! Bounds on the queues of a replica that is busy or whose disk is unresponsive, while long
+//! documents change.
 
 #[path = "fakes/memory_files.rs"]
 mod memory_files;
@@ -22,12 +23,12 @@
 };
 
 const DOCUMENT_BYTES: usize = 3 << 20;
-/// More than all queues together may hold.
+/// More than all queues can hold together.
 const DOCUMENTS: u64 = 40;
 
 const LOST: &str = "oleandermount_control_messages_lost_total ";
 
-/// A replica that is a group of its own, on `files`.
+/// Starts a replica that forms a group alone, on `files`.
 async fn start_leader(files: &MemoryFiles) -> ControlHandle {
     let (outbound, _peers) = mpsc::channel(16);
     let mut settings = DriverSettings::new("a".to_owned(), vec!["a".to_owned()], "memory", 1);
@@ -46,7 +47,7 @@
     Command::PutDocument { number, body: "x".repeat(DOCUMENT_BYTES) }
 }
 
-/// An append of a leader that this replica does not know.
+/// Append of a leader that the replica does not know.
 fn long_append(index: u64) -> ReplicaMessage {
     let entries = vec![LogEntry { term: 1, index, payload: EntryPayload::Command(put(index)) }];
     let (round, prev_index, prev_term, commit, target) = (1, index - 1, 0, 0, 0);
@@ -54,7 +55,7 @@
     ReplicaMessage { group: None, from_incarnation: 1, to_incarnation: None, term: 1, body }
 }
 
-// Guards against memory that grows with the documents proposed while the disk answers nothing.
+// Guards against unbounded memory for documents that are proposed while the disk is unresponsive.
 #[tokio::test]
 async fn proposals_are_bounded() {
     let files = MemoryFiles::default();
@@ -71,12 +72,12 @@
         busy += usize::from(outcome.expect("it ends") == Err(LocalProposeError::Busy));
     }
     gate.set(false);
-    // One is being written, and one waits for room.
+    // One document is being written, and one waits for room in the queue.
     let most = (INPUT_BYTES + BATCH_BYTES) / DOCUMENT_BYTES + 2;
     assert!(busy + most >= DOCUMENTS as usize, "{busy} of {DOCUMENTS} were refused");
 }
 
-// Guards against memory that grows with the messages that come faster than the replica takes them.
+// Guards against unbounded memory for messages that arrive faster than the replica processes them.
 #[tokio::test]
 async fn messages_are_bounded() {
     let recorder = PrometheusBuilder::new().build_recorder();
--- a/tests/replica_rules.rs
+++ b/tests/replica_rules.rs
@@ -1,4 +1,4 @@
-//! One replica that is led to the brink: what it must not commit, rely on or change.
+//! Safety rules of a single replica: what it must not commit, rely on or change.
 
 use {
     oleandermount::{
@@ -18,15 +18,16 @@
     },
 };
 
-/// Replica `a` of `a`, `b` and `c`, with an entry of term 2 that may or may not be committed.
-struct ReplicaBench {
+/// Replica `a` of a group of `a`, `b` and `c`, with an entry of term 2 that may or may not be
+/// committed.
+struct ReplicaHarness {
     replica: Replica,
     now: Instant,
     members: Membership,
 }
 
-impl ReplicaBench {
-    /// The replica as leader of term 4, elected by `b`, its own log synced.
+impl ReplicaHarness {
+    /// Creates the replica as leader of term 4, elected by `b`, with its own log synced.
     fn leading() -> Self {
         let voters = [("a", 1), ("b", 2), ("c", 3)].map(|(vm, disk)| (vm.to_owned(), disk));
         let members = Membership { voters: voters.into(), learners: BTreeMap::new() };
@@ -47,14 +48,14 @@
         };
         let now = Instant::now();
         let replica = Replica::new(settings, saved, now).expect("it has no snapshot");
-        let mut bench = ReplicaBench { replica, now, members };
-        bench.pass(Duration::from_secs(2));
-        bench.receive("b", 3, MessageBody::PreVoteReply { next_term: 4, granted: true });
-        bench.input(ReplicaInput::Persisted { number: 1 });
-        bench.receive("b", 4, MessageBody::VoteReply { granted: true });
-        bench.input(ReplicaInput::Persisted { number: 2 });
-        assert_eq!(bench.replica.role(), ReplicaRole::Leader);
-        bench
+        let mut harness = ReplicaHarness { replica, now, members };
+        harness.pass(Duration::from_secs(2));
+        harness.receive("b", 3, MessageBody::PreVoteReply { next_term: 4, granted: true });
+        harness.input(ReplicaInput::Persisted { number: 1 });
+        harness.receive("b", 4, MessageBody::VoteReply { granted: true });
+        harness.input(ReplicaInput::Persisted { number: 2 });
+        assert_eq!(harness.replica.role(), ReplicaRole::Leader);
+        harness
     }
 
     fn input(&mut self, input: ReplicaInput) -> Vec<ReplicaAction> {
@@ -91,44 +92,44 @@
     }
 }
 
-/// What callers see otherwise: an acknowledged booking disappears. Two of three replicas hold an
-/// entry of an earlier term, which a third with a later one could still replace if this leader
-/// failed. It counts as committed only together with an entry of the leader's own term.
+/// Guards against the loss of an acknowledged call. Two of three replicas hold an entry of an
+/// earlier term, which the third could still replace with one of a later term if this leader
+/// failed. The entry is committed only together with an entry of the leader's own term.
 #[test]
-fn older_terms_wait() {
-    let mut bench = ReplicaBench::leading();
-    bench.receive("b", 4, MessageBody::AppendReply { round: 1, matched: 2 });
-    assert_eq!(bench.commit(), 1, "the entry of term 2 may still be replaced");
-    bench.receive("b", 4, MessageBody::AppendReply { round: 1, matched: 3 });
-    assert_eq!(bench.commit(), 3);
+fn older_terms_are_not_committed() {
+    let mut harness = ReplicaHarness::leading();
+    harness.receive("b", 4, MessageBody::AppendReply { round: 1, matched: 2 });
+    assert_eq!(harness.commit(), 1, "the entry of term 2 may still be replaced");
+    harness.receive("b", 4, MessageBody::AppendReply { round: 1, matched: 3 });
+    assert_eq!(harness.commit(), 3);
 }
 
-/// What engines see otherwise: orders of two leaders. A reply was on its way for 600 ms; the
-/// follower is bound since it heard the round, not since its reply came in. The lease runs from
-/// the start of the round.
+/// Guards against orders of two leaders at the same time. A reply was delayed by 600 ms. The
+/// follower withholds its vote from the time at which it received the round, not from the arrival
+/// of its reply, so the lease starts with the round.
 #[test]
-fn late_replies_extend_nothing() {
-    let mut bench = ReplicaBench::leading();
-    let began = bench.now;
-    bench.pass(Duration::from_millis(600));
-    bench.receive("b", 4, MessageBody::AppendReply { round: 1, matched: 3 });
-    assert!(bench.replica.lease_valid(began + Duration::from_millis(749)));
-    assert!(!bench.replica.lease_valid(began + Duration::from_millis(750)));
-    bench.pass(Duration::from_millis(400));
-    assert_eq!(bench.replica.role(), ReplicaRole::Follower, "no quorum for a second");
+fn late_replies_do_not_extend_lease() {
+    let mut harness = ReplicaHarness::leading();
+    let began = harness.now;
+    harness.pass(Duration::from_millis(600));
+    harness.receive("b", 4, MessageBody::AppendReply { round: 1, matched: 3 });
+    assert!(harness.replica.lease_valid(began + Duration::from_millis(749)));
+    assert!(!harness.replica.lease_valid(began + Duration::from_millis(750)));
+    harness.pass(Duration::from_millis(400));
+    assert_eq!(harness.replica.role(), ReplicaRole::Follower, "no quorum for a second");
 }
 
-/// What operators see otherwise: two groups that each go on. A leader changes the replicas only
-/// after an entry of its own term is committed, and one at a time; else two leaders in a row could
-/// write different changes that find quorums with no replica in common.
+/// Guards against two independent groups. A leader changes the membership only after an entry of
+/// its own term is committed, and one change at a time. Otherwise two successive leaders could
+/// write different changes whose quorums have no replica in common.
 #[test]
-fn changes_go_one_by_one() {
-    let mut bench = ReplicaBench::leading();
-    bench.receive("b", 4, MessageBody::AppendReply { round: 1, matched: 2 });
-    let early = bench.remove("c");
+fn membership_changes_are_sequential() {
+    let mut harness = ReplicaHarness::leading();
+    harness.receive("b", 4, MessageBody::AppendReply { round: 1, matched: 2 });
+    let early = harness.remove("c");
     assert!(matches!(early, Some(CommandOutcome::Refused { .. })), "{early:?}");
-    bench.receive("b", 4, MessageBody::AppendReply { round: 1, matched: 3 });
-    assert_eq!(bench.remove("c"), None, "it waits for its commit");
-    let second = bench.remove("b");
+    harness.receive("b", 4, MessageBody::AppendReply { round: 1, matched: 3 });
+    assert_eq!(harness.remove("c"), None, "it waits for its commit");
+    let second = harness.remove("b");
     assert!(matches!(second, Some(CommandOutcome::Refused { .. })), "{second:?}");
 }
--- a/tests/replica_simulation.rs
+++ b/tests/replica_simulation.rs
@@ -1,5 +1,6 @@
-//! Randomised runs of a group of replicas against the invariants of the log and of the ledger.
-//! `REPLICA_SEED=N cargo test --test replica_simulation` runs one seed, `REPLICA_SEEDS=N` that many.
+//! Randomised simulation of a group of replicas, checked against the invariants of the log and of
+//! the ledger. `REPLICA_SEED=N cargo test --test replica_simulation` runs one seed,
+//! `REPLICA_SEEDS=N` that many.
 
 #[path = "fakes/replica_group.rs"]
 mod replica_group;
@@ -12,11 +13,11 @@
         },
         ids::{AttemptId, Incarnation, Revision, VmId},
     },
-    replica_group::{CALM, ReplicaGroup, WireFaults},
+    replica_group::{NO_FAULTS, NetworkFaults, ReplicaGroup},
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Seeds of each CI run.
+/// Number of seeds of each CI run.
 const SEEDS: u64 = 40;
 const KEYS: u64 = 12;
 const STEPS: u64 = 400;
@@ -27,14 +28,14 @@
     probe: Duration::from_millis(100),
 };
 
-/// A daemon's try to run a call once.
+/// Attempt of a daemon to execute a call once.
 #[derive(Clone)]
 struct CallAttempt {
     key: u64,
     holder: u64,
     incarnation: Incarnation,
     attempt: AttemptId,
-    /// The proposal that waits, and what it is for.
+    /// Pending proposal and its purpose.
     waiting: Option<(u64, CallStep)>,
     sent: bool,
 }
@@ -46,9 +47,9 @@
     Close,
 }
 
-/// Daemons that make calls, operators that change the configuration and repair the group.
-struct CallerWorld {
-    lives: BTreeMap<u64, Incarnation>,
+/// Daemons that make calls, and operators that change the configuration and repair the group.
+struct CallerSimulation {
+    incarnations: BTreeMap<u64, Incarnation>,
     attempts: Vec<CallAttempt>,
     runs: BTreeMap<u64, u32>,
     applied: BTreeMap<Revision, String>,
@@ -59,14 +60,14 @@
     format!(r#"{{"failure_domains":[{{"id":"domain-{name}"}}]}}"#)
 }
 
-impl CallerWorld {
+impl CallerSimulation {
     fn step(&mut self, group: &mut ReplicaGroup) {
         match group.below(10) {
             0..4 => self.new_attempt(group),
             4..6 => self.change_config(group),
             6 => {
                 let holder = group.below(3);
-                *self.lives.entry(holder).or_insert(1) += 1;
+                *self.incarnations.entry(holder).or_insert(1) += 1;
             }
             _ => {}
         }
@@ -76,7 +77,7 @@
     fn new_attempt(&mut self, group: &mut ReplicaGroup) {
         let holder = group.below(3);
         let attempt = self.attempts.len() as AttemptId + 1;
-        let incarnation = *self.lives.entry(holder).or_insert(1);
+        let incarnation = *self.incarnations.entry(holder).or_insert(1);
         let key = group.below(KEYS);
         let mut call =
             CallAttempt { key, holder, incarnation, attempt, waiting: None, sent: false };
@@ -95,16 +96,16 @@
         self.changes.push((group.propose(&vm, command), body));
     }
 
-    /// Goes on with each call whose proposal has an outcome. A daemon sends when its reserve was
-    /// granted in its own life, and otherwise gives the claim back.
+    /// Continues each call whose proposal has an outcome. A daemon sends the call if its claim was
+    /// granted in its current incarnation, and otherwise releases the claim.
     fn collect(&mut self, group: &mut ReplicaGroup) {
         for call in &mut self.attempts {
             let Some((proposal, step)) = call.waiting else { continue };
             let Some(outcome) = group.outcomes.get(&proposal).cloned() else { continue };
             call.waiting = None;
-            let alive = self.lives.get(&call.holder) == Some(&call.incarnation);
+            let is_current = self.incarnations.get(&call.holder) == Some(&call.incarnation);
             match (step, outcome) {
-                (CallStep::Reserve, Ok(CommandOutcome::Reserved)) if alive && !call.sent => {
+                (CallStep::Reserve, Ok(CommandOutcome::Reserved)) if is_current && !call.sent => {
                     if group.below(4) > 0 {
                         call.sent = true;
                         *self.runs.entry(call.key).or_default() += 1;
@@ -116,7 +117,7 @@
                 (
                     _,
                     Err(LocalProposeError::OutcomeUnknown | LocalProposeError::NotLeader { .. }),
-                ) if alive && group.below(4) > 0 => {
+                ) if is_current && group.below(4) > 0 => {
                     call.propose(group, step);
                 }
                 _ => {}
@@ -165,7 +166,7 @@
     }
 }
 
-/// Often the leader, otherwise one that may have been one.
+/// Returns the leader in about half of the cases, otherwise any VM.
 fn some_vm(group: &mut ReplicaGroup) -> VmId {
     let count = group.nodes.len() as u64;
     let other = group.below(count) as usize;
@@ -173,7 +174,7 @@
     if group.below(2) == 0 { other } else { group.leader().unwrap_or(other) }
 }
 
-fn break_something(group: &mut ReplicaGroup) {
+fn inject_fault(group: &mut ReplicaGroup) {
     let vm = some_vm(group);
     match group.below(18) {
         0 => group.crash(&vm),
@@ -181,7 +182,7 @@
             group.crash(&vm);
             group.start(&vm);
         }
-        14 | 15 => deafen_and_restart(group, &vm),
+        14 | 15 => isolate_and_restart(group, &vm),
         16 if group.is_intact() => {
             if let Some(leader) = group.leader() {
                 group.propose(&leader, Command::RemoveReplica { vm });
@@ -194,31 +195,31 @@
         1 | 2 => group.start(&vm),
         3 => {
             let pause = Duration::from_millis(group.below(5000));
-            group.freeze(&vm, pause);
+            group.pause(&vm, pause);
         }
-        // One disk at a time: with a quorum of disks gone no protocol could go on.
+        // One disk at a time: without a quorum of disks no protocol can make progress.
         4 if group.is_intact() => {
             group.crash(&vm);
             group.lose_disk(&vm);
             group.start(&vm);
         }
-        5 => cut_off(group, &vm),
-        6 | 7 => group.cut.clear(),
+        5 => partition(group, &vm),
+        6 | 7 => group.blocked_links.clear(),
         8 => {
             let delay = Duration::from_millis([2, 20, 60, 400][group.below(4) as usize]);
             let drop = [0, 5, 25][group.below(3) as usize];
-            group.faults = WireFaults { drop, double: drop, delay };
+            group.faults = NetworkFaults { drop, duplicate: drop, delay };
         }
         _ => repair(group),
     }
 }
 
-/// One replica hears the leader no more and stands for election just when those that it would
-/// ask have forgotten, by a restart, that they have just heard the leader.
-fn deafen_and_restart(group: &mut ReplicaGroup, vm: &VmId) {
+/// Isolates one replica from the leader. It becomes a candidate just when the replicas whose votes
+/// it requests have lost, by a restart, the time of their last contact with the leader.
+fn isolate_and_restart(group: &mut ReplicaGroup, vm: &VmId) {
     let Some(leader) = group.leader().filter(|leader| leader != vm) else { return };
-    group.cut.insert((leader.clone(), vm.clone()));
-    group.cut.insert((vm.clone(), leader.clone()));
+    group.blocked_links.insert((leader.clone(), vm.clone()));
+    group.blocked_links.insert((vm.clone(), leader.clone()));
     for _ in 0..6 {
         let pause = Duration::from_millis(group.below(group.timing.election.as_millis() as u64));
         group.run_for(pause);
@@ -231,31 +232,31 @@
     }
 }
 
-/// Cuts one replica off, in one direction or in both.
-fn cut_off(group: &mut ReplicaGroup, vm: &VmId) {
+/// Partitions one replica, in one direction or in both.
+fn partition(group: &mut ReplicaGroup, vm: &VmId) {
     let ways = group.below(3);
     for other in group.nodes.keys().filter(|other| *other != vm).cloned().collect::<Vec<_>>() {
         if ways != 0 {
-            group.cut.insert((vm.clone(), other.clone()));
+            group.blocked_links.insert((vm.clone(), other.clone()));
         }
         if ways != 1 {
-            group.cut.insert((other, vm.clone()));
+            group.blocked_links.insert((other, vm.clone()));
         }
     }
 }
 
-/// Takes each disk in that is not the one of the membership.
+/// Adds each disk that is not the one named in the membership.
 fn repair(group: &mut ReplicaGroup) {
     let (Some(leader), Some(membership)) = (group.leader(), group.membership()) else { return };
-    let strange = |(vm, node): (&VmId, &replica_group::GroupNode)| {
+    let is_not_member = |(vm, node): (&VmId, &replica_group::GroupNode)| {
         (!membership.is_member(vm, node.disk.incarnation)).then(|| vm.clone())
     };
-    for vm in group.nodes.iter().filter_map(strange).collect::<Vec<_>>() {
+    for vm in group.nodes.iter().filter_map(is_not_member).collect::<Vec<_>>() {
         group.propose(&leader, Command::ReplaceReplica { vm, incarnation: None });
     }
 }
 
-fn is_whole(group: &ReplicaGroup) -> bool {
+fn is_repaired(group: &ReplicaGroup) -> bool {
     let all: Vec<_> = group.nodes.values().filter_map(|node| node.replica.as_ref()).collect();
     let status = |index: usize| all[index].status(group.now);
     group.leader().is_some()
@@ -267,61 +268,65 @@
         })
 }
 
-/// Runs one seed; returns the last revision that an operator was told of.
+/// Runs one seed; returns the last acknowledged revision.
 fn run_seed(seed: u64) -> Revision {
     let names = if seed % 3 == 2 { &["a", "b", "c", "d", "e"][..] } else { &["a", "b", "c"][..] };
-    // Some groups elect so fast that leaders follow each other within one step.
+    // Some groups have elections so fast that leaders follow each other within one step.
     let timing = if seed % 4 < 2 { ReplicaTiming::default() } else { FAST };
     let mut group = ReplicaGroup::timed(names, seed, timing);
-    let mut world = CallerWorld {
-        lives: BTreeMap::new(),
+    let mut callers = CallerSimulation {
+        incarnations: BTreeMap::new(),
         attempts: Vec::new(),
         runs: BTreeMap::new(),
         applied: BTreeMap::new(),
         changes: Vec::new(),
     };
     if seed.is_multiple_of(2) {
-        assert!(group.run_until(Duration::from_secs(30), is_whole), "seed {seed}: no group forms");
+        assert!(
+            group.run_until(Duration::from_secs(30), is_repaired),
+            "seed {seed}: no group forms"
+        );
     }
     for _ in 0..STEPS {
         let pause = Duration::from_millis(group.below(300));
         group.run_for(pause);
-        world.step(&mut group);
-        // Within a few milliseconds of the proposals, so that their entries are on the way.
+        callers.step(&mut group);
+        // Faults follow within a few milliseconds of the proposals, so that their entries are in
+        // transit.
         let pause = Duration::from_micros(group.below(12_000));
         group.run_for(pause);
         if group.below(5) == 0 {
-            break_something(&mut group);
+            inject_fault(&mut group);
         }
     }
-    heal(&mut group, seed);
-    world.collect(&mut group);
+    recover(&mut group, seed);
+    callers.collect(&mut group);
     let revision = group.nodes.values().next().and_then(|node| node.replica.as_ref());
     let revision = revision.expect("all run").config().revision;
-    let acknowledged = world.applied.keys().next_back().copied().unwrap_or(0);
-    assert!(revision >= acknowledged, "seed {seed}: an acknowledged change is gone");
+    let acknowledged = callers.applied.keys().next_back().copied().unwrap_or(0);
+    assert!(revision >= acknowledged, "seed {seed}: an acknowledged change is lost");
     acknowledged
 }
 
-/// All faults end, and the group comes back whole.
-fn heal(group: &mut ReplicaGroup, seed: u64) {
-    (group.faults, group.cut) = (CALM, Default::default());
+/// Ends all faults and waits until the group is repaired.
+fn recover(group: &mut ReplicaGroup, seed: u64) {
+    (group.faults, group.blocked_links) = (NO_FAULTS, Default::default());
     for vm in group.nodes.keys().cloned().collect::<Vec<_>>() {
         group.start(&vm);
     }
-    let healed = (0..60).any(|_| {
+    let recovered = (0..60).any(|_| {
         repair(group);
-        group.run_until(Duration::from_secs(1), is_whole)
+        group.run_until(Duration::from_secs(1), is_repaired)
     });
     let roles: Vec<_> = group.nodes.values().filter_map(|node| node.replica.as_ref()).collect();
     let roles: Vec<_> = roles.iter().map(|replica| replica.status(group.now)).collect();
-    assert!(healed, "seed {seed}: the group does not come back whole: {roles:#?}");
+    assert!(recovered, "seed {seed}: the group is not repaired: {roles:#?}");
 }
 
-/// What callers see: a booking runs once and an accepted configuration stays, whatever happens to
-/// the control replicas. In each run messages are lost, doubled and late, replicas crash, freeze,
-/// are cut off one way or both and return with empty disks, while daemons claim calls and
-/// operators change the configuration.
+/// A non-repeatable call is executed at most once and an accepted configuration is kept, whatever
+/// happens to the control replicas. In each run messages are lost, duplicated and delayed, and
+/// replicas crash, pause, are partitioned in one or both directions and return with empty disks,
+/// while daemons claim calls and operators change the configuration.
 #[test]
 fn random_faults_keep_invariants() {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
@@ -329,7 +334,11 @@
         Some(seed) => vec![seed],
         None => (1..=number("REPLICA_SEEDS").unwrap_or(SEEDS)).collect(),
     };
-    let told: Vec<Revision> = seeds.iter().map(|seed| run_seed(*seed)).collect();
-    let idle = told.iter().filter(|revision| **revision == 0).count();
-    assert!(idle * 10 <= told.len(), "{idle} of {} runs changed nothing", told.len());
+    let acknowledged: Vec<Revision> = seeds.iter().map(|seed| run_seed(*seed)).collect();
+    let idle = acknowledged.iter().filter(|revision| **revision == 0).count();
+    assert!(
+        idle * 10 <= acknowledged.len(),
+        "{idle} of {} runs changed nothing",
+        acknowledged.len()
+    );
 }
--- a/tests/resend_retention.rs
+++ b/tests/resend_retention.rs
@@ -1,7 +1,7 @@
-//! A caller books through one daemon and sends the same call again through another, which no
-//! booking has gone through before. Two vans came: the ledger's clock is the second latest of the
-//! proposers' clocks, so the first answer was kept as closed at zero, and the second daemon's
-//! first claim moved the clock by decades and ended the retention of that answer at once.
+//! Guards against a second execution of a call whose resend arrives through a daemon that has not
+//! claimed a call before. The ledger's clock is the second latest of the proposers' clocks. If the
+//! response is recorded as closed at time zero, the first claim of the second daemon advances the
+//! clock by decades and ends the retention of the response at once.
 
 use oleandermount::{
     control::{Command, CommandOutcome, KeptAnswer, state::ControlState},
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn resend_through_new_daemon_gets_the_answer() {
+fn resend_through_new_daemon_gets_response() {
     let answer = KeptAnswer {
         status: 200,
         content_type: "application/json".to_owned(),
--- a/tests/stale_follower.rs
+++ b/tests/stale_follower.rs
@@ -1,4 +1,4 @@
-//! A follower that hears the leader without having what is committed.
+//! A follower that receives heartbeats of the leader but lacks committed entries.
 
 #[path = "fakes/replica_group.rs"]
 mod replica_group;
@@ -9,14 +9,15 @@
     std::time::Duration,
 };
 
-/// Longer than what one append carries in these groups, so that each takes one of its own.
+/// Larger than one append in these groups, so that each document takes its own append.
 const BODY_BYTES: usize = 3_000;
 const DOCUMENTS: u64 = 12;
 
-/// Entries stay with a follower that calls itself up to date, and refuse callers of new routes: its
-/// disk hangs, so it acknowledges nothing and is sent nothing more, while heartbeats go on.
+/// Guards against a stale follower that reports itself as up to date, so that entries stay with it
+/// and refuse callers of new routes. Its disk hangs, so it acknowledges nothing and is sent nothing
+/// more, while heartbeats continue.
 #[test]
-fn hanging_disk_shows() {
+fn hanging_disk_is_not_fresh() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 1);
     assert!(group.run_until(Duration::from_secs(30), |group| group.leader().is_some()));
     group.run_for(Duration::from_secs(1));
@@ -35,17 +36,17 @@
     let replica = group.nodes[follower].replica.as_ref().expect("it runs");
     let status = replica.status(group.now);
     let number = replica.state().documents().document().number;
-    assert!(number < DOCUMENTS, "the load proves nothing");
-    assert!(status.leader.is_some(), "the load proves nothing");
+    assert!(number < DOCUMENTS, "the follower lacks documents");
+    assert!(status.leader.is_some(), "heartbeats still arrive");
     assert!(!status.is_fresh, "it holds document {number} and counts as up to date");
 }
 
-/// Entries of a failure domain start without routes: its control VM has just been taken in with an
-/// empty disk, and calls itself up to date before it has anything.
+/// Guards against entries of a failure domain that start without routes because their control VM
+/// reports itself as up to date right after it was added with an empty disk.
 #[test]
-fn learner_shows() {
+fn learner_is_not_fresh() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 1);
-    group.heal_for(Duration::from_secs(10), 3);
+    group.run_with_repair(Duration::from_secs(10), 3);
     let leader = group.leader().expect("one leads");
     for number in 1..=DOCUMENTS {
         group.propose(&leader, Command::PutDocument { number, body: "x".repeat(BODY_BYTES) });
@@ -61,18 +62,19 @@
     };
     let mut seen = Vec::new();
     for _ in 0..4_000 {
-        group.heal_for(Duration::from_millis(1), 3);
+        group.run_with_repair(Duration::from_millis(1), 3);
         seen.push(state(&group));
     }
     assert!(seen.iter().all(|(fresh, number)| !fresh || *number == DOCUMENTS), "{seen:?}");
     assert_eq!(seen.last(), Some(&(true, DOCUMENTS)));
 }
 
-/// Entries leave every control VM after each change of configuration, and find none that is up to date.
+/// Guards against entries that leave every control VM after each change of the configuration
+/// because none reports itself as up to date.
 #[test]
-fn sound_followers_stay_fresh() {
+fn healthy_followers_stay_fresh() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 1);
-    group.heal_for(Duration::from_secs(10), 3);
+    group.run_with_repair(Duration::from_secs(10), 3);
     let leader = group.leader().expect("one leads");
     for number in 1..=DOCUMENTS {
         group.propose(&leader, Command::PutDocument { number, body: "x".repeat(BODY_BYTES) });
--- a/tests/unresponsive_follower.rs
+++ b/tests/unresponsive_follower.rs
@@ -1,4 +1,4 @@
-//! What a leader sends to a follower that does not answer, while operators change long documents.
+//! Messages of a leader to a follower that does not reply, while operators change long documents.
 
 #[path = "fakes/replica_group.rs"]
 mod replica_group;
@@ -10,21 +10,21 @@
 };
 
 const DOCUMENT_BYTES: usize = 1 << 20;
-/// Several documents and one silent follower leave a quorum.
+/// Several documents; the remaining replicas form a quorum without the follower.
 const DOCUMENTS: u64 = 5;
-const SILENCE: Duration = Duration::from_secs(14);
-/// How long a document is on its way over a slow link.
-const SLOW_WAY: Duration = Duration::from_secs(6);
-/// An accepted document is in force at a replica in touch within this.
+const OUTAGE: Duration = Duration::from_secs(14);
+/// Time that a document takes over a slow link.
+const SLOW_LINK_DELAY: Duration = Duration::from_secs(6);
+/// Time within which an accepted document is applied by a connected replica.
 const CATCH_UP: Duration = Duration::from_secs(2);
 
-/// A long document under its number.
+/// Command for a long document.
 fn put(number: u64) -> Command {
     Command::PutDocument { number, body: "x".repeat(DOCUMENT_BYTES) }
 }
 
-/// A group whose leader has followers, and the name of one of them.
-fn led_group(seed: u64) -> (ReplicaGroup, String) {
+/// Returns a group with a leader, and the name of one of its followers.
+fn group_with_leader(seed: u64) -> (ReplicaGroup, String) {
     let mut group = ReplicaGroup::new(&["vm-a", "vm-b", "vm-c"], seed);
     assert!(group.run_until(Duration::from_secs(10), |group| group.leader().is_some()));
     let leader = group.leader().expect("one leads");
@@ -37,79 +37,82 @@
     replica.state().documents().document().number
 }
 
-// Guards against memory that grows with the time for which a follower is silent.
+// Guards against memory that grows as long as a follower is unresponsive.
 #[test]
-fn silent_one_is_not_sent_again() {
+fn unresponsive_follower_gets_no_copies() {
     for seed in 0..20 {
-        let (mut group, silent) = led_group(seed);
-        group.freeze(&silent, SILENCE);
+        let (mut group, follower) = group_with_leader(seed);
+        group.pause(&follower, OUTAGE);
         for number in 1..=DOCUMENTS {
-            let leader = group.leader().expect("two of three are in touch");
+            let leader = group.leader().expect("two of three are connected");
             group.propose(&leader, put(number));
-            group.run_for(SILENCE / DOCUMENTS as u32 / 2);
+            group.run_for(OUTAGE / DOCUMENTS as u32 / 2);
         }
-        let waiting = group.waiting_bytes(&silent);
+        let waiting = group.waiting_bytes(&follower);
         let once = DOCUMENT_BYTES * DOCUMENTS as usize;
-        assert!(waiting <= once + DOCUMENT_BYTES, "seed {seed}: {waiting} bytes wait");
+        assert!(waiting <= once + DOCUMENT_BYTES, "seed {seed}: {waiting} bytes are in transit");
     }
 }
 
-// Guards against a follower that stays behind once it answers again.
+// Guards against a follower that does not catch up after a partition.
 #[test]
-fn thawed_one_catches_up() {
+fn reconnected_follower_catches_up() {
     for seed in 0..20 {
-        let (mut group, silent) = led_group(seed);
-        group.cut = repeat_with(|| silent.clone())
+        let (mut group, follower) = group_with_leader(seed);
+        group.blocked_links = repeat_with(|| follower.clone())
             .zip(group.nodes.keys().cloned())
             .flat_map(|(one, other)| [(one.clone(), other.clone()), (other, one)])
             .collect();
-        let leader = group.leader().expect("two of three are in touch");
+        let leader = group.leader().expect("two of three are connected");
         for number in 1..=DOCUMENTS {
             group.propose(&leader, put(number));
-            group.run_for(SILENCE / DOCUMENTS as u32);
+            group.run_for(OUTAGE / DOCUMENTS as u32);
         }
-        group.cut.clear();
-        let caught_up = |group: &ReplicaGroup| held(group, &silent) == DOCUMENTS;
+        group.blocked_links.clear();
+        let caught_up = |group: &ReplicaGroup| held(group, &follower) == DOCUMENTS;
         assert!(group.run_until(CATCH_UP, caught_up), "seed {seed}");
     }
 }
 
-// Guards against a follower that stays behind because it was idle before it was cut off.
+// Guards against a follower that does not catch up because it was idle before the partition.
 #[test]
-fn idle_one_catches_up() {
-    let (mut group, silent) = led_group(1);
-    group.run_for(SILENCE * 3);
-    let leader = group.leader().expect("all are in touch");
-    group.cut = [(leader.clone(), silent.clone())].into();
+fn idle_follower_catches_up() {
+    let (mut group, follower) = group_with_leader(1);
+    group.run_for(OUTAGE * 3);
+    let leader = group.leader().expect("all are connected");
+    group.blocked_links = [(leader.clone(), follower.clone())].into();
     group.propose(&leader, put(1));
     group.run_for(Duration::from_millis(300));
-    group.cut.clear();
-    let caught_up = |group: &ReplicaGroup| held(group, &silent) == 1;
+    group.blocked_links.clear();
+    let caught_up = |group: &ReplicaGroup| held(group, &follower) == 1;
     assert!(group.run_until(CATCH_UP, caught_up));
 }
 
-// Guards against copies of a long document that slow each other down on a slow link.
+// Guards against retransmissions of a long document that delay each other on a slow link.
 #[test]
-fn slow_one_gets_few_copies() {
-    let (mut group, follower) = led_group(1);
-    group.bulk_delay = SLOW_WAY;
+fn slow_link_gets_few_copies() {
+    let (mut group, follower) = group_with_leader(1);
+    group.bulk_delay = SLOW_LINK_DELAY;
     let leader = group.leader().expect("one leads");
     group.propose(&leader, put(1));
-    group.run_for(SLOW_WAY - Duration::from_millis(100));
-    // At first, and after waits that double from half a second: 3.5 s in all.
+    group.run_for(SLOW_LINK_DELAY - Duration::from_millis(100));
+    // The first copy and those sent after delays that double from half a second: 3.5 s in total.
     let waiting = group.waiting_bytes(&follower);
-    assert!((DOCUMENT_BYTES..5 * DOCUMENT_BYTES).contains(&waiting), "{waiting} bytes wait");
+    assert!(
+        (DOCUMENT_BYTES..5 * DOCUMENT_BYTES).contains(&waiting),
+        "{waiting} bytes are in transit"
+    );
     let arrived = |group: &ReplicaGroup| held(group, &follower) == 1;
     assert!(group.run_until(CATCH_UP, arrived));
-    assert_eq!(group.leader(), Some(leader), "the followers hear it meanwhile");
+    assert_eq!(group.leader(), Some(leader), "its heartbeats arrive meanwhile");
 }
 
-// Guards against long documents that are sent twice because what follows them overtakes them.
+// Guards against long documents that are sent twice because later appends overtake them.
 #[test]
-fn nothing_overtakes_a_long_one() {
-    let (mut group, follower) = led_group(1);
+fn appends_do_not_overtake_long_document() {
+    let (mut group, follower) = group_with_leader(1);
     let leader = group.leader().expect("one leads");
-    group.freeze(&follower, SILENCE);
+    group.pause(&follower, OUTAGE);
     group.propose(&leader, put(1));
     let before = group.waiting_bytes(&follower);
     for version in 1..=20 {
