--- a/tests/healing_group.rs
+++ b/tests/healing_group.rs
@@ -160,9 +160,9 @@
 }
 
 /// Guards against the removal of a replica that was just added and has had no time to reply. The
-/// leader has has_leader for long, an empty disk is added, and its first reply takes longer than the
-/// leader's next check. The replica would be removed within a quarter of a second, and the group
-/// would stay one voter short.
+/// leader has led for a long time, an empty disk is added, and its first reply takes longer than
+/// the leader's next check. The replica would be removed within a quarter of a second, and the
+/// group would stay one voter short.
 #[test]
 fn new_learner_has_time_to_reply() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 1);
--- a/tests/healing_simulation.rs
+++ b/tests/healing_simulation.rs
@@ -1,5 +1,7 @@
-//! Randomised simulation of a group whose leader replaces lost replicas by itself. `HEALING_SEED=N
-//! cargo test --test healing_simulation` runs one seed, `HEALING_SEEDS=N` that many.
+//! Randomised simulation of a group whose leader replaces lost replicas by itself.
+//!
+//! `HEALING_SEED=N cargo test --test healing_simulation` runs one seed, `HEALING_SEEDS=N` that
+//! many.
 //!
 //! Checked properties: one lost disk or one permanently lost VM, with any number of crashes,
 //! partitions, pauses and power losses, never causes an acknowledged document to be lost or an
@@ -37,7 +39,7 @@
 const LARGE_VMS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 const LARGE_VOTERS: usize = 5;
 /// Time within which the group is restored once all faults have ended: several repairs, each after
-/// the time that makes a voter unresponsive.
+/// a voter counts as unresponsive.
 const REPAIR_LIMIT: Duration = Duration::from_secs(120);
 
 /// Timing with elections so fast that leaders follow each other within one step.
@@ -103,7 +105,7 @@
     }
 
     /// Advances the time; each replica that leads repairs the group.
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let end = self.group.now + time;
         while self.group.now < end {
             self.group.run_for(REPAIR_INTERVAL.min(end - self.group.now));
@@ -272,16 +274,16 @@
 /// acknowledged document.
 fn run_seed(seed: u64, named: usize) -> (u64, u64, DocumentNumber) {
     let mut simulation = HealingSimulation::new(seed, named);
-    simulation.pass(Duration::from_secs(3));
+    simulation.advance(Duration::from_secs(3));
     for _ in 0..ROUNDS {
         let pause = Duration::from_millis(simulation.group.below(400));
-        simulation.pass(pause);
+        simulation.advance(pause);
         if simulation.group.below(2) == 0 {
             simulation.send_document();
         }
         // Faults follow within a few milliseconds, so that messages are in transit.
         let pause = Duration::from_micros(simulation.group.below(12_000));
-        simulation.pass(pause);
+        simulation.advance(pause);
         if simulation.group.below(5) == 0 {
             simulation.inject_fault();
         }
@@ -291,7 +293,7 @@
     let end = simulation.group.now + REPAIR_LIMIT;
     while !simulation.is_repaired() {
         assert!(simulation.group.now < end, "seed {seed}: not repaired: {}", simulation.describe());
-        simulation.pass(Duration::from_millis(500));
+        simulation.advance(Duration::from_millis(500));
     }
     simulation.collect();
     (simulation.group.steps, simulation.losses, simulation.acknowledged)
--- a/tests/leader_discovery.rs
+++ b/tests/leader_discovery.rs
@@ -17,7 +17,7 @@
 const FOUNDERS: [&str; 3] = ["a", "b", "c"];
 const VOTERS: usize = 5;
 const SEED: u64 = 3;
-/// Time for several repairs, each after the time that makes a voter unresponsive.
+/// Time for several repairs, each after a voter counts as unresponsive.
 const REPAIR_TIME: Duration = Duration::from_secs(15);
 /// Time for an election, including one without a winner.
 const ELECTION_TIME: Duration = Duration::from_secs(6);
--- a/tests/ledger_rules.rs
+++ b/tests/ledger_rules.rs
@@ -92,7 +92,7 @@
 
     /// Advances the ledger's clock by two daemons whose clocks agree; one daemon alone does not
     /// advance it.
-    fn pass_time(&mut self, now_ms: u64) {
+    fn advance_clock(&mut self, now_ms: u64) {
         for (holder, attempt) in [("clock-a", 901), ("clock-b", 902)] {
             let call = CallAttempt { key: holder.to_owned(), holder, incarnation: 1, attempt };
             self.reserve(&call, now_ms);
@@ -130,7 +130,7 @@
 /// commands arrive late: a `Release` of the first claim must not free the second one, and a
 /// `Reserve` of the first must not claim the call again.
 #[test]
-fn late_copies_do_nothing() {
+fn late_copies_have_no_effect() {
     let mut ledger = LedgerHarness::default();
     assert_eq!(ledger.reserve(&first_attempt(), 1), CommandOutcome::Reserved);
     assert_eq!(ledger.release(&first_attempt()), CommandOutcome::Released);
@@ -152,7 +152,7 @@
 fn lost_holder_is_unknown() {
     let mut ledger = LedgerHarness::default();
     assert_eq!(ledger.reserve(&first_attempt(), 1), CommandOutcome::Reserved);
-    ledger.pass_time(400 * DAY_MS);
+    ledger.advance_clock(400 * DAY_MS);
     assert_eq!(ledger.reserve(&other_attempt(), 400 * DAY_MS), running());
     let (vm, now_ms) = ("entry-a".to_owned(), 400 * DAY_MS);
     let noted = ledger.apply(Command::NoteLife { vm, incarnation: 2, now_ms });
@@ -179,7 +179,7 @@
 #[test]
 fn retention_needs_two_clocks() {
     let mut ledger = LedgerHarness::default();
-    ledger.pass_time(DAY_MS);
+    ledger.advance_clock(DAY_MS);
     assert_eq!(ledger.reserve(&first_attempt(), DAY_MS), CommandOutcome::Reserved);
     ledger.finish(&first_attempt(), vec![1]);
     let ahead = CallAttempt { key: "slot-8".to_owned(), holder: "entry-c", ..other_attempt() };
@@ -191,12 +191,12 @@
         ledger.reserve(&other_attempt(), 2 * DAY_MS),
         CommandOutcome::Finished { .. }
     ));
-    ledger.pass_time(7 * DAY_MS);
+    ledger.advance_clock(7 * DAY_MS);
     assert!(matches!(
         ledger.reserve(&other_attempt(), 7 * DAY_MS),
         CommandOutcome::Finished { .. }
     ));
-    ledger.pass_time(8 * DAY_MS + 1);
+    ledger.advance_clock(8 * DAY_MS + 1);
     assert_eq!(ledger.reserve(&other_attempt(), 8 * DAY_MS + 1), CommandOutcome::Reserved);
     // The call closed under the wrong clock is still retained; its time has not wrapped around.
     assert!(matches!(ledger.reserve(&resend, 8 * DAY_MS + 1), CommandOutcome::Finished { .. }));
@@ -218,10 +218,10 @@
     let full = full.expect("the ledger is bounded");
     assert_eq!(ledger.reserve(&call(full), 2), CommandOutcome::LedgerFull);
     assert_eq!(ledger.reserve(&call(0), 2), CommandOutcome::Reserved, "the claim is kept");
-    ledger.pass_time(DAY_MS);
+    ledger.advance_clock(DAY_MS);
     let restarted = CallAttempt { incarnation: 2, ..call(full) };
     assert_eq!(ledger.reserve(&restarted, DAY_MS), CommandOutcome::LedgerFull);
-    ledger.pass_time(9 * DAY_MS);
+    ledger.advance_clock(9 * DAY_MS);
     assert_eq!(ledger.reserve(&restarted, 9 * DAY_MS), CommandOutcome::Reserved);
 }
 
--- a/tests/lost_disk.rs
+++ b/tests/lost_disk.rs
@@ -94,7 +94,7 @@
 /// changes, can only request the vote of the empty one. If the empty disk could vote, the third
 /// would lead and the acknowledged changes would be lost.
 #[test]
-fn empty_disk_elects_nobody() {
+fn empty_disk_cannot_vote() {
     let mut group = formed(6);
     let leader = group.leader().expect("there is a leader");
     let others: Vec<VmId> = group.nodes.keys().filter(|vm| **vm != leader).cloned().collect();
--- a/tests/replica_rules.rs
+++ b/tests/replica_rules.rs
@@ -49,7 +49,7 @@
         let now = Instant::now();
         let replica = Replica::new(settings, saved, now).expect("it has no snapshot");
         let mut harness = ReplicaHarness { replica, now, members };
-        harness.pass(Duration::from_secs(2));
+        harness.advance(Duration::from_secs(2));
         harness.receive("b", 3, MessageBody::PreVoteReply { next_term: 4, granted: true });
         harness.input(ReplicaInput::Persisted { number: 1 });
         harness.receive("b", 4, MessageBody::VoteReply { granted: true });
@@ -62,7 +62,7 @@
         self.replica.handle(self.now, input)
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
         self.input(ReplicaInput::Tick);
     }
@@ -111,11 +111,11 @@
 fn late_replies_do_not_extend_lease() {
     let mut harness = ReplicaHarness::leading();
     let began = harness.now;
-    harness.pass(Duration::from_millis(600));
+    harness.advance(Duration::from_millis(600));
     harness.receive("b", 4, MessageBody::AppendReply { round: 1, matched: 3 });
     assert!(harness.replica.lease_valid(began + Duration::from_millis(749)));
     assert!(!harness.replica.lease_valid(began + Duration::from_millis(750)));
-    harness.pass(Duration::from_millis(400));
+    harness.advance(Duration::from_millis(400));
     assert_eq!(harness.replica.role(), ReplicaRole::Follower, "no quorum for a second");
 }
 
--- a/tests/replica_simulation.rs
+++ b/tests/replica_simulation.rs
@@ -1,6 +1,8 @@
 //! Randomised simulation of a group of replicas, checked against the invariants of the log and of
-//! the ledger. `REPLICA_SEED=N cargo test --test replica_simulation` runs one seed,
-//! `REPLICA_SEEDS=N` that many.
+//! the ledger.
+//!
+//! `REPLICA_SEED=N cargo test --test replica_simulation` runs one seed, `REPLICA_SEEDS=N` that
+//! many.
 
 #[path = "fakes/replica_group.rs"]
 mod replica_group;
