--- a/src/policy/dispatcher/affinity.rs
+++ b/src/policy/dispatcher/affinity.rs
@@ -22,8 +22,9 @@
 /// it is balanced better over more servers.
 const MIN_ROOT_SERVERS: usize = 16;
 
-/// Minimum interval at which each server of a short first level has to be asked for it. A server
-/// that is asked less often has evicted it and computes it again for each prompt.
+/// Maximum interval between two requests for a short first level at each of its servers, which
+/// limits their number. After a longer interval a server has evicted the level and computes it
+/// again for each prompt.
 const ROOT_REUSE_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Fraction of a server's capacity that one level may use; the rest is for other prefixes.
@@ -125,9 +126,9 @@
         }
         // An overestimated rate has little effect here, since the first level is the shorter part.
         let rate = self.prefix_rates.mean_rate(now, first.hash) * self.daemon_count();
-        let asked = rate * ROOT_REUSE_INTERVAL.as_secs_f64();
+        let servers = rate * ROOT_REUSE_INTERVAL.as_secs_f64();
         let members = self.table.pools[pool].members.len();
-        (asked as usize).max(MIN_ROOT_SERVERS).min(members)
+        (servers as usize).max(MIN_ROOT_SERVERS).min(members)
     }
 
     /// Returns the affinity rank of a server for `hash`. Slow servers get fewer prefixes.
--- a/src/policy/dispatcher/digests.rs
+++ b/src/policy/dispatcher/digests.rs
@@ -82,11 +82,11 @@
         self.peers.publish_at = Some(now + PUBLISH_INTERVAL);
         self.expire_peers(now);
         let digest = self.digest(now);
-        let is_idle_due = self
+        let idle_due = self
             .peers
             .last_at
             .is_none_or(|at| now.saturating_duration_since(at) >= IDLE_PUBLISH_INTERVAL);
-        if digest == self.peers.last && !is_idle_due {
+        if digest == self.peers.last && !idle_due {
             return;
         }
         self.peers.last = digest.clone();
@@ -112,11 +112,11 @@
     fn hot_prefixes(&self, now: Instant) -> Vec<(u64, Vec<ServerId>)> {
         let servers = &self.table.servers;
         let holders = |hash: u64| {
-            let held = self.prefix_table.holders(hash).filter(|holding| {
-                let server = &servers[holding.server];
-                server.listed && !server.unverified && server.cache.holds(holding)
+            let held = self.prefix_table.holders(hash).filter(|holder| {
+                let server = &servers[holder.server];
+                server.listed && !server.unverified && server.cache.holds(holder)
             });
-            held.take(MAX_HOT_HOLDERS).map(|holding| servers[holding.server].id.clone()).collect()
+            held.take(MAX_HOT_HOLDERS).map(|holder| servers[holder.server].id.clone()).collect()
         };
         let hottest = self.prefix_rates.hottest(now, MAX_HOT);
         hottest.into_iter().map(|hash| (hash, holders(hash))).collect()
@@ -146,10 +146,10 @@
             for id in holders.iter().take(MAX_HOT_HOLDERS) {
                 let Some(index) = self.table.by_id.get(id).copied() else { continue };
                 let server = &self.table.servers[index];
-                let young = server
+                let recently_reset = server
                     .cache_reset_at
                     .is_some_and(|at| now.saturating_duration_since(at) < MAX_PEER_AGE);
-                if !young && !server.unverified && server.cache.incarnation().is_some() {
+                if !recently_reset && !server.unverified && server.cache.incarnation().is_some() {
                     self.prefix_table.record_hash(*hash, index, &server.cache);
                 }
             }
--- a/src/policy/dispatcher/reports.rs
+++ b/src/policy/dispatcher/reports.rs
@@ -15,10 +15,10 @@
 impl Dispatcher {
     pub(super) fn record_load(&mut self, now: Instant, report: &LoadReport) {
         let Some(index) = self.table.by_id.get(&report.server).copied() else { return };
-        let checks = self.is_enabled(PolicySafeguard::CacheIdentity);
+        let checks_identity = self.is_enabled(PolicySafeguard::CacheIdentity);
         let server = &mut self.table.servers[index];
         let before = server.cache.generation();
-        if checks || server.cache.incarnation().is_none() {
+        if checks_identity || server.cache.incarnation().is_none() {
             server.cache.record_incarnation(Some(report.incarnation));
             server.cache.record_weights(&report.weights);
         }
@@ -55,7 +55,7 @@
 
     pub(super) fn record_health(&mut self, now: Instant, server: &ServerId, health: ServerHealth) {
         let Some(index) = self.table.by_id.get(server).copied() else { return };
-        let checks = self.is_enabled(PolicySafeguard::CacheIdentity);
+        let checks_identity = self.is_enabled(PolicySafeguard::CacheIdentity);
         let state = &mut self.table.servers[index];
         let before = state.cache.generation();
         state.health = health;
@@ -65,7 +65,7 @@
             if state.unverified && same {
                 self.suspects.retract_crash(index, incarnation);
             }
-            if checks || state.cache.incarnation().is_none() {
+            if checks_identity || state.cache.incarnation().is_none() {
                 state.cache.record_incarnation(Some(incarnation));
             }
             state.unverified = false;
@@ -83,9 +83,9 @@
 
     pub(super) fn apply_reachable(&mut self) {
         let Some(domains) = &self.reachable else { return };
-        let checks = self.is_enabled(PolicySafeguard::Reachability);
+        let checks_reachability = self.is_enabled(PolicySafeguard::Reachability);
         for server in &mut self.table.servers {
-            server.reachable = !checks || domains.contains(&server.domain);
+            server.reachable = !checks_reachability || domains.contains(&server.domain);
         }
         for pool in &mut self.table.pools {
             pool.dirty = true;
--- a/src/policy/dispatcher/selection.rs
+++ b/src/policy/dispatcher/selection.rs
@@ -248,11 +248,11 @@
         let (mut hits, mut affinity) = (Vec::new(), AffinitySet::default());
         if let RequestWork::Model { levels, model, prompt_tokens, .. } = &request.ticket.work {
             let desired = self.view.weights.get(model);
-            let checks = self.is_enabled(PolicySafeguard::CacheIdentity);
-            hits = self.prefix_table.hits(levels, MAX_HITS, |holding| {
-                let server = &self.table.servers[holding.server];
-                let sure = !server.unverified && server.cache.allows_hits_for(model, desired);
-                (sure || !checks) && server.cache.holds(holding)
+            let checks_identity = self.is_enabled(PolicySafeguard::CacheIdentity);
+            hits = self.prefix_table.hits(levels, MAX_HITS, |holder| {
+                let server = &self.table.servers[holder.server];
+                let certain = !server.unverified && server.cache.allows_hits_for(model, desired);
+                (certain || !checks_identity) && server.cache.holds(holder)
             });
             affinity = self.affinity_set(now, pool, levels, *prompt_tokens);
         }
@@ -311,18 +311,18 @@
         candidates: &[ServerIndex],
         tier: EligibilityTier,
     ) -> Option<Candidate> {
-        let fitting = |index: &&ServerIndex| self.is_eligible(query, **index, tier);
+        let eligible = |index: &&ServerIndex| self.is_eligible(query, **index, tier);
         let members = &self.table.pools[query.pool].members;
         let mut found: Vec<Candidate> = candidates
             .iter()
-            .filter(fitting)
+            .filter(eligible)
             .map(|index| self.estimate_candidate(now, query, *index))
             .collect();
         if found.is_empty() && members.len() > candidates.len() {
             // Rarely, no candidate is eligible; then the whole pool is evaluated.
             found = members
                 .iter()
-                .filter(fitting)
+                .filter(eligible)
                 .map(|index| self.estimate_candidate(now, query, *index))
                 .collect();
         }
--- a/tests/fleet_affinity.rs
+++ b/tests/fleet_affinity.rs
@@ -37,7 +37,7 @@
 /// Size and traffic of a fleet.
 #[derive(Clone, Copy)]
 struct FleetSize {
-    entries: usize,
+    daemons: usize,
     engines: usize,
     domains: usize,
     first_levels: u64,
@@ -47,7 +47,7 @@
 }
 
 const LARGE: FleetSize = FleetSize {
-    entries: 295,
+    daemons: 295,
     engines: 320,
     domains: 5,
     first_levels: 4,
@@ -79,7 +79,7 @@
         (format!("engine-{index}"), engine)
     });
     let mut daemons: BTreeMap<String, BTreeMap<String, f64>> = BTreeMap::new();
-    for index in 0..size.entries {
+    for index in 0..size.daemons {
         daemons.entry(domain(index)).or_default().insert(format!("vm-{index}"), 1.0);
     }
     Arc::new(PolicyView {
@@ -91,7 +91,7 @@
     })
 }
 
-fn entries(size: FleetSize, now: Instant) -> Vec<Dispatcher> {
+fn dispatchers(size: FleetSize, now: Instant) -> Vec<Dispatcher> {
     let view = view(size, |_| true);
     let start = |index: usize| {
         let mut dispatcher = Dispatcher::new(DispatcherSettings {
@@ -116,7 +116,7 @@
         }
         dispatcher
     };
-    (0..size.entries).map(start).collect()
+    (0..size.daemons).map(start).collect()
 }
 
 fn long_prompt(number: u64, size: FleetSize, contract: u64, now: Instant) -> RequestTicket {
@@ -191,7 +191,7 @@
 struct FleetScenario {
     size: FleetSize,
     random: Xoshiro256PlusPlus,
-    entries: Vec<Dispatcher>,
+    dispatchers: Vec<Dispatcher>,
     engines: EngineFleet,
     /// Pending events by time, request and whether the answer is complete.
     events: BTreeMap<(Instant, u64, bool), (usize, EngineEvent)>,
@@ -205,7 +205,7 @@
         FleetScenario {
             size,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
-            entries: entries(size, now),
+            dispatchers: dispatchers(size, now),
             engines: EngineFleet::default(),
             events: BTreeMap::new(),
             now,
@@ -228,8 +228,8 @@
     /// Configures all daemons with the engines selected by `is_listed`.
     fn configure(&mut self, is_listed: impl Fn(usize) -> bool) {
         let view = view(self.size, is_listed);
-        for entry in &mut self.entries {
-            entry.handle(self.now, PolicyInput::Configure(Arc::clone(&view)));
+        for daemon in &mut self.dispatchers {
+            daemon.handle(self.now, PolicyInput::Configure(Arc::clone(&view)));
         }
     }
 
@@ -237,19 +237,19 @@
         while let Some(first) = self.events.first_entry()
             && first.key().0 <= self.now
         {
-            let ((at, ..), (entry, event)) = first.remove_entry();
-            self.entries[entry].handle(at, event.into_input());
+            let ((at, ..), (daemon, event)) = first.remove_entry();
+            self.dispatchers[daemon].handle(at, event.into_input());
         }
     }
 
     fn send_request(&mut self, tally: &mut FleetTally) {
-        let entry = (self.random.next_u64() % self.size.entries as u64) as usize;
+        let daemon = (self.random.next_u64() % self.size.daemons as u64) as usize;
         let contract = self.random.next_u64() % self.size.contracts;
         self.number += 1;
         let ticket = long_prompt(self.number, self.size, contract, self.now);
         let RequestWork::Model { levels, .. } = &ticket.work else { return };
         let levels = levels.clone();
-        for action in self.entries[entry].handle(self.now, PolicyInput::Arrive(ticket)) {
+        for action in self.dispatchers[daemon].handle(self.now, PolicyInput::Arrive(ticket)) {
             let PolicyAction::Send(order) = action else { continue };
             let answered = self.engines.read(self.now, &order.server, &levels);
             tally.requests += 1;
@@ -257,9 +257,9 @@
             *tally.by_engine.entry(order.server.clone()).or_default() += 1;
             tally.by_contract.entry(contract).or_default().insert(order.server);
             let event = EngineEvent::FirstToken(order.attempt);
-            self.events.insert((answered, self.number, false), (entry, event));
+            self.events.insert((answered, self.number, false), (daemon, event));
             let event = EngineEvent::Finished(order.attempt);
-            self.events.insert((answered + DECODE_TIME, self.number, true), (entry, event));
+            self.events.insert((answered + DECODE_TIME, self.number, true), (daemon, event));
         }
     }
 }
@@ -316,10 +316,10 @@
     let has_left = |engine: &String| !after.by_engine.contains_key(engine);
     let (mut stayed, mut moved) = (0, 0);
     for (contract, engines) in &before.by_contract {
-        let Some(now) = after.by_contract.get(contract) else { continue };
+        let Some(current) = after.by_contract.get(contract) else { continue };
         // Contracts of removed engines have to move.
         if engines.len() == 1 && !engines.iter().any(has_left) {
-            let stays = engines.is_subset(now);
+            let stays = engines.is_subset(current);
             (stayed, moved) = (stayed + u32::from(stays), moved + u32::from(!stays));
         }
     }
--- a/tests/reserved_engine.rs
+++ b/tests/reserved_engine.rs
@@ -1,6 +1,6 @@
-//! Some engines are about to load new weights while others crash and the rest is full. Guards
-//! against requests that are refused for lack of a server although reserved engines could take
-//! them, and against requests whose four attempts fail within 0.1 s at a restarting engine.
+//! Placement while some engines are about to load new weights, others crash and the rest is full.
+//! Guards against requests that are refused for lack of a server although reserved engines could
+//! take them, and against requests whose four attempts fail within 0.1 s at a restarting engine.
 
 use {
     oleandermount::{
