--- a/src/pipeline/deduplicate.rs
+++ b/src/pipeline/deduplicate.rs
@@ -43,7 +43,7 @@
 /// Maximum interval between two proposals of the outcome of a sent call.
 const MAX_SETTLE_INTERVAL: Duration = Duration::from_secs(5);
 /// Maximum number of proposals to release an attempt; afterwards the attempt floor covers it.
-const RELEASE_RETRIES: u32 = 8;
+const MAX_RELEASE_PROPOSALS: u32 = 8;
 /// Interval at which a changed attempt floor is reported to the ledger. An abandoned claim delays
 /// callers by at most this time, unless an older attempt is still open.
 const FLOOR_INTERVAL: Duration = Duration::from_secs(5);
@@ -341,7 +341,7 @@
         let (core, attempt) = (Arc::clone(&self.core), self.attempt);
         let command = self.release_command();
         spawn_detached(async move {
-            for _ in 0..RELEASE_RETRIES {
+            for _ in 0..MAX_RELEASE_PROPOSALS {
                 match core.control.propose(command.clone()).await {
                     Ok(_) => {
                         log::debug!(attempt:% = attempt; "claim released");
@@ -430,8 +430,8 @@
         self.into_stage(ClaimStage::MayBeReserved)
     }
 
-    /// Records the response in the ledger for retried calls. Waits up to [`FINISH_TIMEOUT`] for the
-    /// commit, so that a retry after the response finds it, and then continues in the background.
+    /// Records the response in the ledger for retried calls. Waits briefly for the commit, so that
+    /// a retry after the response finds it, and otherwise continues in the background.
     pub async fn finish(mut self, answer: KeptAnswer) {
         self.subject.stage = ClaimStage::Closed;
         let command = Command::Finish {
--- a/src/reverse_proxy/dialect.rs
+++ b/src/reverse_proxy/dialect.rs
@@ -15,8 +15,8 @@
 pub struct PromptWork {
     /// The requested model.
     pub model: ModelId,
-    /// The parts of the prompt in order, each with its id and its number of tokens. Requests share
-    /// an engine's cache up to the last part that all their preceding parts have in common.
+    /// The parts of the prompt in order, each with its id and its number of tokens. Requests that
+    /// begin with the same parts share the cached blocks of these parts in an engine.
     pub parts: Vec<(String, u32)>,
     /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
--- a/tests/claim_release.rs
+++ b/tests/claim_release.rs
@@ -138,11 +138,11 @@
         arrived,
         deadline: arrived + wait,
     };
-    let fuse = SendState::default();
-    claim(core, &caller, "slot".to_owned(), "f1".to_owned(), &fuse).await.ok()
+    let send_state = SendState::default();
+    claim(core, &caller, "slot".to_owned(), "f1".to_owned(), &send_state).await.ok()
 }
 
-async fn grant_claim(core: &Arc<PipelineCore>, wait: Duration) -> CallClaim<Claimed> {
+async fn expect_claim(core: &Arc<PipelineCore>, wait: Duration) -> CallClaim<Claimed> {
     match try_claim(core, wait).await {
         Some(ClaimResult::Granted(claim)) => claim,
         Some(ClaimResult::Answered(answer)) => panic!("answered: {answer:?}"),
@@ -165,12 +165,12 @@
     let [a, c] = ["a-1", "c-1"].map(|vm| daemon(&ledger, vm, LedgerFaults::default()));
     let b =
         daemon(&ledger, "b-1", LedgerFaults { delayed_reservations: 1, ..LedgerFaults::default() });
-    let first = grant_claim(&a, SHORT_WAIT).await;
+    let first = expect_claim(&a, SHORT_WAIT).await;
     assert!(try_claim(&b, SHORT_WAIT).await.is_none(), "another daemon holds the call");
     first.release();
     tokio::task::yield_now().await;
     assert_eq!(ledger.deliver_delayed(), [CommandOutcome::Released], "the attempt was dropped");
-    grant_claim(&c, LONG_WAIT).await.release();
+    expect_claim(&c, LONG_WAIT).await.release();
 }
 
 // Guards against an abandoned claim if in addition the release of the attempt never reaches the
@@ -186,12 +186,12 @@
     };
     let b = daemon(&ledger, "b-1", lost);
     tokio::spawn(report_attempt_floor(Arc::clone(&b)));
-    let first = grant_claim(&a, SHORT_WAIT).await;
+    let first = expect_claim(&a, SHORT_WAIT).await;
     assert!(try_claim(&b, SHORT_WAIT).await.is_none(), "another daemon holds the call");
     first.release();
     tokio::task::yield_now().await;
     ledger.deliver_delayed();
-    grant_claim(&c, LONG_WAIT).await.release();
+    expect_claim(&c, LONG_WAIT).await.release();
 }
 
 // Guards against an abandoned claim if a caller's task ends while its reservation is being
@@ -208,7 +208,7 @@
     let ended = timeout(SHORT_WAIT, try_claim(&a, LONG_WAIT)).await;
     assert!(ended.is_err(), "the reservation has no reply");
     ledger.deliver_delayed();
-    grant_claim(&c, LONG_WAIT).await.release();
+    expect_claim(&c, LONG_WAIT).await.release();
 }
 
 // Guards against a second run of a sent call whose task ends before it has recorded the outcome.
@@ -223,7 +223,7 @@
     let c = daemon(&ledger, "c-1", LedgerFaults::default());
     tokio::spawn(report_attempt_floor(Arc::clone(&a)));
     let floor = a.claims.floor();
-    let sent = grant_claim(&a, SHORT_WAIT).await.send();
+    let sent = expect_claim(&a, SHORT_WAIT).await.send();
     drop(sent);
     wait_until(|| {
         assert_eq!(a.claims.floor(), floor, "the outcome of the call is not in the ledger yet");
@@ -236,11 +236,11 @@
 
 // Guards against permanently refused calls at a daemon that the ledger has evicted.
 #[tokio::test(start_paused = true)]
-async fn forgotten_daemon_claims_again() {
+async fn evicted_daemon_claims_again() {
     let ledger = Arc::new(SharedLedger::default());
     let a =
         daemon(&ledger, "a-1", LedgerFaults { delayed_reservations: 1, ..LedgerFaults::default() });
-    grant_claim(&a, LONG_WAIT).await.release();
+    expect_claim(&a, LONG_WAIT).await.release();
     tokio::task::yield_now().await;
     for number in 0..2 * 1024 {
         let (vm, now_ms) = (format!("other-{number}"), u64::MAX / 2);
@@ -248,5 +248,5 @@
     }
     let late = ledger.deliver_delayed();
     assert!(matches!(late[..], [CommandOutcome::Forgotten { .. }]), "{late:?}");
-    grant_claim(&a, LONG_WAIT).await.release();
+    expect_claim(&a, LONG_WAIT).await.release();
 }
--- a/tests/stream_order.rs
+++ b/tests/stream_order.rs
@@ -40,7 +40,7 @@
         .collect()
 }
 
-async fn engines(count: usize) -> Vec<FakeEngine> {
+async fn start_engines(count: usize) -> Vec<FakeEngine> {
     let mut engines = Vec::new();
     for _ in 0..count {
         engines.push(FakeEngine::start(EngineBehaviour::default()).await.expect("it starts"));
@@ -48,15 +48,15 @@
     engines
 }
 
-async fn daemon_before(engines: &[FakeEngine]) -> LoneDaemon {
+async fn start_daemon(engines: &[FakeEngine]) -> LoneDaemon {
     let addresses: Vec<SocketAddr> = engines.iter().map(FakeEngine::address).collect();
     LoneDaemon::start(&addresses, &[]).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_stream_resumes_on_another_engine() {
-    let engines = engines(2).await;
-    let daemon = daemon_before(&engines).await;
+    let engines = start_engines(2).await;
+    let daemon = start_daemon(&engines).await;
     let questions: Vec<String> = (0..8).map(|number| format!("question {number}")).collect();
     engines[0].controls.break_after.store(25, Ordering::SeqCst);
     let mut broken = Vec::new();
@@ -79,8 +79,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_without_another_engine_ends_with_an_error() {
-    let engines = engines(1).await;
-    let daemon = daemon_before(&engines).await;
+    let engines = start_engines(1).await;
+    let daemon = start_daemon(&engines).await;
     let complete = streamed_words(&chat(daemon.callers(), "first", true).await.body);
     engines[0].controls.break_after.store(25, Ordering::SeqCst);
     let response = chat(daemon.callers(), "first", true).await;
