--- a/src/daemon/control_driver.rs
+++ b/src/daemon/control_driver.rs
@@ -308,7 +308,7 @@
     /// Sets the VMs that a replica without a group contacts in addition to its founders. The call
     /// has no effect when the queue is full; the caller repeats it with the next change of the
     /// list.
-    pub fn introduce(&self, peers: BTreeSet<VmId>) {
+    pub fn set_configured_peers(&self, peers: BTreeSet<VmId>) {
         if self.inputs.try_send(DriverInput::Introduce { peers }).is_err() {
             log::warn!("VMs of the settings ignored: the replica is busy or has stopped");
         }
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -229,7 +229,7 @@
         let peers = {
             let named_here = settings.borrow_and_update().clone();
             if named_here != introduced {
-                replica.introduce(named_here.keys().cloned().collect());
+                replica.set_configured_peers(named_here.keys().cloned().collect());
                 introduced.clone_from(&named_here);
             }
             let status = status.borrow_and_update();
