--- a/src/daemon/config_dissemination/dissemination_core.rs
+++ b/src/daemon/config_dissemination/dissemination_core.rs
@@ -18,8 +18,8 @@
 /// Domain peers that each daemon notifies when it activates a new revision. Three each reach about
 /// 95% of 54 daemons; the periodic rounds reach the rest.
 pub const FAN_OUT: usize = 3;
-/// The mean time between two rounds, each with one random peer. It allows six rounds within the 13
-/// s in which a change must reach every daemon, for those that the fan-out missed.
+/// The mean time between two rounds, each with one random peer. It allows six rounds within the
+/// 13 s in which a change must reach every daemon, for those that the fan-out missed.
 const ROUND_INTERVAL: Duration = Duration::from_secs(2);
 /// A daemon without a disk contacts a peer outside its failure domain in one round of this many.
 const REMOTE_ROUND_DIVISOR: u32 = 8;
@@ -43,9 +43,9 @@
 /// Whether a daemon keeps its configuration across a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageKind {
-    /// It has no disk and starts without a configuration.
+    /// The daemon has no disk and starts without a configuration.
     Diskless,
-    /// It has a data folder and loads its last configuration from there.
+    /// The daemon has a data folder and loads its last configuration from there.
     Durable,
 }
 
--- a/src/daemon/control_driver.rs
+++ b/src/daemon/control_driver.rs
@@ -143,7 +143,7 @@
     ) -> Result<ControlHandle, DriverError> {
         let mut folder = ReplicaFolder::new(opener, settings.reopen_after);
         let opened = folder.open().map_err(|reason: String| storage_error(&settings, &reason))?;
-        log_set_aside(&settings.vm, opened.set_aside.as_deref());
+        log_quarantine(&settings.vm, opened.set_aside.as_deref());
         let replica = open_replica(&settings, opened.state)?;
         let (inputs, queue) = mpsc::channel(INPUT_QUEUE_LENGTH);
         let (batches, batch_queue) = mpsc::channel(BATCH_QUEUE_LENGTH);
@@ -159,7 +159,7 @@
     }
 }
 
-fn log_set_aside(vm: &VmId, reason: Option<&str>) {
+fn log_quarantine(vm: &VmId, reason: Option<&str>) {
     if let Some(reason) = reason {
         log::error!(vm = vm.as_str(), reason = reason;
             "the data folder was damaged and has been moved aside; this replica is empty now: \
@@ -198,7 +198,7 @@
         /// The share of [`INPUT_BYTES`], released when the replica handles the command.
         permit: OwnedSemaphorePermit,
     },
-    Introduce {
+    ConfiguredPeers {
         peers: BTreeSet<VmId>,
     },
 }
@@ -309,7 +309,7 @@
     /// has no effect when the queue is full; the caller repeats it with the next change of the
     /// list.
     pub fn set_configured_peers(&self, peers: BTreeSet<VmId>) {
-        if self.inputs.try_send(DriverInput::Introduce { peers }).is_err() {
+        if self.inputs.try_send(DriverInput::ConfiguredPeers { peers }).is_err() {
             log::warn!("VMs of the settings ignored: the replica is busy or has stopped");
         }
     }
--- a/src/daemon/control_driver/runner.rs
+++ b/src/daemon/control_driver/runner.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         BATCH_BYTES, DriverInput, DriverSettings, ProposalReply, StatusSenders, latest_changes,
-        log_set_aside, open_replica,
+        log_quarantine, open_replica,
         writer::{GenerationBatch, ReplicaGeneration, WriteReport},
     },
     crate::{
@@ -58,7 +58,7 @@
     next_proposal: ProposalId,
     senders: StatusSenders,
     /// VMs that the settings name; each generation of the replica is given them.
-    introduced: BTreeSet<VmId>,
+    configured_peers: BTreeSet<VmId>,
     /// The last index that an earlier generation had applied. Until this generation has applied it,
     /// its state is older than the published one and is not published.
     published_index: LogIndex,
@@ -82,7 +82,7 @@
             waiting: BTreeMap::new(),
             next_proposal: 0,
             senders,
-            introduced: BTreeSet::new(),
+            configured_peers: BTreeSet::new(),
             published_index: 0,
         }
     }
@@ -101,7 +101,7 @@
             self.stop(&reason);
             let opened = self.wait_reopened(&mut inputs, &mut reports).await;
             let Some((generation, state)) = opened else { return };
-            if !self.begin(generation, state) || self.introduce().await.is_err() {
+            if !self.begin(generation, state) || self.send_configured_peers().await.is_err() {
                 return;
             }
         }
@@ -136,8 +136,8 @@
     }
 
     /// Gives a new generation of the replica the VMs that the settings name.
-    async fn introduce(&mut self) -> Result<(), WriterClosed> {
-        let input = ReplicaInput::Introduce { peers: self.introduced.clone() };
+    async fn send_configured_peers(&mut self) -> Result<(), WriterClosed> {
+        let input = ReplicaInput::Introduce { peers: self.configured_peers.clone() };
         self.process(input).await
     }
 
@@ -161,8 +161,8 @@
                 self.waiting.insert(proposal, reply);
                 ReplicaInput::Propose { proposal, command: *command }
             }
-            DriverInput::Introduce { peers } => {
-                self.introduced.clone_from(&peers);
+            DriverInput::ConfiguredPeers { peers } => {
+                self.configured_peers.clone_from(&peers);
                 ReplicaInput::Introduce { peers }
             }
         }
@@ -258,8 +258,8 @@
         loop {
             tokio::select! {
                 report = reports.recv() => match report? {
-                    WriteReport::Opened { generation, state, set_aside } => {
-                        log_set_aside(&self.settings.vm, set_aside.as_deref());
+                    WriteReport::Opened { generation, state, quarantined } => {
+                        log_quarantine(&self.settings.vm, quarantined.as_deref());
                         return Some((generation, state));
                     }
                     WriteReport::Failed(reason) => {
@@ -272,7 +272,7 @@
                         // Fails only when the proposer no longer waits.
                         let _ = reply.send(Err(LocalProposeError::NotLeader { leader: None }));
                     }
-                    DriverInput::Introduce { peers } => self.introduced = peers,
+                    DriverInput::ConfiguredPeers { peers } => self.configured_peers = peers,
                     DriverInput::Message { .. } => {}
                 },
             }
--- a/src/daemon/control_driver/writer.rs
+++ b/src/daemon/control_driver/writer.rs
@@ -40,7 +40,7 @@
     /// The disk failed, or an attempt to reopen the folder did.
     Failed(String),
     /// The folder is open again for this generation, with this state.
-    Opened { generation: ReplicaGeneration, state: SavedState, set_aside: Option<String> },
+    Opened { generation: ReplicaGeneration, state: SavedState, quarantined: Option<String> },
 }
 
 /// A replica's folder, which is reopened after disk failures.
@@ -76,8 +76,10 @@
             generation += 1;
             let Some(opened) = self.reopen(&mut queue, &reports) else { return };
             store = opened.store;
-            let (state, set_aside) = (opened.state, opened.set_aside);
-            if reports.blocking_send(WriteReport::Opened { generation, state, set_aside }).is_err()
+            let (state, quarantined) = (opened.state, opened.set_aside);
+            if reports
+                .blocking_send(WriteReport::Opened { generation, state, quarantined })
+                .is_err()
             {
                 return;
             }
--- a/src/daemon/weight_orders.rs
+++ b/src/daemon/weight_orders.rs
@@ -110,11 +110,11 @@
                 Some(input) = queue.recv() => input,
                 changed = self.config.changed() => match changed {
                     Ok(()) => OrderInput::Configure(order_plan(&self.config.borrow_and_update())),
-                    Err(_gone) => return,
+                    Err(_closed) => return,
                 },
                 changed = self.desired.changed() => match changed {
                     Ok(()) => OrderInput::Desired(self.desired.borrow_and_update().clone()),
-                    Err(_gone) => return,
+                    Err(_closed) => return,
                 },
                 () = sleep_until(wakeup.min(now + LEASE_CHECK_INTERVAL)) => OrderInput::Wake,
             };
--- a/src/daemon/weight_orders/order_core.rs
+++ b/src/daemon/weight_orders/order_core.rs
@@ -144,9 +144,9 @@
         self.probe(now, &mut actions);
         // A former leader may send orders until its lease ends, and each of them is valid for
         // `ORDER_TIMEOUT`. At a server that does not check fencing numbers, such an order could
-        // arrive after one that was sent earlier than this, and the older version would stay.
-        // Servers that check the numbers refuse the former leader's orders, so the wait of 3 s
-        // would only keep them on replaced weights for longer.
+        // arrive after an order of this leader, and the older version would stay. Servers that
+        // check the numbers refuse the former leader's orders, so the wait of 3 s would only keep
+        // them on replaced weights for longer.
         let unfenced_from = since + MAX_FORMER_LEASE + ORDER_TIMEOUT;
         if self.plan.fenced || now >= unfenced_from {
             self.order(now, term, &mut actions);
--- a/src/follow/document_delta.rs
+++ b/src/follow/document_delta.rs
@@ -76,15 +76,15 @@
 impl DocumentDelta {
     /// The delta from `base` to `present`; `None` if too much of it would be new.
     pub fn between(base: &NumberedDocument, present: &NumberedDocument) -> Option<Self> {
-        let (former, body) = (base.body.as_bytes(), present.body.as_bytes());
+        let (base_body, body) = (base.body.as_bytes(), present.body.as_bytes());
         let mut known: BTreeMap<&[u8], usize> = BTreeMap::new();
-        for (start, chunk) in chunks(former) {
+        for (start, chunk) in chunks(base_body) {
             known.entry(chunk).or_insert(start);
         }
         let mut parts = Vec::new();
         let mut new_bytes = 0;
         for (_, chunk) in chunks(body) {
-            if push_kept(&mut parts, former, chunk, &known) {
+            if push_kept(&mut parts, base_body, chunk, &known) {
                 continue;
             }
             new_bytes += chunk.len();
@@ -108,13 +108,13 @@
         if base.number != self.base {
             return Err(DeltaError::OtherBase { base: self.base, held: base.number });
         }
-        let former = base.body.as_bytes();
-        let mut body = Vec::with_capacity(former.len());
+        let base_body = base.body.as_bytes();
+        let mut body = Vec::with_capacity(base_body.len());
         for part in &self.parts {
             match part {
                 DocumentPart::Kept { start, length } => {
                     let range = *start as usize..*start as usize + *length as usize;
-                    body.extend_from_slice(former.get(range).ok_or(DeltaError::OtherBody)?);
+                    body.extend_from_slice(base_body.get(range).ok_or(DeltaError::OtherBody)?);
                 }
                 DocumentPart::New(bytes) => body.extend_from_slice(bytes),
             }
@@ -136,16 +136,16 @@
         .map(|chunk| (chunk.offset, &body[chunk.offset..chunk.offset + chunk.length]))
 }
 
-/// Adds a chunk as a copy from the former document; false if that does not contain the chunk.
+/// Adds a chunk as a copy from the base document; false if that does not contain the chunk.
 fn push_kept(
     parts: &mut Vec<DocumentPart>,
-    former: &[u8],
+    base_body: &[u8],
     chunk: &[u8],
     known: &BTreeMap<&[u8], usize>,
 ) -> bool {
     if let Some(DocumentPart::Kept { start, length }) = parts.last_mut() {
         let end = (*start + *length) as usize;
-        if former.get(end..end + chunk.len()) == Some(chunk) {
+        if base_body.get(end..end + chunk.len()) == Some(chunk) {
             *length += chunk.len() as u32;
             return true;
         }
@@ -201,14 +201,14 @@
         }
         self.deltas.clear();
         self.documents.push_back(present.clone());
-        let former = |documents: &VecDeque<NumberedDocument>| {
+        let former_size = |documents: &VecDeque<NumberedDocument>| {
             let bytes: usize = documents.iter().map(|document| document.body.len()).sum();
             (documents.len() - 1, bytes - present.body.len())
         };
-        let mut kept = former(&self.documents);
+        let mut kept = former_size(&self.documents);
         while kept.0 > KEPT_DOCUMENTS || kept.1 > KEPT_BYTES {
             self.documents.pop_front();
-            kept = former(&self.documents);
+            kept = former_size(&self.documents);
         }
     }
 }
--- a/src/follow/service.rs
+++ b/src/follow/service.rs
@@ -39,7 +39,7 @@
 /// Answers followers at one control VM, once its replica runs.
 pub struct FollowService {
     failure_domain: FailureDomainId,
-    board: Arc<FleetBoard>,
+    fleet: Arc<FleetBoard>,
     replica: std::sync::OnceLock<ControlHandle>,
     /// The documents that followers may have.
     documents: Mutex<DocumentHistory>,
@@ -52,10 +52,10 @@
 
 impl FollowService {
     /// A service that refuses requests until [`Self::open`].
-    pub fn new(failure_domain: FailureDomainId, board: Arc<FleetBoard>) -> Self {
+    pub fn new(failure_domain: FailureDomainId, fleet: Arc<FleetBoard>) -> Self {
         FollowService {
             failure_domain,
-            board,
+            fleet,
             replica: std::sync::OnceLock::new(),
             documents: Mutex::default(),
             followers: Mutex::default(),
@@ -126,7 +126,7 @@
         reply.held = state.document().number;
         reply.fresh = status.is_fresh;
         reply.term = leader_term(&status);
-        reply.list_fresh = self.board.is_fresh(LEADER_SILENCE);
+        reply.list_fresh = self.fleet.is_fresh(LEADER_SILENCE);
         reply.failure_domain.clone_from(&self.failure_domain);
         reply.entries = self.entries(&status).max(1);
         PeerReply::Followed(Box::new(reply))
@@ -135,11 +135,11 @@
     /// Completes when there is a change to send.
     async fn changed(&self, replica: &ControlHandle, request: &FollowRequest) {
         let mut documents = replica.documents();
-        let mut fleet = self.board.subscribe_shown();
+        let mut fleet_watch = self.fleet.subscribe_shown();
         let mut status = replica.status_watch();
         loop {
-            fleet.mark_unchanged();
-            let list_changed = self.board.change_since(request.fleet).is_some();
+            fleet_watch.mark_unchanged();
+            let list_changed = self.fleet.change_since(request.fleet).is_some();
             let changed = {
                 let state = documents.borrow_and_update();
                 is_outdated(request, &state) || has_other_weights(request, &state)
@@ -159,7 +159,7 @@
             // timeout.
             let ended = tokio::select! {
                 changed = documents.changed() => changed.is_err(),
-                changed = fleet.changed() => changed.is_err(),
+                changed = fleet_watch.changed() => changed.is_err(),
                 changed = status.changed() => changed.is_err(),
             };
             if ended {
@@ -202,7 +202,7 @@
         reply: &mut FollowReply,
     ) {
         self.add_document(request, state, reply);
-        match self.board.change_since(request.fleet) {
+        match self.fleet.change_since(request.fleet) {
             Some(FleetChange::Delta(delta)) => {
                 metrics::counter!(FOLLOW_LISTS, "kind" => "difference").increment(1);
                 reply.fleet_delta = Some(FleetDelta::clone(&delta));
