--- a/examples/fakes/engine.rs
+++ b/examples/fakes/engine.rs
@@ -10,7 +10,7 @@
     futures::stream,
     oleandermount::{
         backend::ATTEMPT_HEADER,
-        gateway::server::HttpServer,
+        http_api::server::HttpServer,
         ids::{FencingNumber, Incarnation},
         options::RequestLimits,
     },
--- a/examples/fakes/service.rs
+++ b/examples/fakes/service.rs
@@ -5,7 +5,9 @@
 
 use {
     bytes::Bytes,
-    oleandermount::{backend::ATTEMPT_HEADER, gateway::server::HttpServer, options::RequestLimits},
+    oleandermount::{
+        backend::ATTEMPT_HEADER, http_api::server::HttpServer, options::RequestLimits,
+    },
     serde_json::{Value, json},
     std::{
         collections::BTreeMap,
--- a/src/daemon/running.rs
+++ b/src/daemon/running.rs
@@ -18,7 +18,7 @@
         weight_orders::WeightOrders,
     },
     crate::{
-        gateway::{
+        http_api::{
             HttpServer,
             caller::{CallerGate, caller_router, health_router},
             operator::{self, OperatorState},
--- a/src/daemon/status_desk.rs
+++ b/src/daemon/status_desk.rs
@@ -3,7 +3,7 @@
 use {
     super::{peer_desk::DeskParts, peer_status::ask_status, server_board::ServerBoard},
     crate::{
-        gateway::operator::{
+        http_api::operator::{
             SourceError, StatusSource,
             wire::{
                 ConfigChange, DaemonStatus, LifeState, OrganisationStatus, ReplicaEntry,
--- a/src/gateway.rs
+++ b/src/http_api.rs
@@ -1,9 +1,9 @@
 //! HTTP towards callers and operators.
 
-pub mod answer;
 pub mod caller;
+pub mod completion;
 pub mod operator;
+pub mod response;
 pub mod server;
-pub mod whole_answer;
 
 pub use self::{caller::caller_router, server::HttpServer};
--- a/src/gateway/caller.rs
+++ b/src/http_api/caller.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        answer::{body_answer, json_answer, refusal_answer, stream_answer},
-        whole_answer::collect_answer,
+        completion::collect_answer,
+        response::{body_answer, json_answer, refusal_answer, stream_answer},
     },
     crate::{
         backend::ServiceRequest,
@@ -261,7 +261,7 @@
         Some(AnswerPart::Chunk(first)) => first,
         Some(AnswerPart::Whole(usage)) => {
             let body =
-                json!({ "id": id, "choices": [], "usage": super::answer::usage_body(usage) });
+                json!({ "id": id, "choices": [], "usage": super::response::usage_body(usage) });
             return json_answer(200, &body, &id);
         }
         Some(part) => return end_answer(part, &id),
--- a/src/gateway/whole_answer.rs
+++ b/src/http_api/completion.rs
@@ -1,7 +1,7 @@
 //! Joins the chunks of a stream into one JSON answer.
 
 use {
-    super::answer::usage_body,
+    super::response::usage_body,
     crate::pipeline::{
         prompt::PromptForm,
         relay::{AnswerPart, TokenUsage, broken_stream},
--- a/src/gateway/operator.rs
+++ b/src/http_api/operator.rs
@@ -3,9 +3,9 @@
 //! The address carries no authentication of its own; it belongs on a network that only operators
 //! reach.
 
-pub mod answer;
 pub mod change;
 pub mod read;
+pub mod response;
 pub mod source;
 pub mod wire;
 
--- a/src/gateway/operator/change.rs
+++ b/src/http_api/operator/change.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         MAX_CHANGE_BYTES, MAX_ORDER_BYTES, OperatorState,
-        answer::{FaultAnswer, read_json, respond, state_of},
+        response::{FaultAnswer, read_json, respond, state_of},
         wire::{ChangeDone, OperatorFault, OrderDone, RegisterChange, RulesChange, VmOrder},
     },
     crate::{
--- a/src/gateway/operator/read.rs
+++ b/src/http_api/operator/read.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        answer::{FaultAnswer, respond, state_of, text_response},
+        response::{FaultAnswer, respond, state_of, text_response},
         wire::{ConfigReport, ExplainReport, LifeState, WhereReport},
     },
     crate::{
--- a/src/operator_client/changes.rs
+++ b/src/operator_client/changes.rs
@@ -9,7 +9,7 @@
         report::ClientReport,
     },
     crate::{
-        gateway::operator::wire::{
+        http_api::operator::wire::{
             ChangeDone, ConfigReport, OrderDone, RegisterChange, RulesChange, VmOrder,
         },
         ids::{OperationId, VmId},
--- a/src/operator_client/connection.rs
+++ b/src/operator_client/connection.rs
@@ -2,7 +2,7 @@
 
 use {
     super::error::ClientError,
-    crate::gateway::operator::wire::{DidHappen, FaultBody, OperatorFault},
+    crate::http_api::operator::wire::{DidHappen, FaultBody, OperatorFault},
     bytes::Bytes,
     http::{Method, Request, StatusCode, Uri, header},
     http_body_util::{BodyExt, Full, Limited},
--- a/src/operator_client/error.rs
+++ b/src/operator_client/error.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        gateway::operator::wire::{DidHappen, FaultBody, OperatorFault},
+        http_api::operator::wire::{DidHappen, FaultBody, OperatorFault},
         ids::OperationId,
         inventory::validate::InventoryFault,
         options::USAGE_EXIT,
--- a/src/operator_client/questions.rs
+++ b/src/operator_client/questions.rs
@@ -8,7 +8,7 @@
         table::{TextTable, or_dash},
     },
     crate::{
-        gateway::operator::wire::{
+        http_api::operator::wire::{
             ConfigChange, ConfigReport, DaemonStatus, ExplainReport, OrganisationStatus,
             ReplicaEntry, ServerStatus, WhereReport,
         },
--- a/src/node.rs
+++ b/src/roles.rs
@@ -5,13 +5,13 @@
 //! [`crate::edge::dialect`], [`crate::fleet::watch::FleetSource`] and [`control::EngineOrders`].
 
 pub mod control;
-pub mod control_book;
+pub mod control_directory;
 pub mod entry;
 pub mod file_watch;
+pub mod fleet_orders;
 pub mod health;
-pub mod named_clock;
-pub mod operators;
-pub mod orders;
+pub mod operator_service;
+pub mod required_weights;
 
 use {
     crate::{ids::VmId, transport::TransportError},
--- a/src/node/control.rs
+++ b/src/roles/control.rs
@@ -4,8 +4,8 @@
 use {
     super::{
         NodeError, address_of,
-        operators::OperatorDesk,
-        orders::{EngineOrders, FLEET_TIMING, FleetOrders, follow_plan},
+        fleet_orders::{EngineOrders, FLEET_TIMING, FleetOrders, follow_plan},
+        operator_service::OperatorDesk,
         random_seed,
     },
     crate::{
--- a/src/node/entry.rs
+++ b/src/roles/entry.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        NodeError, control_book::ControlBook, health::serve_page, named_clock::NamedClock,
-        random_seed,
+        NodeError, control_directory::ControlBook, health::serve_page, random_seed,
+        required_weights::NamedClock,
     },
     crate::{
         edge::{
--- a/src/transport.rs
+++ b/src/transport.rs
@@ -11,9 +11,9 @@
 pub mod link;
 pub mod message;
 pub mod network;
-pub mod open_trust;
 pub mod reset_key;
 pub mod tls;
+pub mod unauthenticated;
 
 pub use self::{
     codec::CodecError,
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -7,9 +7,9 @@
         keys::{self, KeyError, KeyFiles},
         link::{LinkShared, PeerLink},
         message::{PeerMessage, PeerReply, PeerRequest},
-        open_trust::{build_open_pair, own_identity},
         reset_key::{endpoint_settings, open_endpoint_settings},
         tls::{TlsPair, build_pair},
+        unauthenticated::{build_open_pair, own_identity},
     },
     crate::ids::VmId,
     arc_swap::ArcSwap,
@@ -60,7 +60,7 @@
 }
 
 /// What a daemon's network needs to start where the network is trusted as a whole; see
-/// [`super::open_trust`].
+/// [`super::unauthenticated`].
 #[derive(Clone, Debug)]
 pub struct OpenNetworkSettings {
     /// This daemon's VM.
--- a/tests/fakes/fake_operator.rs
+++ b/tests/fakes/fake_operator.rs
@@ -5,7 +5,7 @@
     oleandermount::{
         control::{Command, CommandOutcome, ProposeError},
         daemon::{ConfigWatch, ControlPort},
-        gateway::operator::{
+        http_api::operator::{
             OperatorState, SourceError, StatusSource, router,
             wire::{
                 ConfigChange, DaemonStatus, LifeState, OrganisationStatus, ReplicaEntry,
--- a/tests/named_weights.rs
+++ b/tests/named_weights.rs
@@ -10,14 +10,14 @@
         edge::view::EdgeView,
         fleet::{FleetSnapshot, ListedServer, ServerPhase},
         ids::FencingNumber,
-        node::{
-            named_clock::{NamedClock, REQUIRED_AFTER, REQUIRED_AFTER_LEADER},
-            orders::FLEET_TIMING,
-        },
         policy::{
             LoadReport,
             rollout::{RolloutServer, next_step},
         },
+        roles::{
+            fleet_orders::FLEET_TIMING,
+            required_weights::{NamedClock, REQUIRED_AFTER, REQUIRED_AFTER_LEADER},
+        },
         routing::{RouteIndex, RouteKind, RouteRule, RouteTable, ServiceRule},
     },
     std::{
--- a/tests/operator_client.rs
+++ b/tests/operator_client.rs
@@ -5,7 +5,7 @@
 
 use {
     fake_operator::{FakeFate, FakeLog, serve_operator},
-    oleandermount::{gateway::operator::wire::LifeState, inventory::validate::digest},
+    oleandermount::{http_api::operator::wire::LifeState, inventory::validate::digest},
     serde_json::Value as JsonValue,
     std::{
         fs,
--- a/tests/seam_purity.rs
+++ b/tests/seam_purity.rs
@@ -6,7 +6,7 @@
 };
 
 const FORBIDDEN: [&str; 11] = [
-    "crate::gateway",
+    "crate::http_api",
     "crate::transport",
     "crate::backend",
     "crate::storage",
--- a/tests/weight_turns.rs
+++ b/tests/weight_turns.rs
@@ -6,8 +6,8 @@
         control::{Command, orders::DesiredWeights},
         daemon::weight_orders::order_core::*,
         ids::{FencingNumber, ServerId, WeightsNumber},
-        node::orders::FLEET_TIMING,
         policy::LoadReport,
+        roles::fleet_orders::FLEET_TIMING,
     },
     std::{
         collections::BTreeMap,
