--- a/src/http_api.rs
+++ b/src/http_api.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers and operators.
+//! HTTP API for callers, in the OpenAI form, and for operators.
 
 pub mod caller;
 pub mod completion;
--- a/src/http_api/caller.rs
+++ b/src/http_api/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' interface.
+//! HTTP routes for callers.
 
 use {
     super::{
@@ -39,54 +39,55 @@
     },
 };
 
-/// The header that makes a non-repeatable call one call over all its resends.
+/// The header that identifies a non-repeatable call across resends.
 const KEY_HEADER: &str = "idempotency-key";
-/// Idempotency keys are identifiers; longer ones fill the ledger.
-const KEY_BYTES: usize = 256;
-/// Advised wait when a daemon stops: the balancer has another one.
-const DRAIN_WAIT: Duration = Duration::from_secs(1);
-/// Headers of callers that plain services see.
-const PASSED_HEADERS: [&str; 4] = ["accept", "accept-language", "content-type", KEY_HEADER];
+/// Longest accepted idempotency key, in bytes. The ledger stores keys, so their size is bounded.
+const MAX_KEY_BYTES: usize = 256;
+/// Advised delay while this daemon drains; it is short because the balancer has other daemons.
+const DRAIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Caller headers that are forwarded to plain services.
+const FORWARDED_HEADERS: [&str; 4] = ["accept", "accept-language", "content-type", KEY_HEADER];
 
-/// What the handlers share.
+/// State shared by the handlers of the callers' routes.
 #[derive(Clone)]
 pub struct CallerApi {
-    /// The pipeline.
+    /// The request pipeline that the handlers run.
     pub core: Arc<PipelineCore>,
-    /// What a caller may send.
+    /// Size and time limits of requests.
     pub limits: RequestLimits,
 }
 
-/// The routes for callers.
-pub fn caller_router(gate: CallerApi) -> Router {
+/// Builds the router for callers: completions, models, health checks and plain services.
+pub fn caller_router(api: CallerApi) -> Router {
     let handler = |run: fn(CallerApi, Request) -> HandlerFuture| {
-        let gate = gate.clone();
+        let api = api.clone();
         move |request: Request| {
-            let answer = run(gate.clone(), request);
-            async move { Ok::<Response, viz::Error>(answer.await) as Result<Response> }
+            let response = run(api.clone(), request);
+            async move { Ok::<Response, viz::Error>(response.await) as Result<Response> }
         }
     };
     Router::new()
-        .post("/v1/chat/completions", handler(|gate, request| Box::pin(chat(gate, request))))
-        .post("/v1/completions", handler(|gate, request| Box::pin(text(gate, request))))
-        .get("/v1/models", handler(|gate, request| Box::pin(models(gate, request))))
+        .post("/v1/chat/completions", handler(|api, request| Box::pin(chat(api, request))))
+        .post("/v1/completions", handler(|api, request| Box::pin(text(api, request))))
+        .get("/v1/models", handler(|api, request| Box::pin(models(api, request))))
         .get(
             "/healthz",
             handler(|_, _| {
                 Box::pin(async { body_response(200, "text/plain", "live\n", &RequestId::new()) })
             }),
         )
-        .get("/readyz", handler(|gate, _| Box::pin(ready(gate))))
-        .any("/services/:service/*", handler(|gate, request| Box::pin(service(gate, request))))
-        .any("/*", handler(|gate, request| Box::pin(unknown_path(gate, request))))
+        .get("/readyz", handler(|api, _| Box::pin(ready(api))))
+        .any("/services/:service/*", handler(|api, request| Box::pin(service(api, request))))
+        .any("/*", handler(|api, request| Box::pin(unknown_path(api, request))))
 }
 
-/// The pages of a VM set aside for control, which serves no callers: live, and never ready.
+/// Builds the router of a dedicated control VM, which serves no callers: its liveness check succeeds
+/// and its readiness check always fails.
 pub fn health_router() -> Router {
     let text = |status: u16, text: &'static str| {
         move |_: Request| async move {
-            let answer = body_response(status, "text/plain", text, &RequestId::new());
-            Ok::<Response, viz::Error>(answer) as Result<Response>
+            let response = body_response(status, "text/plain", text, &RequestId::new());
+            Ok::<Response, viz::Error>(response) as Result<Response>
         }
     };
     Router::new()
@@ -96,29 +97,29 @@
 
 type HandlerFuture = futures::future::BoxFuture<'static, Response>;
 
-async fn ready(gate: CallerApi) -> Response {
-    let (status, text) = match gate.core.gate.is_draining() {
+async fn ready(api: CallerApi) -> Response {
+    let (status, text) = match api.core.gate.is_draining() {
         false => (200, "ready\n"),
         true => (503, "draining\n"),
     };
     body_response(status, "text/plain", text, &RequestId::new())
 }
 
-async fn unknown_path(gate: CallerApi, request: Request) -> Response {
+async fn unknown_path(api: CallerApi, request: Request) -> Response {
     let message = format!(
         "no {} {}; see /v1/chat/completions, /v1/completions, /v1/models, /services/NAME/PATH",
         request.method(),
         request.uri().path()
     );
     let refusal = CallerRefusal::before_run(404, refusal::NOT_FOUND, message);
-    refusal_response(&refusal, &gate.core.next_request())
+    refusal_response(&refusal, &api.core.next_request())
 }
 
-async fn models(gate: CallerApi, request: Request) -> Response {
-    let id = gate.core.next_request();
-    let serving = gate.core.serving();
-    let wishes = wishes(request.headers());
-    match settle_terms(&serving, wishes, Instant::now()) {
+async fn models(api: CallerApi, request: Request) -> Response {
+    let id = api.core.next_request();
+    let serving = api.core.serving();
+    let requested_terms = requested_terms(request.headers());
+    match settle_terms(&serving, requested_terms, Instant::now()) {
         Err(refusal) => refusal_response(&refusal, &id),
         Ok(terms) => {
             let allowed = serving
@@ -126,7 +127,7 @@
                 .register
                 .models
                 .iter()
-                .filter(|model| check_allowed(&serving, &terms, &model.id));
+                .filter(|model| is_model_allowed(&serving, &terms, &model.id));
             let data: Vec<_> = allowed
                 .map(|model| json!({ "id": model.id, "object": "model", "owned_by": "oleandermount" }))
                 .collect();
@@ -135,7 +136,7 @@
     }
 }
 
-fn check_allowed(
+fn is_model_allowed(
     serving: &crate::pipeline::ServingConfig,
     terms: &CallerTerms,
     model: &str,
@@ -143,7 +144,7 @@
     serving.rules.get(&terms.organisation).is_some_and(|rule| rule.allows_model(model))
 }
 
-fn wishes(headers: &HeaderMap) -> CallerWishes<'_> {
+fn requested_terms(headers: &HeaderMap) -> CallerWishes<'_> {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     CallerWishes {
         authorization: text(header::AUTHORIZATION.as_str()),
@@ -152,43 +153,43 @@
     }
 }
 
-async fn chat(gate: CallerApi, request: Request) -> Response {
-    model_answer(gate, request, PromptForm::Chat).await
+async fn chat(api: CallerApi, request: Request) -> Response {
+    handle_model_request(api, request, PromptForm::Chat).await
 }
 
-async fn text(gate: CallerApi, request: Request) -> Response {
-    model_answer(gate, request, PromptForm::Text).await
+async fn text(api: CallerApi, request: Request) -> Response {
+    handle_model_request(api, request, PromptForm::Text).await
 }
 
-async fn model_answer(gate: CallerApi, request: Request, form: PromptForm) -> Response {
-    let id = gate.core.next_request();
+async fn handle_model_request(api: CallerApi, request: Request, form: PromptForm) -> Response {
+    let id = api.core.next_request();
     let started = Instant::now();
-    let response = match admit_model(&gate, request, form, &id).await {
-        Ok((request, open)) => run_model_request(&gate, request, open).await,
+    let response = match admit_model(&api, request, form, &id).await {
+        Ok((request, open)) => run_model_request(&api, request, open).await,
         Err(refusal) => refusal_response(&refusal, &id),
     };
-    log_answer(&id, form.path(), response.status().as_u16(), started);
+    log_response(&id, form.path(), response.status().as_u16(), started);
     response
 }
 
-/// One line a request, without prompt and keys.
-fn log_answer(id: &RequestId, path: &str, status: u16, started: Instant) {
+/// Logs one record for each request, without prompts and keys.
+fn log_response(id: &RequestId, path: &str, status: u16, started: Instant) {
     let ms = started.elapsed().as_millis() as u64;
     log::info!(request_id = id.as_str(), path = path, status = status, head_ms = ms; "answered");
 }
 
 async fn admit_model(
-    gate: &CallerApi,
+    api: &CallerApi,
     request: Request,
     form: PromptForm,
     id: &RequestId,
 ) -> Result<(ModelRequest, OpenRequest), CallerRefusal> {
     let arrived = Instant::now();
-    check_head(&gate.limits, request.headers())?;
-    let serving = gate.core.serving();
-    let terms = settle_terms(&serving, wishes(request.headers()), arrived)?;
-    let open = enter(&gate.core)?;
-    let body = read_body(&gate.limits, request).await?;
+    check_headers(&api.limits, request.headers())?;
+    let serving = api.core.serving();
+    let terms = settle_terms(&serving, requested_terms(request.headers()), arrived)?;
+    let open = open_request(&api.core)?;
+    let body = read_body(&api.limits, request).await?;
     let prompt = ParsedPrompt::parse(form, &body)?;
     check_model(&serving, &terms.organisation, &prompt.model, prompt.adapter.as_deref())?;
     count_request(terms.class);
@@ -200,32 +201,36 @@
         prompt.prompt_tokens,
         terms.class.as_str()
     );
-    gate.core.trace.note(id, line);
+    api.core.trace.note(id, line);
     Ok((ModelRequest { request: id.clone(), terms, prompt }, open))
 }
 
-fn enter(core: &PipelineCore) -> Result<OpenRequest, CallerRefusal> {
+fn open_request(core: &PipelineCore) -> Result<OpenRequest, CallerRefusal> {
     core.gate.enter().map_err(|closed| {
         let (code, message) = match closed {
             GateClosed::Draining => {
-                (refusal::DRAINING, "this daemon is stopping; send the request to another")
+                (refusal::DRAINING, "this daemon is draining; send the request to another daemon")
             }
-            GateClosed::Full => (refusal::TOO_MANY_OPEN, "too many open requests; come back later"),
+            GateClosed::Full => (refusal::TOO_MANY_OPEN, "too many open requests; retry later"),
         };
-        CallerRefusal::before_run(503, code, message).retry_after(DRAIN_WAIT)
+        CallerRefusal::before_run(503, code, message).retry_after(DRAIN_RETRY_AFTER)
     })
 }
 
-fn check_head(limits: &RequestLimits, headers: &HeaderMap) -> Result<(), CallerRefusal> {
+fn check_headers(limits: &RequestLimits, headers: &HeaderMap) -> Result<(), CallerRefusal> {
     let bytes: usize = headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
     let over = if headers.len() > limits.max_headers {
-        format!("more than {} headers", limits.max_headers)
+        format!("the request has more than {} headers", limits.max_headers)
     } else if bytes > limits.max_head_bytes {
-        format!("headers of more than {} bytes", limits.max_head_bytes)
+        format!("the headers exceed {} bytes", limits.max_head_bytes)
     } else {
         return Ok(());
     };
-    Err(CallerRefusal::before_run(431, refusal::TOO_LARGE, format!("{over}; send fewer")))
+    Err(CallerRefusal::before_run(
+        431,
+        refusal::TOO_LARGE,
+        format!("{over}; send fewer or shorter headers"),
+    ))
 }
 
 async fn read_body(limits: &RequestLimits, request: Request) -> Result<Bytes, CallerRefusal> {
@@ -237,22 +242,22 @@
             Err(CallerRefusal::before_run(413, refusal::TOO_LARGE, message))
         }
         Ok(Err(_)) => {
-            let message = "the body ended early; send as many bytes as Content-Length says";
+            let message = "the body ended early; send as many bytes as Content-Length announces";
             Err(CallerRefusal::before_run(400, refusal::BAD_REQUEST, message))
         }
         Err(_) => {
             let message =
-                format!("the body took longer than {:?}; send faster", limits.body_timeout);
+                format!("the body took longer than {:?}; send it faster", limits.body_timeout);
             Err(CallerRefusal::before_run(408, refusal::BODY_TIMEOUT, message))
         }
     }
 }
 
-async fn run_model_request(gate: &CallerApi, request: ModelRequest, open: OpenRequest) -> Response {
+async fn run_model_request(api: &CallerApi, request: ModelRequest, open: OpenRequest) -> Response {
     let (id, form, delivery) =
         (request.request.clone(), request.prompt.form, request.prompt.delivery);
     let (sender, mut parts) = mpsc::channel(PART_BOUND);
-    tokio::spawn(run_model(Arc::clone(&gate.core), request, sender));
+    tokio::spawn(run_model(Arc::clone(&api.core), request, sender));
     let first = match parts.recv().await {
         Some(AnswerPart::Chunk(first)) => first,
         Some(AnswerPart::Whole(usage)) => {
@@ -260,7 +265,7 @@
                 json!({ "id": id, "choices": [], "usage": super::response::usage_body(usage) });
             return json_response(200, &body, &id);
         }
-        Some(part) => return end_answer(part, &id),
+        Some(part) => return failure_response(part, &id),
         None => return refusal_response(&crate::pipeline::relay::broken_stream(), &id),
     };
     match delivery {
@@ -269,13 +274,13 @@
         }
         AnswerDelivery::Whole => match collect_completion(form, first, parts).await {
             Ok(answer) => json_response(200, &answer, &id),
-            Err(part) => end_answer(part, &id),
+            Err(part) => failure_response(part, &id),
         },
     }
 }
 
-/// The answer of a request that ended without a whole one.
-fn end_answer(part: AnswerPart, id: &RequestId) -> Response {
+/// Builds the response to a request that ended without a complete answer.
+fn failure_response(part: AnswerPart, id: &RequestId) -> Response {
     match part {
         AnswerPart::Refused(refusal) => refusal_response(&refusal, id),
         AnswerPart::CallerError { status, body } => {
@@ -287,34 +292,34 @@
     }
 }
 
-async fn service(gate: CallerApi, request: Request) -> Response {
-    let id = gate.core.next_request();
+async fn service(api: CallerApi, request: Request) -> Response {
+    let id = api.core.next_request();
     let started = Instant::now();
-    let response = match admit_service(&gate, request, &id).await {
-        Ok(admitted) => run_service_call(&gate, admitted).await,
+    let response = match admit_service(&api, request, &id).await {
+        Ok(admitted) => run_service_call(&api, admitted).await,
         Err(refusal) => refusal_response(&refusal, &id),
     };
-    log_answer(&id, "/services", response.status().as_u16(), started);
+    log_response(&id, "/services", response.status().as_u16(), started);
     response
 }
 
-/// A service call that passed the filters.
+/// A service call that passed authorization and the request limits.
 struct AdmittedCall {
     call: ServiceCall,
-    /// Present exactly when the call must not be repeated.
+    /// The idempotency key; present exactly when the call is non-repeatable.
     key: Option<String>,
     open: OpenRequest,
 }
 
 async fn admit_service(
-    gate: &CallerApi,
+    api: &CallerApi,
     request: Request,
     id: &RequestId,
 ) -> Result<AdmittedCall, CallerRefusal> {
     let arrived = Instant::now();
-    check_head(&gate.limits, request.headers())?;
-    let serving = gate.core.serving();
-    let terms = settle_terms(&serving, wishes(request.headers()), arrived)?;
+    check_headers(&api.limits, request.headers())?;
+    let serving = api.core.serving();
+    let terms = settle_terms(&serving, requested_terms(request.headers()), arrived)?;
     let service: String = request.param("service").map_err(|_| {
         CallerRefusal::before_run(404, refusal::NOT_FOUND, "the path must be /services/NAME/PATH")
     })?;
@@ -326,18 +331,18 @@
         true => None,
         false => Some(idempotency_key(request.headers())?),
     };
-    let headers = passed_headers(request.headers(), &terms);
-    let open = enter(&gate.core)?;
-    let body = read_body(&gate.limits, request).await?;
+    let headers = forwarded_headers(request.headers(), &terms);
+    let open = open_request(&api.core)?;
+    let body = read_body(&api.limits, request).await?;
     count_request(terms.class);
     let kind = if key.is_some() { "once" } else { "repeatable" };
-    gate.core.trace.note(id, format!("{method} {service} of {}, {kind}", terms.organisation));
+    api.core.trace.note(id, format!("{method} {service} of {}, {kind}", terms.organisation));
     let outgoing = ServiceRequest { method, path, headers, body };
     let call = ServiceCall { request: id.clone(), terms, service, outgoing };
     Ok(AdmittedCall { call, key, open })
 }
 
-/// Path and query within the service.
+/// Path and query relative to the service.
 fn service_path(request: &Request, service: &str) -> String {
     let whole = request.uri().path_and_query().map_or("/", |path| path.as_str());
     let start = "/services/".len() + service.len();
@@ -350,22 +355,22 @@
 fn idempotency_key(headers: &HeaderMap) -> Result<String, CallerRefusal> {
     let key = headers.get(KEY_HEADER).and_then(|value| value.to_str().ok()).map(str::trim);
     match key {
-        Some(key) if !key.is_empty() && key.len() <= KEY_BYTES => Ok(key.to_owned()),
+        Some(key) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => Ok(key.to_owned()),
         Some(_) => {
-            let message = format!("`Idempotency-Key` must have 1 to {KEY_BYTES} characters");
+            let message = format!("`Idempotency-Key` must have 1 to {MAX_KEY_BYTES} characters");
             Err(CallerRefusal::before_run(400, refusal::BAD_REQUEST, message))
         }
         None => {
-            let message = "this call must not be repeated: send an `Idempotency-Key` \
+            let message = "this call is non-repeatable: send an `Idempotency-Key` header \
                            and use the same key for each resend";
             Err(CallerRefusal::before_run(428, refusal::KEY_MISSING, message))
         }
     }
 }
 
-/// The headers that a service sees: a few of the caller's, and whose call it is.
-fn passed_headers(headers: &HeaderMap, terms: &CallerTerms) -> HeaderMap {
-    let mut passed: HeaderMap = PASSED_HEADERS
+/// The headers sent to a service: the forwarded ones of the caller, and the caller's organisation.
+fn forwarded_headers(headers: &HeaderMap, terms: &CallerTerms) -> HeaderMap {
+    let mut forwarded: HeaderMap = FORWARDED_HEADERS
         .iter()
         .filter_map(|name| {
             let value = headers.get(*name)?;
@@ -373,15 +378,15 @@
         })
         .collect();
     if let Ok(organisation) = terms.organisation.parse() {
-        passed.insert("x-oleandermount-organisation", organisation);
+        forwarded.insert("x-oleandermount-organisation", organisation);
     }
-    passed
+    forwarded
 }
 
-async fn run_service_call(gate: &CallerApi, admitted: AdmittedCall) -> Response {
+async fn run_service_call(api: &CallerApi, admitted: AdmittedCall) -> Response {
     let AdmittedCall { call, key, open } = admitted;
     let id = call.request.clone();
-    let core = Arc::clone(&gate.core);
+    let core = Arc::clone(&api.core);
     let result = match key {
         None => {
             let _open = open;
@@ -401,8 +406,8 @@
     }
 }
 
-/// Runs a non-repeatable call in a task of its own: it goes on when the caller is gone or its
-/// deadline passed, so that a resend gets the answer.
+/// Runs a non-repeatable call in its own task. The task continues after the caller disconnects or
+/// the deadline passes, so that a resend gets the result.
 async fn run_detached(
     core: Arc<PipelineCore>,
     call: ServiceCall,
@@ -411,9 +416,9 @@
 ) -> Result<crate::backend::ServiceAnswer, CallerRefusal> {
     let deadline = call.terms.deadline;
     let fuse = Arc::new(SendFuse::default());
-    let burning = Arc::clone(&fuse);
+    let task_fuse = Arc::clone(&fuse);
     let running = tokio::spawn(async move {
-        let result = run_once(core, call, key, &burning).await;
+        let result = run_once(core, call, key, &task_fuse).await;
         drop(open);
         result
     });
@@ -421,11 +426,11 @@
         Ok(Ok(result)) => result,
         Err(_) if fuse.give_up() => Err(not_in_time()),
         Ok(Err(_)) | Err(_) => {
-            let message = "the call did not end within the deadline and may run; \
-                           ask again with the same key";
-            let mut late = CallerRefusal::after_send(504, refusal::OUTCOME_UNKNOWN, message);
-            late.did_run = DidRun::Unknown;
-            Err(late)
+            let message = "the call did not end within the deadline and may still run; \
+                           resend it with the same key";
+            let mut refusal = CallerRefusal::after_send(504, refusal::OUTCOME_UNKNOWN, message);
+            refusal.did_run = DidRun::Unknown;
+            Err(refusal)
         }
     }
 }
--- a/src/http_api/completion.rs
+++ b/src/http_api/completion.rs
@@ -1,4 +1,4 @@
-//! Joins the chunks of a stream into one JSON answer.
+//! Merges the chunks of a stream into one JSON completion.
 
 use {
     super::response::usage_body,
@@ -10,33 +10,34 @@
     tokio::sync::mpsc,
 };
 
-/// Texts that grow from chunk to chunk; all other texts are replaced.
-const GROWING_TEXTS: [&str; 5] = ["content", "text", "arguments", "refusal", "reasoning_content"];
+/// String fields whose chunks are concatenated; all other strings are replaced by the latest chunk.
+const CONCATENATED_FIELDS: [&str; 5] =
+    ["content", "text", "arguments", "refusal", "reasoning_content"];
 
-/// Collects chunks until the answer is whole.
+/// Collects chunks until the stream is complete.
 ///
 /// # Errors
-/// The part that ended the answer early: a refusal or the engine's own caller error.
+/// The part that ended the stream early: a refusal, or a caller error reported by the engine.
 pub async fn collect_completion(
     form: PromptForm,
     first: Value,
     mut parts: mpsc::Receiver<AnswerPart>,
 ) -> Result<Value, AnswerPart> {
-    let mut answer = Value::Object(Map::new());
-    merge(&mut answer, "", first);
+    let mut completion = Value::Object(Map::new());
+    merge(&mut completion, "", first);
     loop {
         match parts.recv().await {
-            Some(AnswerPart::Chunk(chunk)) => merge(&mut answer, "", chunk),
-            Some(AnswerPart::Whole(usage)) => return Ok(finish(form, answer, usage)),
+            Some(AnswerPart::Chunk(chunk)) => merge(&mut completion, "", chunk),
+            Some(AnswerPart::Whole(usage)) => return Ok(finish(form, completion, usage)),
             Some(other) => return Err(other),
-            // The relay ended without a word; a short answer must not pass for a whole one.
+            // The relay ended without a final part: the completion may be truncated.
             None => return Err(AnswerPart::Refused(Box::new(broken_stream()))),
         }
     }
 }
 
-fn finish(form: PromptForm, mut answer: Value, usage: TokenUsage) -> Value {
-    let choices = answer.get_mut("choices").and_then(Value::as_array_mut);
+fn finish(form: PromptForm, mut completion: Value, usage: TokenUsage) -> Value {
+    let choices = completion.get_mut("choices").and_then(Value::as_array_mut);
     choices.into_iter().flatten().filter_map(Value::as_object_mut).for_each(|choice| {
         if let Some(message) = choice.remove("delta") {
             choice.insert("message".into(), message);
@@ -46,14 +47,14 @@
         PromptForm::Chat => "chat.completion",
         PromptForm::Text => "text_completion",
     };
-    if let Value::Object(fields) = &mut answer {
+    if let Value::Object(fields) = &mut completion {
         fields.insert("object".into(), json!(object));
         fields.insert("usage".into(), usage_body(usage));
     }
-    answer
+    completion
 }
 
-/// Merges `part` into `whole`, which stands under the key `name`.
+/// Merges `part` into `whole`, the value of the field `name`.
 fn merge(whole: &mut Value, name: &str, part: Value) {
     match (whole, part) {
         (Value::Object(fields), Value::Object(more)) => {
@@ -67,7 +68,7 @@
         (Value::Array(items), Value::Array(more)) => {
             more.into_iter().for_each(|item| merge_item(items, item));
         }
-        (Value::String(text), Value::String(more)) if GROWING_TEXTS.contains(&name) => {
+        (Value::String(text), Value::String(more)) if CONCATENATED_FIELDS.contains(&name) => {
             text.push_str(&more);
         }
         (_, Value::Null) => {}
@@ -75,7 +76,7 @@
     }
 }
 
-/// Items with an `index` are merged with the item of the same index; others are appended.
+/// Merges an item into the one with the same `index`; an item without a match is appended.
 fn merge_item(items: &mut Vec<Value>, item: Value) {
     let index = item.get("index").cloned();
     let same = items.iter_mut().find(|one| index.is_some() && one.get("index") == index.as_ref());
--- a/src/http_api/operator.rs
+++ b/src/http_api/operator.rs
@@ -1,7 +1,6 @@
-//! HTTP towards operators: measures, state, configuration, replicas and draining.
+//! HTTP API for operators: metrics, state, configuration, replicas and draining.
 //!
-//! The address carries no authentication of its own; it belongs on a network that only operators
-//! reach.
+//! The API has no authentication. Its address must be on a network that only operators can reach.
 
 pub mod change;
 pub mod read;
@@ -21,29 +20,29 @@
     viz::{Router, get, post, put, types::State},
 };
 
-/// The state machine takes bodies of up to 16 MB, several times the register of 44,000
-/// organisations and 870 servers; the rest is for what stands around the body.
+/// Largest body of a configuration change, in bytes. The state machine accepts up to 16 MiB, several
+/// times the register of 44,000 organisations and 870 servers; the rest is for the JSON envelope.
 pub const MAX_CHANGE_BYTES: usize = 16 * 1024 * 1024 + 4096;
-/// Orders other than changes hold a few names.
+/// Largest body of any other action, in bytes; such a body holds a few names.
 pub const MAX_ACTION_BYTES: usize = 16 * 1024;
-/// The largest change at 10 Mbit a second takes about 26 s.
+/// How long a body may take to arrive. The largest change takes about 26 s at 10 Mbit/s.
 pub const BODY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What the operators' interface works with.
+/// State shared by the handlers of the operators' routes.
 #[derive(Clone)]
 pub struct OperatorState {
-    /// Where changes are proposed.
+    /// Proposes changes to the replicated state machine.
     pub control: Arc<dyn ControlPort>,
-    /// The configuration in force here.
+    /// The configuration in force at this daemon.
     pub config: ConfigWatch,
-    /// What the daemon knows of itself and of the others.
+    /// Reports the state of this daemon and of its peers.
     pub source: Arc<dyn StatusSource>,
-    /// Renders the measures.
+    /// Renders the metrics in the text format of Prometheus.
     pub metrics: PrometheusHandle,
 }
 
 impl OperatorState {
-    /// Renders the measures; the revision is set here so that it is right at each reading.
+    /// Renders the metrics. The revision gauge is set here so that it is current at each scrape.
     fn render_metrics(&self) -> String {
         let revision = self.config.borrow().revision;
         metrics::gauge!(CONFIG_REVISION).set(revision as f64);
@@ -51,7 +50,7 @@
     }
 }
 
-/// All paths of the operators' interface.
+/// Builds the router for operators.
 pub fn router(state: OperatorState) -> Router {
     Router::new()
         .route("/metrics", get(read::metrics))
--- a/src/http_api/operator/change.rs
+++ b/src/http_api/operator/change.rs
@@ -1,4 +1,4 @@
-//! Orders: changes of the configuration, of the replicas, and draining.
+//! Handlers that change the configuration or the replicas, or start draining.
 
 use {
     super::{
@@ -21,18 +21,20 @@
     viz::{Request, Response, Result, StatusCode},
 };
 
-/// The longest accepted operation id; longer ones would only fill the state machine.
-const MAX_OPERATION: usize = 128;
+/// Longest accepted operation id, in bytes. The state machine stores operation ids, so their size is
+/// bounded.
+const MAX_OPERATION_ID_BYTES: usize = 128;
 
-/// How long a change waits for the revision it expects; a commit reaches a daemon within a second.
-const CATCH_UP: Duration = Duration::from_secs(3);
+/// How long a change waits until this daemon has the expected revision; a commit reaches a daemon
+/// within a second.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// `PUT /v1/register`.
 pub async fn put_register(mut request: Request) -> Result<Response> {
     let state = operator_state(&request)?;
     let result = match read_json(&mut request, MAX_CHANGE_BYTES).await {
         Ok(change) => apply_register(&state, change).await,
-        Err(answer) => Err(answer),
+        Err(error) => Err(error),
     };
     Ok(respond(result))
 }
@@ -42,12 +44,12 @@
     let state = operator_state(&request)?;
     let result = match read_json(&mut request, MAX_CHANGE_BYTES).await {
         Ok(change) => apply_rules(&state, change).await,
-        Err(answer) => Err(answer),
+        Err(error) => Err(error),
     };
     Ok(respond(result))
 }
 
-/// `POST /v1/replicas/replace`: takes in the present disk of a VM.
+/// `POST /v1/replicas/replace`: replaces the replica of a VM by one on the VM's present disk.
 pub async fn replace_replica(request: Request) -> Result<Response> {
     change_replicas(request, "replaces its disk", |vm| Command::ReplaceReplica {
         vm,
@@ -56,22 +58,22 @@
     .await
 }
 
-/// `POST /v1/replicas/remove`: takes a VM out of the replicas.
+/// `POST /v1/replicas/remove`: removes a VM from the replicas.
 pub async fn remove_replica(request: Request) -> Result<Response> {
     change_replicas(request, "is no replica any more", |vm| Command::RemoveReplica { vm }).await
 }
 
-/// `POST /v1/drain`: a daemon takes nothing new and finishes what it has.
+/// `POST /v1/drain`: a daemon accepts no new requests and completes those in flight.
 pub async fn drain(mut request: Request) -> Result<Response> {
     let state = operator_state(&request)?;
     let result = match read_json::<VmAction>(&mut request, MAX_ACTION_BYTES).await {
-        Ok(order) => state
+        Ok(action) => state
             .source
-            .drain(order.vm.clone())
+            .drain(action.vm.clone())
             .await
-            .map(|()| ActionResponse { done: format!("{} drains", order.vm) })
+            .map(|()| ActionResponse { done: format!("{} drains", action.vm) })
             .map_err(ErrorResponse::from),
-        Err(answer) => Err(answer),
+        Err(error) => Err(error),
     };
     Ok(respond(result))
 }
@@ -82,11 +84,12 @@
 ) -> Result<ChangeResponse, ErrorResponse> {
     let body = canonical_json(&change.register);
     check_register(&body).map_err(|faults| {
-        ErrorResponse::validation_failed("the register has faults; correct them", faults)
+        ErrorResponse::validation_failed("the register is invalid; correct its faults", faults)
     })?;
     if let Some(config) = config_to_check(state, change.expected).await? {
         check_rules(&canonical_json(&config.rules), &change.register).map_err(|faults| {
-            let message = "the rules in force would not fit this register; change the rules first";
+            let message =
+                "the rules in force are not valid for this register; change the rules first";
             ErrorResponse::validation_failed(message, faults)
         })?;
     }
@@ -102,7 +105,7 @@
 ) -> Result<ChangeResponse, ErrorResponse> {
     let body = canonical_json(&change.rules);
     if let Some(config) = config_to_check(state, change.expected).await? {
-        check_rules(&body, &config.register).map_err(rule_faults)?;
+        check_rules(&body, &config.register).map_err(rules_error)?;
     }
     let digest = digest(&body);
     let (operation, expected) = (change.operation.clone(), change.expected);
@@ -110,35 +113,36 @@
     propose_change(state, command, operation, digest).await
 }
 
-fn rule_faults(faults: Vec<InventoryFault>) -> ErrorResponse {
+fn rules_error(faults: Vec<InventoryFault>) -> ErrorResponse {
     ErrorResponse::validation_failed(
-        "the rules do not fit the register in force; correct them",
+        "the rules are not valid for the register in force; correct the listed faults",
         faults,
     )
 }
 
-/// The configuration that a change has to fit.
+/// The configuration that a change has to be validated against; `None` if the change is not
+/// validated here.
 ///
-/// Only the very revision that the change expects will do: the commit compares revisions, so what
-/// was checked against it is what comes into force. When a later one is in force here, the change
-/// is a resend or a loser. Checking a resend against a later register could refuse a change that
-/// is in force already, so it goes to the log unchecked, which gives the first result or a
-/// conflict and can put nothing in force.
+/// Only the expected revision is suitable: the commit compares revisions, so a change that passed
+/// validation against it comes into force on top of it. When a later revision is in force here, the
+/// change is a resend or has lost against another change. Validating a resend against a later
+/// register could refuse a change that is already in force, so it is proposed without validation:
+/// the state machine then returns the first result or a conflict, and applies nothing.
 async fn config_to_check(
     state: &OperatorState,
     expected: Revision,
 ) -> Result<Option<Arc<ActiveConfig>>, ErrorResponse> {
     let mut watch = state.config.clone();
-    // The operator's last change may still be on its way to this daemon; a script that applies
-    // the register and then the rules must not fail for that.
-    let _ = timeout(CATCH_UP, watch.wait_for(|config| config.revision >= expected)).await;
+    // The operator's previous change may not have reached this daemon yet; a script that applies the
+    // register and then the rules must not fail because of that delay.
+    let _ = timeout(CATCH_UP_TIMEOUT, watch.wait_for(|config| config.revision >= expected)).await;
     let config = watch.borrow().clone();
     match config.revision.cmp(&expected) {
         Ordering::Equal => Ok(Some(config)),
         Ordering::Greater => Ok(None),
         Ordering::Less => {
             let message = format!(
-                "this daemon has revision {} only; wait until it has {expected}, ask another \
+                "this daemon has only revision {}; wait until it has {expected}, use another \
                  daemon, or correct --expect-revision",
                 config.revision
             );
@@ -154,8 +158,9 @@
     operation: OperationId,
     digest: DigestHex,
 ) -> Result<ChangeResponse, ErrorResponse> {
-    if operation.is_empty() || operation.len() > MAX_OPERATION {
-        let message = format!("the operation id needs 1 to {MAX_OPERATION} bytes; shorten it");
+    if operation.is_empty() || operation.len() > MAX_OPERATION_ID_BYTES {
+        let message =
+            format!("the operation id must have 1 to {MAX_OPERATION_ID_BYTES} bytes; correct it");
         let status = StatusCode::BAD_REQUEST;
         return Err(ErrorResponse::did_not_happen(status, "bad_request", message));
     }
@@ -164,28 +169,29 @@
             log::info!(revision, operation = operation.as_str(); "configuration change committed");
             Ok(ChangeResponse { revision, operation, digest })
         }
-        CommandOutcome::Conflict { revision, winner } => Err(conflict(revision, winner)),
+        CommandOutcome::Conflict { revision, winner } => Err(conflict_error(revision, winner)),
         CommandOutcome::Refused { reason } => {
             Err(ErrorResponse::did_not_happen(StatusCode::CONFLICT, "refused", reason))
         }
-        other => Err(unexpected(&other)),
+        other => Err(unexpected_outcome(&other)),
     }
 }
 
-fn conflict(revision: Revision, winner: DigestHex) -> ErrorResponse {
+fn conflict_error(revision: Revision, winner: DigestHex) -> ErrorResponse {
     let message = format!(
-        "another change came first: revision {revision} with digest {winner} is in force; look at \
-         it with `oleandermountctl config show` and apply again with --expect-revision {revision}"
+        "another change was committed first: revision {revision} with digest {winner} is in force; \
+         inspect it with `oleandermountctl config show` and apply again with --expect-revision \
+         {revision}"
     );
-    let fault = OperatorError::did_not_happen("conflict", message);
+    let error = OperatorError::did_not_happen("conflict", message);
     ErrorResponse::new(
         StatusCode::CONFLICT,
-        OperatorError { revision: Some(revision), winner: Some(winner), ..fault },
+        OperatorError { revision: Some(revision), winner: Some(winner), ..error },
     )
 }
 
-fn unexpected(outcome: &CommandOutcome) -> ErrorResponse {
-    let message = format!("the log gave an outcome that does not belong here: {outcome:?}");
+fn unexpected_outcome(outcome: &CommandOutcome) -> ErrorResponse {
+    let message = format!("the command returned an unexpected outcome: {outcome:?}");
     ErrorResponse::new(
         StatusCode::INTERNAL_SERVER_ERROR,
         OperatorError::unknown("unexpected_outcome", message),
@@ -198,18 +204,18 @@
     command: impl FnOnce(String) -> Command,
 ) -> Result<Response> {
     let state = operator_state(&request)?;
-    let order = match read_json::<VmAction>(&mut request, MAX_ACTION_BYTES).await {
-        Ok(order) => order,
-        Err(answer) => return Ok(respond::<ActionResponse>(Err(answer))),
+    let action = match read_json::<VmAction>(&mut request, MAX_ACTION_BYTES).await {
+        Ok(action) => action,
+        Err(error) => return Ok(respond::<ActionResponse>(Err(error))),
     };
-    let result = match state.control.propose(command(order.vm.clone())).await {
+    let result = match state.control.propose(command(action.vm.clone())).await {
         Ok(CommandOutcome::MembershipChanged) => {
-            Ok(ActionResponse { done: format!("{} {done}", order.vm) })
+            Ok(ActionResponse { done: format!("{} {done}", action.vm) })
         }
         Ok(CommandOutcome::Refused { reason }) => {
             Err(ErrorResponse::did_not_happen(StatusCode::CONFLICT, "refused", reason))
         }
-        Ok(other) => Err(unexpected(&other)),
+        Ok(other) => Err(unexpected_outcome(&other)),
         Err(error) => Err(error.into()),
     };
     Ok(respond(result))
--- a/src/http_api/operator/read.rs
+++ b/src/http_api/operator/read.rs
@@ -1,4 +1,4 @@
-//! Questions: measures, health, state and configuration.
+//! Handlers that report metrics, health, state and configuration.
 
 use {
     super::{
@@ -13,11 +13,11 @@
     viz::{Request, RequestExt, Response, Result, StatusCode},
 };
 
-/// Rows of organisations without a limit in the question.
-const USUAL_ROWS: usize = 50;
-/// Of 44,000 organisations nobody reads more in one table.
+/// Rows of organisations when the query sets no limit.
+const DEFAULT_ROWS: usize = 50;
+/// Most rows of organisations in one response; an installation may have 44,000.
 const MAX_ROWS: usize = 1000;
-/// The text format of Prometheus.
+/// Content type of the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
 const TEXT_TYPE: &str = "text/plain; charset=utf-8";
 
@@ -27,12 +27,12 @@
     Ok(text_response(StatusCode::OK, METRICS_TYPE, text))
 }
 
-/// `GET /healthz`: the process answers.
+/// `GET /healthz`: the liveness check, 200 while the process responds.
 pub async fn healthz(_request: Request) -> Result<Response> {
     Ok(text_response(StatusCode::OK, TEXT_TYPE, "alive\n".to_owned()))
 }
 
-/// `GET /readyz`: 200 only while callers should be sent here.
+/// `GET /readyz`: the readiness check, 200 only while callers should be sent here.
 pub async fn readyz(request: Request) -> Result<Response> {
     let state = operator_state(&request)?.source.status().state;
     let status = match state {
@@ -57,11 +57,11 @@
     limit: Option<usize>,
 }
 
-/// `GET /v1/organisations?limit=N`: the heaviest at this daemon.
+/// `GET /v1/organisations?limit=N`: the organisations with the most usage at this daemon.
 pub async fn organisations(request: Request) -> Result<Response> {
     let state = operator_state(&request)?;
     let rows = query::<RowQuery>(&request)
-        .map(|query| state.source.organisations(query.limit.unwrap_or(USUAL_ROWS).min(MAX_ROWS)));
+        .map(|query| state.source.organisations(query.limit.unwrap_or(DEFAULT_ROWS).min(MAX_ROWS)));
     Ok(respond(rows))
 }
 
@@ -70,7 +70,7 @@
     Ok(respond(Ok(operator_state(&request)?.source.replicas().await)))
 }
 
-/// `GET /v1/config`: what is in force here.
+/// `GET /v1/config`: the configuration in force at this daemon.
 pub async fn config(request: Request) -> Result<Response> {
     let config = operator_state(&request)?.config.borrow().clone();
     Ok(respond(Ok(ConfigReport {
@@ -92,7 +92,7 @@
     revision: Revision,
 }
 
-/// `GET /v1/config/where?revision=N`: which daemons have it in force.
+/// `GET /v1/config/where?revision=N`: the daemons that have a revision in force.
 pub async fn config_where(request: Request) -> Result<Response> {
     let state = operator_state(&request)?;
     let report = match query::<RevisionQuery>(&request) {
@@ -100,12 +100,12 @@
             let vms = state.source.revisions().await;
             Ok(RevisionReport { revision: query.revision, vms })
         }
-        Err(answer) => Err(answer),
+        Err(error) => Err(error),
     };
     Ok(respond(report))
 }
 
-/// `GET /v1/explain/{id}`: where a request went and why.
+/// `GET /v1/explain/{id}`: the servers that a request was sent to, and why.
 pub async fn explain(request: Request) -> Result<Response> {
     let state = operator_state(&request)?;
     let id: RequestId = request.param("id")?;
@@ -117,7 +117,8 @@
 fn query<T: serde::de::DeserializeOwned>(request: &Request) -> Result<T, ErrorResponse> {
     let text = request.query_string().unwrap_or_default();
     request.query().map_err(|_| {
-        let message = format!("the query \"{text}\" does not fit this path; see docs/OPERATING.md");
+        let message =
+            format!("the query \"{text}\" is not valid for this path; see docs/OPERATING.md");
         ErrorResponse::did_not_happen(StatusCode::BAD_REQUEST, "bad_request", message)
     })
 }
--- a/src/http_api/operator/response.rs
+++ b/src/http_api/operator/response.rs
@@ -1,4 +1,4 @@
-//! Turns results into HTTP answers, and bodies into values within their limits.
+//! Converts results into HTTP responses, and request bodies into values.
 
 use {
     super::{
@@ -11,30 +11,30 @@
     viz::{Body, Error, Request, RequestExt, Response, StatusCode, header},
 };
 
-/// A refusal on its way to an operator.
+/// An error response to an operator.
 #[derive(Clone, Debug)]
 pub struct ErrorResponse {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The refusal.
-    pub fault: Box<OperatorError>,
+    /// The error in the response body.
+    pub error: Box<OperatorError>,
 }
 
 impl ErrorResponse {
-    /// A refusal with this status.
-    pub fn new(status: StatusCode, fault: OperatorError) -> Self {
-        ErrorResponse { status, fault: Box::new(fault) }
+    /// Builds a response from an error and its HTTP status.
+    pub fn new(status: StatusCode, error: OperatorError) -> Self {
+        ErrorResponse { status, error: Box::new(error) }
     }
 
-    /// A refusal that promises that nothing happened.
+    /// Builds a response which guarantees that the change did not happen.
     pub fn did_not_happen(status: StatusCode, code: &str, message: impl ToString) -> Self {
         ErrorResponse::new(status, OperatorError::did_not_happen(code, message))
     }
 
-    /// A register or a rule set with faults.
+    /// Builds the response to a register or a rule set that failed validation.
     pub fn validation_failed(message: &str, faults: Vec<InventoryFault>) -> Self {
-        let fault = OperatorError::did_not_happen("faulty", message);
-        ErrorResponse::new(StatusCode::UNPROCESSABLE_ENTITY, OperatorError { faults, ..fault })
+        let error = OperatorError::did_not_happen("faulty", message);
+        ErrorResponse::new(StatusCode::UNPROCESSABLE_ENTITY, OperatorError { faults, ..error })
     }
 }
 
@@ -68,20 +68,20 @@
     }
 }
 
-/// Answers with a value or a refusal, both as JSON.
+/// Builds a JSON response from a value or an error.
 pub fn respond<T: Serialize>(result: Result<T, ErrorResponse>) -> Response {
     match result {
         Ok(value) => json(StatusCode::OK, &value),
-        Err(answer) => json(answer.status, &ErrorBody { error: *answer.fault }),
+        Err(response) => json(response.status, &ErrorBody { error: *response.error }),
     }
 }
 
 fn json(status: StatusCode, value: &impl Serialize) -> Response {
-    let text = serde_json::to_string(value).expect("answers have string keys only");
+    let text = serde_json::to_string(value).expect("response types have string keys only");
     text_response(status, "application/json", text)
 }
 
-/// Answers with text.
+/// Builds a plain response from a status, a content type and a text.
 pub fn text_response(status: StatusCode, content_type: &'static str, text: String) -> Response {
     let mut response = Response::new(Body::from(http_body_util::Full::from(text)));
     *response.status_mut() = status;
@@ -90,33 +90,41 @@
     response
 }
 
-/// The state that the router put beside the request.
+/// The state that the router attached to the request.
+///
+/// # Errors
+/// When the router was built without a state.
 pub fn operator_state(request: &Request) -> Result<OperatorState, Error> {
-    request.state::<OperatorState>().ok_or_else(|| Error::boxed("the router carries no state"))
+    request
+        .state::<OperatorState>()
+        .ok_or_else(|| Error::boxed("the router was built without a state"))
 }
 
 /// Reads a JSON body of at most `limit` bytes within [`BODY_TIMEOUT`].
+///
+/// # Errors
+/// When the body is too long, too slow, cut off or not valid for `T`.
 pub async fn read_json<T: DeserializeOwned>(
     request: &mut Request,
     limit: usize,
 ) -> Result<T, ErrorResponse> {
     let body = Limited::new(request.body_mut(), limit).collect();
     let collected = tokio::time::timeout(BODY_TIMEOUT, body).await.map_err(|_| {
-        let message = "the body took too long to arrive; send it again over a faster link";
+        let message = "the body did not arrive in time; send it again over a faster link";
         ErrorResponse::did_not_happen(StatusCode::REQUEST_TIMEOUT, "body_timeout", message)
     })?;
-    let bytes = collected.map_err(|error| body_fault(error, limit))?.to_bytes();
+    let bytes = collected.map_err(|error| body_error(error, limit))?.to_bytes();
     serde_json::from_slice(&bytes).map_err(|error| {
-        let message = format!("the body is not the JSON that this path takes: {error}; correct it");
+        let message = format!("the body is not valid JSON for this path: {error}; correct it");
         ErrorResponse::did_not_happen(StatusCode::BAD_REQUEST, "bad_request", message)
     })
 }
 
-fn body_fault(error: Box<dyn std::error::Error + Send + Sync>, limit: usize) -> ErrorResponse {
+fn body_error(error: Box<dyn std::error::Error + Send + Sync>, limit: usize) -> ErrorResponse {
     if error.is::<LengthLimitError>() {
-        let message = format!("the body is over {limit} bytes; send a smaller one");
+        let message = format!("the body exceeds {limit} bytes; send a smaller one");
         return ErrorResponse::did_not_happen(StatusCode::PAYLOAD_TOO_LARGE, "too_large", message);
     }
-    let message = "the body broke off; send it again";
+    let message = "the body ended early; send it again";
     ErrorResponse::did_not_happen(StatusCode::BAD_REQUEST, "bad_request", message)
 }
--- a/src/http_api/operator/source.rs
+++ b/src/http_api/operator/source.rs
@@ -1,4 +1,4 @@
-//! What the operators' interface asks the running daemon for.
+//! The interface between the operators' API and the running daemon.
 
 use {
     super::wire::{
@@ -10,44 +10,44 @@
     std::collections::BTreeMap,
 };
 
-/// Answers for the daemon; the calls without a future come from memory and never wait.
+/// Provides the state of the daemon. Methods that return no future read from memory and never block.
 pub trait StatusSource: Send + Sync {
-    /// The daemon's account of itself.
+    /// The status of this daemon.
     fn status(&self) -> DaemonStatus;
 
     /// All backend servers of the register.
     fn servers(&self) -> Vec<ServerStatus>;
 
-    /// The organisations that used this daemon most, the heaviest first; at most `limit`.
+    /// The organisations with the most usage at this daemon, in descending order; at most `limit`.
     fn organisations(&self, limit: usize) -> Vec<OrganisationStatus>;
 
-    /// The control replicas.
+    /// The control replicas as this daemon knows them.
     fn replicas(&self) -> BoxFuture<'_, Vec<ReplicaEntry>>;
 
-    /// The latest committed changes, the newest first; bounded by the state machine.
+    /// The latest committed changes, newest first. The state machine bounds their number.
     fn history(&self) -> BoxFuture<'_, Vec<ConfigChange>>;
 
-    /// The revision in force at every daemon of the register, asked now, with a time limit each.
+    /// The revision in force at every daemon of the register. Each daemon is queried with a timeout.
     fn revisions(&self) -> BoxFuture<'_, Vec<VmRevision>>;
 
-    /// Makes a daemon drain; the order is idempotent.
+    /// Makes a daemon drain; the call is idempotent.
     fn drain(&self, vm: VmId) -> BoxFuture<'_, Result<(), SourceError>>;
 
-    /// Trace lines of a request, from every daemon that worked on it.
+    /// Trace lines of a request, from every daemon that handled it.
     fn explain(
         &self,
         request: RequestId,
     ) -> BoxFuture<'_, Result<BTreeMap<VmId, Vec<String>>, SourceError>>;
 }
 
-/// Why an order or a question to another daemon failed.
+/// Why a call to another daemon failed.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum SourceError {
     /// VM "{0}" is not in the register; see `oleandermountctl config wait` for the names in force
     UnknownVm(VmId),
-    /// VM "{0}" cannot be reached from here; ask at its own operators' address
+    /// VM "{0}" cannot be reached from this daemon; use that VM's own operators' address
     Unreachable(VmId),
-    /// VM "{0}" did not answer whether it took the order; give the order again
+    /// VM "{0}" did not confirm the request, which may have been carried out; send it again
     OutcomeUnknown(VmId),
     /// no daemon remembers request "{0}"; ask soon after the request, at a daemon of its failure domain
     UnknownRequest(RequestId),
--- a/src/http_api/operator/wire.rs
+++ b/src/http_api/operator/wire.rs
@@ -1,4 +1,4 @@
-//! The JSON that the operators' interface and its client exchange.
+//! JSON types exchanged by the operators' API and its client.
 
 use {
     crate::{
@@ -13,20 +13,20 @@
     std::collections::BTreeMap,
 };
 
-/// Where a daemon is in its life.
+/// The lifecycle state of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DaemonState {
-    /// It has no configuration yet.
+    /// The daemon has no configuration yet.
     Starting,
-    /// It serves.
+    /// The daemon accepts requests.
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// The daemon completes requests in flight and accepts no new ones.
     Draining,
 }
 
 impl DaemonState {
-    /// The name that operators see.
+    /// The name of the state in the API, in snake case.
     pub fn as_str(self) -> &'static str {
         match self {
             DaemonState::Starting => "starting",
@@ -36,98 +36,98 @@
     }
 }
 
-/// A daemon's account of itself.
+/// The status of a daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DaemonStatus {
-    /// Its VM.
+    /// The VM that the daemon runs on.
     pub vm: VmId,
-    /// Its failure domain.
+    /// The failure domain of the VM.
     pub failure_domain: FailureDomainId,
     /// `entry` or `control`.
     pub role: String,
-    /// Where it is in its life.
+    /// The lifecycle state.
     pub state: DaemonState,
-    /// The configuration revision in force at it.
+    /// The configuration revision in force at the daemon.
     pub revision: Revision,
-    /// What its replica does, such as `leader`; `none` without a data folder.
+    /// The state of the replica, such as `leader`; `none` without a data folder.
     pub replica: String,
-    /// The leader it knows.
+    /// The control leader, if the daemon knows one.
     pub leader: Option<VmId>,
-    /// The term it knows; 0 without a replica.
+    /// The latest term that the daemon knows; 0 without a replica.
     pub term: Term,
-    /// Requests in flight from it.
+    /// Requests in flight at the daemon.
     pub in_flight: u64,
-    /// Seconds since it started.
+    /// Seconds since the daemon started.
     pub uptime_seconds: u64,
-    /// The version of the program.
+    /// The version of the daemon program.
     pub version: String,
 }
 
 /// A backend server as one daemon sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// Its name.
+    /// The server's name in the register.
     pub id: ServerId,
-    /// Its failure domain.
+    /// The server's failure domain.
     pub failure_domain: FailureDomainId,
-    /// What it does.
+    /// Whether the server is an engine or a plain service.
     pub kind: ServerKind,
     /// `alive`, `leaving`, `dead` or `unknown`.
     pub health: String,
-    /// Its present life, if known.
+    /// The current incarnation, if known.
     pub incarnation: Option<Incarnation>,
-    /// Loaded weights by model, as it last reported them.
+    /// Loaded weights by model, from the server's latest report.
     pub weights: BTreeMap<String, WeightsVersion>,
-    /// Requests in flight from this daemon.
+    /// Requests in flight from this daemon to the server.
     pub in_flight: u64,
-    /// Requests that this daemon would have in flight at most, where it limits them.
+    /// Most requests that this daemon may have in flight; `None` without a limit.
     pub window: Option<u64>,
-    /// Requests that run there, as it last reported.
+    /// Running requests, from the server's latest report.
     pub running: Option<u64>,
-    /// Requests that wait there, as it last reported.
+    /// Queued requests, from the server's latest report.
     pub waiting: Option<u64>,
 }
 
-/// What one organisation did at one daemon.
+/// The usage of one organisation at one daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OrganisationStatus {
-    /// Its name.
+    /// The organisation's name in the register.
     pub id: OrganisationId,
-    /// Requests taken in.
+    /// Requests received by the daemon.
     pub requests: u64,
-    /// Requests answered whole.
+    /// Requests that got a complete answer.
     pub answered: u64,
-    /// Requests refused.
+    /// Requests that ended without a complete answer.
     pub refused: u64,
     /// Tokens of prompts and answers.
     pub tokens: u64,
-    /// Requests in flight.
+    /// Requests in flight now.
     pub in_flight: u64,
 }
 
 /// A control replica as the answering daemon knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaEntry {
-    /// Its VM.
+    /// The VM of the replica.
     pub vm: VmId,
-    /// The life of its disk.
+    /// The incarnation of the replica's disk.
     pub incarnation: Incarnation,
-    /// Whether it counts in quorums; otherwise it is catching up.
+    /// Whether the replica counts in quorums; a replica that does not is catching up.
     pub voter: bool,
-    /// Whether it leads.
+    /// Whether the replica is the leader.
     pub leader: bool,
-    /// Its last applied entry, where known.
+    /// The index of the last applied log entry, if known.
     pub applied: Option<LogIndex>,
 }
 
-/// A change of the configuration that was committed.
+/// A committed change of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigChange {
-    /// The revision it made.
+    /// The revision that the change created.
     pub revision: Revision,
     /// `register` or `rules`.
     pub part: String,
-    /// The operator's id of the change.
+    /// The operation id that the operator chose.
     pub operation: OperationId,
     /// Digest of the part's canonical JSON.
     pub digest: DigestHex,
@@ -136,137 +136,137 @@
 /// The configuration in force at the answering daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigReport {
-    /// Its revision.
+    /// The configuration's revision.
     pub revision: Revision,
     /// Digest of the register's canonical JSON.
     pub register_digest: DigestHex,
     /// Digest of the rules' canonical JSON.
     pub rules_digest: DigestHex,
-    /// The register.
+    /// The asset register in force.
     pub register: AssetRegister,
-    /// The rules.
+    /// The rule set in force.
     pub rules: RuleSet,
 }
 
 /// The revision that one daemon has in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VmRevision {
-    /// Its VM.
+    /// The VM that the daemon runs on.
     pub vm: VmId,
-    /// Its failure domain.
+    /// The failure domain of the VM.
     pub failure_domain: FailureDomainId,
-    /// The revision; `None` when the daemon could not be asked.
+    /// The revision; `None` when the daemon did not answer.
     pub revision: Option<Revision>,
 }
 
-/// Where a revision is in force.
+/// The daemons that have a revision in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RevisionReport {
-    /// The revision that was asked for.
+    /// The requested revision.
     pub revision: Revision,
-    /// Every daemon of the register.
+    /// The revision in force at each daemon of the register.
     pub vms: Vec<VmRevision>,
 }
 
 impl RevisionReport {
-    /// Daemons that do not have the revision, or could not be asked.
+    /// Daemons that have an older revision than the requested one, or did not answer.
     pub fn behind(&self) -> impl Iterator<Item = &VmRevision> {
         let wanted = self.revision;
         self.vms.iter().filter(move |vm| vm.revision.is_none_or(|revision| revision < wanted))
     }
 }
 
-/// Where a request went and why.
+/// The trace of a request: the servers that it was sent to, and why.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExplainReport {
-    /// The request.
+    /// The id of the traced request.
     pub request: RequestId,
     /// Trace lines by daemon, oldest first.
     pub traces: BTreeMap<VmId, Vec<String>>,
 }
 
-/// Asks to put a register in force.
+/// A request to put a register in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegisterChange {
-    /// The operator's id of the change, the same in each resend.
+    /// The operation id that the operator chose, the same in each resend.
     pub operation: OperationId,
-    /// The revision the operator saw.
+    /// The revision that the change is based on.
     pub expected: Revision,
-    /// The register.
+    /// The complete new register.
     pub register: AssetRegister,
 }
 
-/// Asks to put a rule set in force.
+/// A request to put a rule set in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RulesChange {
-    /// The operator's id of the change, the same in each resend.
+    /// The operation id that the operator chose, the same in each resend.
     pub operation: OperationId,
-    /// The revision the operator saw.
+    /// The revision that the change is based on.
     pub expected: Revision,
-    /// The rules.
+    /// The complete new rule set.
     pub rules: RuleSet,
 }
 
-/// Names the VM that an order is about.
+/// The body of a request that acts on one VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmAction {
-    /// The VM.
+    /// The VM to act on.
     pub vm: VmId,
 }
 
-/// A change that is in force.
+/// The response to a change that is in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeResponse {
-    /// The revision it made.
+    /// The revision that the change created.
     pub revision: Revision,
-    /// The operator's id of the change.
+    /// The operation id that the operator chose.
     pub operation: OperationId,
     /// Digest of the part's canonical JSON.
     pub digest: DigestHex,
 }
 
-/// An order that was carried out.
+/// The response to an action that was carried out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ActionResponse {
-    /// What was done.
+    /// A description of the completed action, for operators.
     pub done: String,
 }
 
-/// Whether a refused change happened.
+/// Whether a change happened although the response is an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DidHappen {
-    /// It did not and will not.
+    /// The change did not and will not happen.
     No,
-    /// It may have happened or may still happen; ask again with the same operation id.
+    /// The change may have happened or may still happen; send it again with the same operation id.
     Unknown,
 }
 
-/// Why the operators' interface refused.
+/// An error of the operators' API.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OperatorError {
-    /// A fixed name of the kind.
+    /// A fixed, machine-readable name of the error.
     pub code: String,
-    /// What is wrong and what to do.
+    /// A description of the error and its remedy.
     pub message: String,
     /// Whether the change happened.
     pub did_happen: DidHappen,
     /// The revision in force, on a conflict.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<Revision>,
-    /// Digest of the part that won, on a conflict.
+    /// Digest of the part that was committed first, on a conflict.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub winner: Option<DigestHex>,
-    /// Faults of the register or the rules.
+    /// The faults found by validation of the register or the rules.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<InventoryFault>,
 }
 
 impl OperatorError {
-    /// A refusal that promises that nothing happened.
+    /// An error which guarantees that the change did not happen.
     pub fn did_not_happen(code: &str, message: impl ToString) -> Self {
         OperatorError {
             code: code.to_owned(),
@@ -278,7 +278,7 @@
         }
     }
 
-    /// A refusal that cannot promise that.
+    /// An error after which the change may have happened.
     pub fn unknown(code: &str, message: impl ToString) -> Self {
         OperatorError {
             did_happen: DidHappen::Unknown,
@@ -297,9 +297,9 @@
     }
 }
 
-/// The body of every refusal.
+/// The body of every error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The refusal.
+    /// The error; its key in the body is `error`.
     pub error: OperatorError,
 }
--- a/src/http_api/response.rs
+++ b/src/http_api/response.rs
@@ -1,4 +1,4 @@
-//! The forms in which answers leave: JSON bodies, refusals and event streams.
+//! Response formats: JSON bodies, refusals and server-sent event streams.
 
 use {
     crate::{
@@ -21,12 +21,12 @@
     },
 };
 
-/// The header that names a request in every answer.
+/// The response header that carries the request id.
 pub const REQUEST_ID_HEADER: &str = "x-oleandermount-request-id";
-/// The last event of a whole stream.
+/// The last event of a complete stream.
 const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// An answer with a whole body.
+/// Builds a response with a complete body. An invalid `status` becomes 502.
 pub fn body_response(
     status: u16,
     content_type: impl AsRef<str>,
@@ -40,12 +40,12 @@
     response
 }
 
-/// A JSON answer.
+/// Builds a response with a JSON body. An invalid `status` becomes 502.
 pub fn json_response(status: u16, body: &Value, request: &RequestId) -> Response {
     body_response(status, "application/json", body.to_string(), request)
 }
 
-/// The answer of a refusal.
+/// Builds the response to a refused request, with `Retry-After` when the refusal advises a delay.
 pub fn refusal_response(refusal: &CallerRefusal, request: &RequestId) -> Response {
     let mut response = body_response(refusal.status, "application/json", refusal.body(), request);
     if let Some(seconds) = refusal.retry_after_seconds() {
@@ -59,11 +59,14 @@
         (Ok(name), Ok(value)) => {
             headers.insert(name, value);
         }
-        _ => log::warn!(header = name; "a header value of a backend server cannot be passed on"),
+        _ => {
+            log::warn!(header = name; "response header omitted: its value from the backend server is not valid")
+        }
     }
 }
 
-/// An event stream that begins with `first` and goes on with `parts`.
+/// Builds a server-sent event stream that starts with `first` and continues with `parts`. The
+/// request counts as open until the last event has been built.
 pub fn stream_response(
     first: Value,
     parts: mpsc::Receiver<AnswerPart>,
@@ -74,7 +77,7 @@
     let state = StreamState { first: Some(first), parts, delivery, request, open: Some(open) };
     let mut response = body_response(200, "text/event-stream", Bytes::new(), &state.request);
     set_header(response.headers_mut(), header::CACHE_CONTROL.as_str(), "no-cache");
-    *response.body_mut() = Body::from_stream(events(state));
+    *response.body_mut() = Body::from_stream(stream_events(state));
     response
 }
 
@@ -83,11 +86,11 @@
     parts: mpsc::Receiver<AnswerPart>,
     delivery: AnswerDelivery,
     request: RequestId,
-    /// Held until the last event is made; `None` ends the stream.
+    /// Held until the last event is built; `None` ends the stream.
     open: Option<OpenRequest>,
 }
 
-fn events(state: StreamState) -> impl Stream<Item = Result<Bytes, Infallible>> {
+fn stream_events(state: StreamState) -> impl Stream<Item = Result<Bytes, Infallible>> {
     stream::unfold(state, |mut state| async move {
         state.open.as_ref()?;
         let part = match state.first.take() {
@@ -98,7 +101,7 @@
             Some(AnswerPart::Chunk(chunk)) => data_event(&chunk),
             Some(AnswerPart::Whole(usage)) => {
                 state.open = None;
-                last_events(state.delivery, usage, &state.request)
+                final_events(state.delivery, usage, &state.request)
             }
             Some(AnswerPart::Refused(refusal)) => {
                 state.open = None;
@@ -117,12 +120,13 @@
     format!("data: {chunk}\n\n")
 }
 
-/// A truthful end of a stream that is not whole: an error event and no `[DONE]`.
+/// Ends an incomplete stream: an error event without `[DONE]`, so that callers do not take the
+/// stream for a complete one.
 fn error_event(refusal: &CallerRefusal) -> String {
     format!("event: error\ndata: {}\n\n", refusal.body())
 }
 
-fn last_events(delivery: AnswerDelivery, usage: TokenUsage, request: &RequestId) -> String {
+fn final_events(delivery: AnswerDelivery, usage: TokenUsage, request: &RequestId) -> String {
     match delivery {
         AnswerDelivery::StreamedWithUsage => {
             let chunk = json!({ "id": request, "choices": [], "usage": usage_body(usage) });
@@ -132,7 +136,7 @@
     }
 }
 
-/// Token counts in the OpenAI form.
+/// The `usage` object of an OpenAI response. Unknown cached tokens count as 0.
 pub fn usage_body(usage: TokenUsage) -> Value {
     json!({
         "prompt_tokens": usage.prompt_tokens,
--- a/src/http_api/server.rs
+++ b/src/http_api/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and bounds what a caller may send in its head.
+//! HTTP server that limits connections and the size of request headers.
 
 use {
     crate::{
@@ -21,17 +21,17 @@
     viz::{Responder, Router, Tree},
 };
 
-/// Open connections of one port; further callers wait in the kernel's queue.
-const OPEN_CONNECTIONS: usize = 40_000;
-/// The parser takes this many times the limits, so that the pipeline can answer with the remedy;
-/// beyond it the library answers 431 alone.
-const PARSER_SLACK: usize = 2;
-/// After the last request is answered, its bytes leave within this time.
-const LAST_BYTES: Duration = Duration::from_secs(5);
-/// Pause after an accept that failed for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Most open connections of one port; further connections wait in the kernel's accept queue.
+const MAX_CONNECTIONS: usize = 40_000;
+/// The parser accepts this many times the header limits, so that the pipeline can refuse a request
+/// with a message that names the remedy; beyond it the library answers 431 without a message.
+const PARSER_LIMIT_FACTOR: usize = 2;
+/// How long a graceful shutdown waits for open connections to send their last bytes.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay after a failed accept, for example when the process has no file descriptors left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// One listening port with its task.
+/// An HTTP server on one port.
 pub struct HttpServer {
     address: SocketAddr,
     stop: watch::Sender<ServerPhase>,
@@ -45,10 +45,10 @@
 }
 
 impl HttpServer {
-    /// Listens on `address` and serves `router`.
+    /// Binds `address` and serves `router`.
     ///
     /// # Errors
-    /// When the address cannot be listened on.
+    /// When the address cannot be bound.
     pub async fn start(
         address: SocketAddr,
         router: Router,
@@ -60,23 +60,24 @@
         let acceptor = Acceptor {
             tree: Arc::new(router.into()),
             builder: connection_builder(&limits),
-            permits: Arc::new(Semaphore::new(OPEN_CONNECTIONS)),
+            permits: Arc::new(Semaphore::new(MAX_CONNECTIONS)),
             graceful: GracefulShutdown::new(),
         };
         let task = tokio::spawn(acceptor.run(listener, phase));
         Ok(HttpServer { address, stop, task })
     }
 
-    /// Where it listens, with the port that the kernel gave.
+    /// The bound address; a requested port of 0 is replaced by the port that the kernel chose.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the port, lets open exchanges end and closes idle connections.
+    /// Closes the port and idle connections, and waits a few seconds at most until open requests have
+    /// been answered.
     pub async fn stop(self) {
         self.stop.send_replace(ServerPhase::Stopping);
         if self.task.await.is_err() {
-            log::error!("the task of an HTTP port ended badly");
+            log::error!("the HTTP server task panicked");
         }
     }
 }
@@ -86,8 +87,8 @@
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_timeout)
-        .max_headers(limits.max_headers.saturating_mul(PARSER_SLACK))
-        .max_buf_size(limits.max_head_bytes.saturating_mul(PARSER_SLACK).max(8192));
+        .max_headers(limits.max_headers.saturating_mul(PARSER_LIMIT_FACTOR))
+        .max_buf_size(limits.max_head_bytes.saturating_mul(PARSER_LIMIT_FACTOR).max(8192));
     builder
 }
 
@@ -108,14 +109,16 @@
             match accepted {
                 Ok((stream, peer, permit)) => self.serve(stream, peer, permit),
                 Err(error) => {
-                    log::warn!(error:% = error; "a connection was not accepted");
-                    sleep(ACCEPT_PAUSE).await;
+                    log::warn!(error:% = error; "accepting a connection failed; retrying");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
         drop(listener);
-        if timeout(LAST_BYTES, self.graceful.shutdown()).await.is_err() {
-            log::warn!("connections that took no bytes were closed");
+        if timeout(SHUTDOWN_TIMEOUT, self.graceful.shutdown()).await.is_err() {
+            log::warn!(
+                "connections closed at shutdown: their peers did not read the last bytes in time"
+            );
         }
     }
 
@@ -126,13 +129,13 @@
         let permit = Arc::clone(&self.permits)
             .acquire_owned()
             .await
-            .map_err(|_| io::Error::other("the semaphore of connections is closed"))?;
+            .map_err(|_| io::Error::other("the connection semaphore is closed"))?;
         let (stream, peer) = listener.accept().await?;
         Ok((stream, peer, permit))
     }
 
     fn serve(&self, stream: TcpStream, peer: SocketAddr, permit: OwnedSemaphorePermit) {
-        // Tokens are small writes; waiting to join them would delay each. Failure costs latency.
+        // Tokens are small writes, which Nagle's algorithm would delay. A failure only costs latency.
         let _ = stream.set_nodelay(true);
         let responder = Responder::new(Arc::clone(&self.tree), Some(Arc::new(peer)));
         let connection = self.builder.serve_connection(TokioIo::new(stream), responder);
@@ -143,7 +146,7 @@
                 if error.is_timeout() {
                     counter!(REFUSALS, "reason" => refusal::HEAD_TIMEOUT).increment(1);
                 }
-                log::debug!(error:% = error; "a connection ended with an error");
+                log::debug!(error:% = error; "connection failed");
             }
             gauge!(CONNECTIONS).decrement(1.0);
             drop(permit);
