--- a/src/roles.rs
+++ b/src/roles.rs
@@ -1,8 +1,8 @@
-//! Whole nodes of an installation whose backend servers are listed by a platform: entries, which
-//! serve callers by route, and control VMs, which keep the state that all share.
+//! Complete processes of an installation whose platform lists the backend servers: entries, which
+//! serve callers by route, and control VMs, which replicate the shared state.
 //!
-//! What such an installation's messages look like comes in through small traits; see
-//! [`crate::edge::dialect`], [`crate::fleet::watch::FleetSource`] and [`control::EngineClient`].
+//! The installation's message formats are supplied by small traits; see [`crate::edge::dialect`],
+//! [`crate::fleet::watch::FleetSource`] and [`fleet_orders::EngineClient`].
 
 pub mod control;
 pub mod control_directory;
@@ -23,19 +23,19 @@
     },
 };
 
-/// Why a node did not start.
+/// Why a node failed to start.
 #[derive(Debug, Display)]
 pub enum NodeError {
-    /// {purpose}: {address} cannot be listened on: {reason}; give a free address of this VM
+    /// {purpose}: cannot listen on {address}: {reason}; set a free address of this VM
     Listen {
-        /// What it is for.
+        /// The purpose of the port, such as `callers`.
         purpose: &'static str,
-        /// The address.
+        /// The address that could not be bound.
         address: SocketAddr,
-        /// The system's reason.
+        /// The error of the operating system.
         reason: io::Error,
     },
-    /// the network between daemons did not start: {0}
+    /// the peer network did not start: {0}
     Network(TransportError),
     /// the replica did not start: {0}
     Replica(crate::daemon::control_driver::DriverError),
@@ -43,16 +43,18 @@
 
 impl std::error::Error for NodeError {}
 
-/// The name of a VM that is known by its address alone, in a form that certificates carry.
+/// The name of a VM that is known only by its address, in a form that is valid in certificates.
 pub fn vm_from_address(address: IpAddr) -> VmId {
     format!("vm-{}", address.to_string().replace(['.', ':'], "-"))
 }
 
-/// The IPv4 address of a VM named by [`vm_from_address`].
+/// The IPv4 address of a VM named by [`vm_from_address`]; `None` for any other name.
 pub fn address_from_vm(vm: &str) -> Option<IpAddr> {
     vm.strip_prefix("vm-")?.replace('-', ".").parse().ok()
 }
 
 fn random_seed() -> u64 {
-    OsRng.try_next_u64().expect("the kernel's random numbers are always there on supported systems")
+    OsRng
+        .try_next_u64()
+        .expect("the kernel's random number generator is available on supported systems")
 }
--- a/src/roles/control.rs
+++ b/src/roles/control.rs
@@ -1,5 +1,5 @@
-//! A control VM: keeps the replicated state, reads the list of backend servers while it leads, and
-//! answers the daemons that follow it.
+//! A control VM: replicates the shared state, reads the list of backend servers while it is the
+//! leader, and answers the daemons that follow it.
 
 use {
     super::{
@@ -42,50 +42,50 @@
     },
 };
 
-/// How often the leader looks whether a replica is to be replaced.
-const HEAL_EVERY: Duration = Duration::from_millis(250);
-/// How often a replica without a leader looks whether its search is to be told of.
-const SEARCH_LOOK: Duration = Duration::from_secs(1);
-/// Messages of the replica that wait for the network; further ones are lost and sent again.
-const OUTBOUND_BOUND: usize = 4096;
+/// How often the leader checks whether a replica has to be replaced.
+const REPAIR_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How often a replica without a leader checks whether its search for the group has changed.
+const SEARCH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Messages of the replica that wait for the network. Further ones are dropped; the replica sends
+/// them again.
+const OUTBOUND_QUEUE_LENGTH: usize = 4096;
 
-/// What a control VM needs to start.
+/// Settings of a control VM.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// Its VM.
+    /// The name of this VM.
     pub vm: VmId,
-    /// Its failure domain.
+    /// The failure domain of this VM.
     pub failure_domain: FailureDomainId,
-    /// Where it listens for other daemons.
+    /// The UDP address for other daemons.
     pub peer_listen: SocketAddr,
-    /// The folder that its replica alone uses.
+    /// The data folder, used by this replica only.
     pub data_dir: PathBuf,
-    /// The control VMs that found the group together, or are known to belong to it, and where they
-    /// listen.
+    /// The control VMs that form the group, or are known to belong to it, with their addresses.
     pub founders: BTreeMap<VmId, SocketAddr>,
-    /// Whether this VM may found a group: only where the whole installation starts for the first
-    /// time. An empty disk that founds one later would forget what was acknowledged.
+    /// Whether this VM may form a new group. Set it only for the first start of an installation: a
+    /// replica with an empty disk that forms a group later would lose acknowledged changes.
     pub may_found: bool,
-    /// Whether engines refuse orders with a lower fencing number than one that they have seen.
+    /// Whether engines refuse orders whose fencing number is lower than one that they have seen.
     pub engines_check_fencing: bool,
 }
 
 /// A running control VM.
 pub struct ControlNode {
-    /// What operators can ask.
+    /// Handles the operators' requests.
     pub operators: OperatorService,
     network: PeerNetwork,
     founders: BTreeMap<VmId, SocketAddr>,
-    /// The founders and the VMs that the settings name now.
-    known: watch::Sender<BTreeMap<VmId, SocketAddr>>,
+    /// The founders and the control VMs of the current settings.
+    known_peers: watch::Sender<BTreeMap<VmId, SocketAddr>>,
     _tasks: JoinSet<()>,
 }
 
 impl ControlNode {
-    /// Starts a control VM; it waits for nobody.
+    /// Starts a control VM without waiting for other VMs.
     ///
     /// # Errors
-    /// When an address or the data folder cannot be used.
+    /// When an address cannot be bound or the data folder cannot be used.
     pub fn start(
         settings: ControlSettings,
         source: Arc<dyn FleetSource>,
@@ -93,49 +93,56 @@
     ) -> Result<Self, NodeError> {
         let mut tasks = JoinSet::new();
         let board = Arc::new(FleetBoard::default());
-        let desk = Arc::new(FollowDesk::new(settings.failure_domain.clone(), Arc::clone(&board)));
-        let place = UnauthenticatedSettings {
+        let follow_service =
+            Arc::new(FollowDesk::new(settings.failure_domain.clone(), Arc::clone(&board)));
+        let network_settings = UnauthenticatedSettings {
             vm: settings.vm.clone(),
             listen: settings.peer_listen,
             peers: settings.founders.clone(),
         };
-        let handler = Arc::new(ControlHandler { desk: Arc::clone(&desk) });
-        let network =
-            PeerNetwork::start_unauthenticated(place, handler).map_err(NodeError::Network)?;
+        let handler = Arc::new(ControlHandler { desk: Arc::clone(&follow_service) });
+        let network = PeerNetwork::start_unauthenticated(network_settings, handler)
+            .map_err(NodeError::Network)?;
         let replica = start_replica(&settings, &network, &mut tasks)?;
-        desk.open(replica.clone());
-        let leads = replica.clone();
-        tasks.spawn(read_list(Arc::clone(&board), source, move || leads.lease_valid()));
+        follow_service.open(replica.clone());
+        let lease = replica.clone();
+        tasks.spawn(read_list(Arc::clone(&board), source, move || lease.lease_valid()));
         tasks.spawn(show_list(Arc::clone(&board)));
-        spawn_follower(&settings, &network, &replica, &desk, &board, &mut tasks);
-        let (known, known_watch) = watch::channel(settings.founders.clone());
-        tasks.spawn(tell_search(replica.clone(), known_watch.clone()));
-        tasks.spawn(follow_members(network.clone(), replica.clone(), known_watch));
+        spawn_follower(&settings, &network, &replica, &follow_service, &board, &mut tasks);
+        let (known_peers, known_peer_watch) = watch::channel(settings.founders.clone());
+        tasks.spawn(log_group_search(replica.clone(), known_peer_watch.clone()));
+        tasks.spawn(update_peers(network.clone(), replica.clone(), known_peer_watch));
         let founders = settings.founders.len();
-        tasks.spawn(heal(settings.vm.clone(), replica.clone(), founders));
+        tasks.spawn(repair_replicas(settings.vm.clone(), replica.clone(), founders));
         spawn_orders(&settings, &replica, &board, engines, &mut tasks);
-        tasks.spawn(tell_leaders(settings.vm.clone(), replica.clone()));
-        tasks.spawn(tell_members(settings.vm.clone(), replica.clone()));
+        tasks.spawn(log_leader_changes(settings.vm.clone(), replica.clone()));
+        tasks.spawn(log_member_changes(settings.vm.clone(), replica.clone()));
         log::info!(vm = settings.vm.as_str(), founders = settings.founders.len();
             "control VM started");
         let operators = OperatorService::new(settings.vm, replica);
-        Ok(ControlNode { operators, network, founders: settings.founders, known, _tasks: tasks })
+        Ok(ControlNode {
+            operators,
+            network,
+            founders: settings.founders,
+            known_peers,
+            _tasks: tasks,
+        })
     }
 
-    /// Takes over where the settings say that control VMs are now. A replica of an empty disk that
-    /// was told of VMs which are gone makes itself known to these. The founders stay reachable: while
-    /// the group is not founded, each of them waits for all others.
+    /// Applies the control VMs of reloaded settings. A replica with an empty disk whose first settings
+    /// named VMs that no longer exist finds the group through these VMs. The founders stay reachable:
+    /// until the group is formed, each of them waits for all others.
     pub fn set_known_peers(&self, control: BTreeMap<VmId, SocketAddr>) {
         let founders = self.founders.clone().into_iter();
-        self.known.send_replace(founders.chain(control).collect());
+        self.known_peers.send_replace(founders.chain(control).collect());
     }
 
-    /// The VMs that it knows without the replicas' membership.
+    /// The control VMs known from the settings, independent of the replicas' membership.
     pub fn known_peers(&self) -> BTreeMap<VmId, SocketAddr> {
-        self.known.borrow().clone()
+        self.known_peers.borrow().clone()
     }
 
-    /// Ends the connections to other daemons, so that they need not wait for their silence.
+    /// Closes the connections to other daemons, so that they do not have to wait for a timeout.
     pub async fn stop(self) {
         self.network.close().await;
         log::info!("stopped");
@@ -147,10 +154,10 @@
     network: &PeerNetwork,
     tasks: &mut JoinSet<()>,
 ) -> Result<ControlHandle, NodeError> {
-    let (outbound, mut messages) = mpsc::channel(OUTBOUND_BOUND);
-    // A replica founds nothing that it is no founder of.
-    let own = |vm: &&VmId| settings.may_found || **vm != settings.vm;
-    let founders = settings.founders.keys().filter(own).cloned().collect();
+    let (outbound, mut messages) = mpsc::channel(OUTBOUND_QUEUE_LENGTH);
+    // Without `may_found` this VM is left out of the founders, so that its replica forms no group.
+    let is_founder = |vm: &&VmId| settings.may_found || **vm != settings.vm;
+    let founders = settings.founders.keys().filter(is_founder).cloned().collect();
     let driver = DriverSettings::new(
         settings.vm.clone(),
         founders,
@@ -167,12 +174,12 @@
     Ok(handle)
 }
 
-/// Follows the leader for the server list and the number of entries.
+/// Follows the leader to get the server list and the number of entries.
 fn spawn_follower(
     settings: &ControlSettings,
     network: &PeerNetwork,
     replica: &ControlHandle,
-    desk: &Arc<FollowDesk>,
+    follow_service: &Arc<FollowDesk>,
     board: &Arc<FleetBoard>,
     tasks: &mut JoinSet<()>,
 ) {
@@ -192,7 +199,10 @@
             }
         }
     });
-    let port = Arc::new(ControlFollower { desk: Arc::clone(desk), board: Arc::clone(board) });
+    let port = Arc::new(ControlFollower {
+        follow_service: Arc::clone(follow_service),
+        board: Arc::clone(board),
+    });
     let (state, _) = watch::channel(SharedState::default());
     let domain = settings.failure_domain.clone();
     let task = FollowTask::new(network.clone(), domain, candidate_watch, state, port);
@@ -215,22 +225,22 @@
     tasks.spawn(orders.timed(FLEET_TIMING).run());
 }
 
-/// Keeps the network's peers to the members, those that ask to become one, and those that the
+/// Keeps the peers of the network up to date: members, VMs that ask to join, and VMs that the
 /// settings or other control VMs name.
-async fn follow_members(
+async fn update_peers(
     network: PeerNetwork,
     replica: ControlHandle,
     mut settings: watch::Receiver<BTreeMap<VmId, SocketAddr>>,
 ) {
     let port = network.local_address().port();
     let mut status = replica.status_watch();
-    let (mut known, mut introduced) = (BTreeMap::new(), BTreeMap::new());
+    let (mut current, mut introduced) = (BTreeMap::new(), BTreeMap::new());
     loop {
         let peers = {
-            let named_here = settings.borrow_and_update().clone();
-            if named_here != introduced {
-                replica.introduce(named_here.keys().cloned().collect());
-                introduced.clone_from(&named_here);
+            let configured = settings.borrow_and_update().clone();
+            if configured != introduced {
+                replica.introduce(configured.keys().cloned().collect());
+                introduced.clone_from(&configured);
             }
             let status = status.borrow_and_update();
             let members = status.members.members().map(|(vm, _)| vm);
@@ -238,11 +248,11 @@
                 .chain(status.outsiders.keys())
                 .chain(&status.contacts)
                 .filter_map(|vm| Some((vm.clone(), SocketAddr::new(address_from_vm(vm)?, port))));
-            named.chain(named_here).collect::<BTreeMap<_, _>>()
+            named.chain(configured).collect::<BTreeMap<_, _>>()
         };
-        if peers != known {
+        if peers != current {
             network.set_peers(peers.clone());
-            known = peers;
+            current = peers;
         }
         let ended = tokio::select! {
             changed = status.changed() => changed.is_err(),
@@ -254,8 +264,8 @@
     }
 }
 
-/// Tells in the log who leads, from when to when.
-async fn tell_leaders(vm: VmId, replica: ControlHandle) {
+/// Logs each change of the leader.
+async fn log_leader_changes(vm: VmId, replica: ControlHandle) {
     let mut status = replica.status_watch();
     let mut known: Option<VmId> = None;
     loop {
@@ -285,8 +295,8 @@
     }
 }
 
-/// Tells in the log, on the leader, of which replicas the group consists.
-async fn tell_members(vm: VmId, replica: ControlHandle) {
+/// Logs each change of the group's members; only the leader does so.
+async fn log_member_changes(vm: VmId, replica: ControlHandle) {
     let mut status = replica.status_watch();
     let mut known = Membership::default();
     loop {
@@ -307,28 +317,28 @@
     }
 }
 
-/// Replaces lost replicas while this one leads.
-async fn heal(vm: VmId, replica: ControlHandle, founders: usize) {
-    let mut told = None;
+/// Replaces lost replicas while this VM is the leader.
+async fn repair_replicas(vm: VmId, replica: ControlHandle, founders: usize) {
+    let mut logged = None;
     loop {
-        sleep(HEAL_EVERY).await;
+        sleep(REPAIR_CHECK_INTERVAL).await;
         let status = replica.status();
         let voters = wanted_voters(&status, founders);
-        tell_need(&mut told, repair_need(Instant::now(), &status, voters));
+        log_repair_need(&mut logged, repair_need(Instant::now(), &status, voters));
         let Some(command) = next_repair(Instant::now(), &status, voters) else {
             continue;
         };
         log::warn!(vm = vm.as_str(), change:? = command; "replicas are mended");
         match replica.propose_local(command).await {
             Ok(outcome) => log::info!(outcome:? = outcome; "replicas: change decided"),
-            Err(error) => log::info!(error:% = error; "replicas: change not decided"),
+            Err(error) => log::info!(error:% = error; "replicas: change not committed"),
         }
     }
 }
 
-/// Tells in the log what the leader misses whenever that changes.
-fn tell_need(told: &mut Option<RepairNeed>, need: Option<RepairNeed>) {
-    if *told == need {
+/// Logs a change of the replicas that the leader lacks.
+fn log_repair_need(logged: &mut Option<RepairNeed>, need: Option<RepairNeed>) {
+    if *logged == need {
         return;
     }
     match &need {
@@ -336,18 +346,20 @@
             standing_by = need.standing_by.join(","); "{}", events::REPAIR_NEEDED),
         None => log::info!("{}", events::REPAIR_DONE),
     }
-    *told = need;
+    *logged = need;
 }
 
-/// Whom a replica without a leader asks for a place in the group, and whom it hears.
+/// The state of a leaderless replica's search for the group.
 #[derive(Debug, PartialEq, Eq)]
 struct GroupSearch {
+    /// VMs that the replica asks to be admitted to the group.
     asked: BTreeSet<VmId>,
+    /// VMs that the replica receives messages from.
     heard: BTreeSet<VmId>,
 }
 
 impl GroupSearch {
-    /// `None` while a leader is known.
+    /// The search of a replica with this status; `None` while it knows a leader.
     fn of(status: &ReplicaStatus, named: &BTreeMap<VmId, SocketAddr>) -> Option<Self> {
         if status.leader.is_some() {
             return None;
@@ -359,13 +371,16 @@
     }
 }
 
-/// Tells in the log of the search for the group whenever it changes.
-async fn tell_search(replica: ControlHandle, known: watch::Receiver<BTreeMap<VmId, SocketAddr>>) {
-    let mut told = None;
+/// Logs each change of the search for the group.
+async fn log_group_search(
+    replica: ControlHandle,
+    known: watch::Receiver<BTreeMap<VmId, SocketAddr>>,
+) {
+    let mut logged = None;
     loop {
-        sleep(SEARCH_LOOK).await;
+        sleep(SEARCH_CHECK_INTERVAL).await;
         let search = GroupSearch::of(&replica.status(), &known.borrow());
-        if search == told {
+        if search == logged {
             continue;
         }
         if let Some(search) = &search {
@@ -373,22 +388,22 @@
             log::info!(asked = names(&search.asked), heard = names(&search.heard);
                 "{}", events::PLACE_SOUGHT);
         }
-        told = search;
+        logged = search;
     }
 }
 
 struct ControlFollower {
-    desk: Arc<FollowDesk>,
+    follow_service: Arc<FollowDesk>,
     board: Arc<FleetBoard>,
 }
 
 impl FollowerPort for ControlFollower {
     fn kind(&self) -> FollowerKind {
-        FollowerKind::Control { entries: self.desk.own_entries() }
+        FollowerKind::Control { entries: self.follow_service.own_entries() }
     }
 
     fn heard(&self, reply: &FollowReply, state: &SharedState) {
-        self.desk.note_entries(reply.entries);
+        self.follow_service.note_entries(reply.entries);
         if reply.list_fresh {
             self.board.take_leaders(state.fleet.clone());
         }
--- a/src/roles/control_directory.rs
+++ b/src/roles/control_directory.rs
@@ -1,4 +1,4 @@
-//! The control VMs that a node knows, and where they are.
+//! The addresses of the control VMs that a node knows.
 
 use {
     super::address_from_vm,
@@ -11,12 +11,13 @@
     tokio::sync::watch,
 };
 
-/// Control VMs remembered: the seven that may be set aside, several times replaced. Beyond it the
-/// first names are dropped; those of the settings come again with them.
-const MAX_KNOWN: usize = 32;
+/// Most control VMs in the directory: room for seven VMs that were replaced several times. Beyond it
+/// the first names in sort order are dropped; those in the settings return when the settings are
+/// reloaded.
+const MAX_CONTROL_VMS: usize = 32;
 
-/// The control VMs of one node. VMs that are gone stay in it: they cost a question now and then, and
-/// a VM that is only away for long must be found when it returns.
+/// The control VMs of one node. Unreachable VMs stay in the directory: they cost an occasional
+/// request, and a VM that returns after a long outage has to be found again.
 pub struct ControlDirectory {
     network: PeerNetwork,
     /// All VMs listen on the same port.
@@ -26,7 +27,7 @@
 }
 
 impl ControlDirectory {
-    /// A book that begins with `known`.
+    /// Creates a directory with the VMs `known`.
     pub fn new(
         network: PeerNetwork,
         known: BTreeMap<VmId, SocketAddr>,
@@ -36,17 +37,17 @@
         ControlDirectory { network, port, known: Mutex::new(known), candidates }
     }
 
-    /// Where a VM listens for other daemons.
+    /// The peer address of a VM; `None` if its name does not contain an address.
     pub fn peer_address(&self, vm: &VmId) -> Option<SocketAddr> {
         Some(SocketAddr::new(address_from_vm(vm)?, self.port))
     }
 
-    /// Takes more VMs in.
+    /// Adds VMs, and updates the network's peers if the number of known VMs has changed.
     pub fn add(&self, more: BTreeMap<VmId, SocketAddr>) {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         let before = known.len();
         known.extend(more);
-        while known.len() > MAX_KNOWN {
+        while known.len() > MAX_CONTROL_VMS {
             known.pop_first();
         }
         if known.len() != before {
--- a/src/roles/entry.rs
+++ b/src/roles/entry.rs
@@ -1,4 +1,4 @@
-//! An entry: serves callers by route with what it learns from the control VMs.
+//! An entry: serves callers by route, with routes and servers learned from the control VMs.
 
 use {
     super::{
@@ -41,57 +41,58 @@
     },
 };
 
-/// Duties of the dispatcher that wait; each is a hint or is given again.
-const DUTY_BOUND: usize = 256;
-/// While it stops, an entry still takes new connections for so long: the balancer asks once a
-/// second and believes the second answer.
-const LEAVING_TIME: Duration = Duration::from_millis(2_500);
-/// From then on it refuses what comes: a balancer that has too few other entries goes on sending
-/// callers here, and an answer that begins later than this could not end before the kill.
-const REFUSING_AFTER: Duration = Duration::from_millis(2_900);
-/// Without a change the state is applied again so often, which also closes connections that were
-/// idle for too long.
-const IDLE_LOOK: Duration = Duration::from_secs(5);
-/// The end of the grace that is kept for the last bytes to leave.
-const LAST_BYTES: Duration = Duration::from_millis(400);
+/// Duties of the dispatcher that may be queued. A dropped duty does no harm: each is a hint or is
+/// issued again.
+const DUTY_QUEUE_LENGTH: usize = 256;
+/// How long a stopping entry still accepts new connections. The balancer checks readiness once a
+/// second and acts on the second failed check.
+const ACCEPT_WHILE_STOPPING: Duration = Duration::from_millis(2_500);
+/// When a stopping entry begins to refuse new requests. A balancer with too few other entries keeps
+/// sending callers here, and an answer that starts later could not end before the process is killed.
+const REFUSE_AFTER: Duration = Duration::from_millis(2_900);
+/// How often the state is applied again when nothing has changed, which also closes connections that
+/// were idle for too long.
+const REAPPLY_INTERVAL: Duration = Duration::from_secs(5);
+/// The last part of the grace period, reserved for sending the last bytes.
+const FLUSH_TIME: Duration = Duration::from_millis(400);
 
-/// Reads the operators' document.
+/// Parses the operators' configuration document.
 pub trait RouteParser: Send + Sync {
-    /// The route table of a document.
+    /// Parses and validates the route table of a document.
     ///
     /// # Errors
-    /// What is wrong with it, and what to do.
+    /// The first fault of the document, with its remedy.
     fn parse(&self, document: &str) -> Result<RouteTable, RouteFault>;
 }
 
-/// What an entry needs to start.
+/// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// Its VM.
+    /// The name of this VM.
     pub vm: VmId,
-    /// Its failure domain.
+    /// The failure domain of this VM.
     pub failure_domain: FailureDomainId,
-    /// Where it listens for callers.
+    /// The TCP address for callers.
     pub caller_listen: SocketAddr,
-    /// Where it tells whether it is ready.
+    /// The TCP address for readiness checks.
     pub readiness_listen: SocketAddr,
-    /// The path that it tells it on.
+    /// The path of readiness checks.
     pub readiness_path: String,
-    /// Where it listens for other daemons.
+    /// The UDP address for other daemons.
     pub peer_listen: SocketAddr,
-    /// Callers' connections at a time.
+    /// Most concurrent connections of callers.
     pub max_connections: usize,
-    /// Retries in a row that all entries together may make beyond their part of the traffic.
+    /// Burst of retries that all entries together may make in excess of the retry ratio.
     pub retry_reserve: f64,
-    /// From the order to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub grace: Duration,
-    /// What placement optimises.
+    /// What the placement of requests optimises.
     pub objective: DecisionObjective,
-    /// Mechanisms of the policy that are off; empty but while an operator looks for a cause.
+    /// Disabled mechanisms of the policy; empty except while an operator diagnoses a problem.
     pub disabled: SafeguardSet,
 }
 
-/// What the part of an entry that serves requests needs to start.
+/// Settings of the part of an entry that serves requests.
 #[derive(Clone, Debug)]
 pub struct CoreSettings {
     /// As in [`EntrySettings`].
@@ -104,10 +105,10 @@
     pub disabled: SafeguardSet,
 }
 
-/// What a running entry takes over when its settings change.
+/// Settings that a running entry applies when they are reloaded.
 #[derive(Clone, Debug)]
 pub struct ReloadedSettings {
-    /// Where control VMs are now; those known so far stay in use.
+    /// The addresses of control VMs; those known before stay in use.
     pub control: BTreeMap<VmId, SocketAddr>,
     /// As in [`EntrySettings`].
     pub retry_reserve: f64,
@@ -121,16 +122,16 @@
     retry_reserve: watch::Sender<f64>,
     core: Arc<EdgeCore>,
     port: CallerPort,
-    leaving: Arc<AtomicBool>,
-    candidates: Arc<ControlDirectory>,
+    stopping: Arc<AtomicBool>,
+    directory: Arc<ControlDirectory>,
     _tasks: JoinSet<()>,
 }
 
 impl EntryNode {
-    /// Starts an entry; it waits for nobody, and is ready once it knows routes and servers.
+    /// Starts an entry without waiting for other VMs. It is ready once it knows routes and servers.
     ///
     /// # Errors
-    /// When an address cannot be listened on.
+    /// When an address cannot be bound.
     pub async fn start(
         settings: EntrySettings,
         control: BTreeMap<VmId, SocketAddr>,
@@ -139,12 +140,12 @@
     ) -> Result<Self, NodeError> {
         let mut tasks = JoinSet::new();
         let (candidates, candidate_watch) = watch::channel(control.keys().cloned().collect());
-        let place = UnauthenticatedSettings {
+        let network_settings = UnauthenticatedSettings {
             vm: settings.vm.clone(),
             listen: settings.peer_listen,
             peers: control.clone(),
         };
-        let network = PeerNetwork::start_unauthenticated(place, Arc::new(EntryHandler))
+        let network = PeerNetwork::start_unauthenticated(network_settings, Arc::new(EntryHandler))
             .map_err(NodeError::Network)?;
         settings.disabled.warn_if_any();
         let core_settings = CoreSettings {
@@ -159,12 +160,12 @@
         let follower = Arc::new(EntryFollower { notice: Mutex::default() });
         let task = FollowTask::new(network.clone(), domain, candidate_watch, state, follower);
         tasks.spawn(task.run());
-        let candidates = Arc::new(ControlDirectory::new(network.clone(), control, candidates));
-        tasks.spawn(follow_control(Arc::clone(&candidates), states.clone()));
+        let directory = Arc::new(ControlDirectory::new(network.clone(), control, candidates));
+        tasks.spawn(update_directory(Arc::clone(&directory), states.clone()));
         let (retry_reserve, reserve_watch) = watch::channel(settings.retry_reserve);
         tasks.spawn(apply_states(Arc::clone(&core), states, reader, reserve_watch));
-        let leaving = Arc::new(AtomicBool::new(false));
-        tasks.spawn(serve_readiness(&settings, Arc::clone(&core), Arc::clone(&leaving)).await?);
+        let stopping = Arc::new(AtomicBool::new(false));
+        tasks.spawn(serve_readiness(&settings, Arc::clone(&core), Arc::clone(&stopping)).await?);
         let port =
             CallerPort::start(settings.caller_listen, Arc::clone(&core), settings.max_connections)
                 .await
@@ -174,50 +175,54 @@
                     reason,
                 })?;
         log::info!(vm = settings.vm.as_str(), callers:% = settings.caller_listen; "entry started");
-        Ok(EntryNode { settings, retry_reserve, core, port, leaving, candidates, _tasks: tasks })
+        Ok(EntryNode { settings, retry_reserve, core, port, stopping, directory, _tasks: tasks })
     }
 
-    /// Takes over changed settings. Nothing that is in flight is touched.
-    pub fn reload(&mut self, renewed: ReloadedSettings) {
-        let ReloadedSettings { control, retry_reserve, grace } = renewed;
+    /// Applies reloaded settings. Requests in flight are not affected.
+    pub fn reload(&mut self, reloaded: ReloadedSettings) {
+        let ReloadedSettings { control, retry_reserve, grace } = reloaded;
         self.settings.grace = grace;
         self.retry_reserve.send_replace(retry_reserve);
-        self.candidates.add(control);
+        self.directory.add(control);
     }
 
-    /// Stops without cutting anything off: first it is no longer ready, then connections end with
-    /// their answers, then idle ones, and the process goes when nothing is in flight.
+    /// Stops gracefully: readiness checks fail first, then connections close after their answers, then
+    /// idle connections close, and new requests are refused. Returns when no request is in flight or
+    /// the grace period is over.
     pub async fn stop(self) {
         let began = Instant::now();
-        self.leaving.store(true, Ordering::SeqCst);
+        self.stopping.store(true, Ordering::SeqCst);
         self.port.begin_closing();
         log::info!(in_flight = self.core.gate.in_flight(); "stopping: not ready any more");
-        sleep(LEAVING_TIME).await;
+        sleep(ACCEPT_WHILE_STOPPING).await;
         self.port.end_idle();
-        sleep(REFUSING_AFTER - LEAVING_TIME).await;
+        sleep(REFUSE_AFTER - ACCEPT_WHILE_STOPPING).await;
         self.core.gate.begin();
-        let left = self.settings.grace.saturating_sub(began.elapsed() + LAST_BYTES);
+        let left = self.settings.grace.saturating_sub(began.elapsed() + FLUSH_TIME);
         if timeout(left, self.core.gate.wait_empty()).await.is_err() {
-            log::error!(cut = self.core.gate.in_flight(); "requests are cut off: the grace is over");
+            log::error!(cut = self.core.gate.in_flight(); "requests cut off: the grace period is over");
         }
         self.port.stop();
         log::info!("stopped");
     }
 }
 
-async fn follow_control(book: Arc<ControlDirectory>, mut states: watch::Receiver<SharedState>) {
+async fn update_directory(
+    directory: Arc<ControlDirectory>,
+    mut states: watch::Receiver<SharedState>,
+) {
     while states.changed().await.is_ok() {
         let control = states.borrow_and_update().control.clone();
-        book.add(
+        directory.add(
             control
                 .into_iter()
-                .filter_map(|vm| Some((vm.clone(), book.peer_address(&vm)?)))
+                .filter_map(|vm| Some((vm.clone(), directory.peer_address(&vm)?)))
                 .collect(),
         );
     }
 }
 
-/// Tells in the log when the control VMs lose the server list.
+/// Logs when the control VMs lose the server list.
 struct EntryFollower {
     notice: Mutex<ListNotice>,
 }
@@ -234,8 +239,8 @@
     }
 }
 
-/// Starts the part of an entry that serves requests, without its ports and without what it learns
-/// from others; its tasks run until `tasks` is dropped.
+/// Starts the part of an entry that serves requests, without its ports and without a connection to
+/// control VMs. Its tasks run until `tasks` is dropped.
 pub fn start_core(
     settings: CoreSettings,
     dialect: Arc<dyn WireDialect>,
@@ -248,7 +253,7 @@
         seed: random_seed(),
         disabled,
     });
-    let (duties, duty_queue) = mpsc::channel(DUTY_BOUND);
+    let (duties, duty_queue) = mpsc::channel(DUTY_QUEUE_LENGTH);
     let port = DispatchPort::new(dispatcher, duties, Arc::new(TraceLog::default()));
     let core = EdgeCore::new(EdgeParts { vm, objective, dialect, port: Arc::clone(&port) });
     tasks.spawn(async move { port.run_wakeups().await });
@@ -257,8 +262,8 @@
     core
 }
 
-/// Carries out what the dispatcher asks for beside requests. A cancelled attempt's connection is
-/// closed already, which its server takes as the cancel.
+/// Carries out the dispatcher's probes. Other duties need no action: a cancelled attempt's connection
+/// is already closed, which its server treats as the cancellation.
 async fn run_duties(core: Arc<EdgeCore>, mut duties: mpsc::Receiver<DispatchDuty>) {
     while let Some(duty) = duties.recv().await {
         if let DispatchDuty::Probe { server } = duty {
@@ -268,24 +273,25 @@
     }
 }
 
-/// Puts what was learned in force.
+/// Puts each new state from the control VMs in force.
 async fn apply_states(
     core: Arc<EdgeCore>,
     mut states: watch::Receiver<SharedState>,
     reader: Arc<dyn RouteParser>,
     mut retry_reserve: watch::Receiver<f64>,
 ) {
-    let mut routes = RouteKeeper::default();
-    let mut clock = RequiredWeights::default();
+    let mut routes = RouteCache::default();
+    let mut requirements = RequiredWeights::default();
     loop {
-        let due = clock.next_change().unwrap_or_else(|| StdInstant::now() + IDLE_LOOK);
+        let due =
+            requirements.next_change().unwrap_or_else(|| StdInstant::now() + REAPPLY_INTERVAL);
         tokio::select! {
             changed = states.changed() => if changed.is_err() { return },
             changed = retry_reserve.changed() => if changed.is_err() { return },
             () = sleep_until(due.into()) => {}
         }
         let state = states.borrow_and_update().clone();
-        let required = clock.update(StdInstant::now(), &state.weights, state.term);
+        let required = requirements.update(StdInstant::now(), &state.weights, state.term);
         let index = routes.index_for(state.document.number, &state.document.body, &*reader);
         let fleet = state.fleet.unwrap_or_default();
         let entries = state.entries.max(1);
@@ -295,14 +301,14 @@
     }
 }
 
-/// The routes in force; a document is read once.
+/// The routes in force. Each document is parsed once.
 #[derive(Default)]
-struct RouteKeeper {
+struct RouteCache {
     number: DocumentNumber,
     index: Option<Arc<RouteIndex>>,
 }
 
-impl RouteKeeper {
+impl RouteCache {
     fn index_for(
         &mut self,
         number: DocumentNumber,
@@ -316,9 +322,9 @@
                         "{}", events::ROUTES_IN_FORCE);
                     self.index = Some(Arc::new(RouteIndex::new(Arc::new(table))));
                 }
-                // It was checked before it was accepted: another release accepted it.
+                // Documents are validated before they are accepted, so another release accepted it.
                 Err(fault) => log::error!(document = number, fault:% = fault;
-                    "an accepted document cannot be read here; the former routes stay"),
+                    "an accepted document cannot be parsed by this release; the previous routes stay in force"),
             }
             self.number = number;
         }
@@ -329,16 +335,16 @@
 async fn serve_readiness(
     settings: &EntrySettings,
     core: Arc<EdgeCore>,
-    leaving: Arc<AtomicBool>,
+    stopping: Arc<AtomicBool>,
 ) -> Result<impl Future<Output = ()> + use<>, NodeError> {
     let path = settings.readiness_path.clone();
     let server = serve_health_page(settings.readiness_listen, move |request| {
         if request.uri().path() != path || request.method() != Method::GET {
-            return (StatusCode::NOT_FOUND, "ask for the readiness path\n".to_owned());
+            return (StatusCode::NOT_FOUND, "unknown path; use the readiness path\n".to_owned());
         }
         let view = core.view();
-        let knows = view.index.is_some() && !view.servers.is_empty();
-        match knows && !leaving.load(Ordering::SeqCst) {
+        let has_state = view.index.is_some() && !view.servers.is_empty();
+        match has_state && !stopping.load(Ordering::SeqCst) {
             true => (StatusCode::OK, "ready\n".to_owned()),
             false => (StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned()),
         }
@@ -349,7 +355,7 @@
         reason,
     })?;
     Ok(async move {
-        // It ends with the process.
+        // The task runs until the process ends.
         let _ = task.await;
     })
 }
--- a/src/roles/file_watch.rs
+++ b/src/roles/file_watch.rs
@@ -1,7 +1,7 @@
-//! Notices that a settings file has changed, with or without a signal.
+//! Detects changes of a settings file by polling.
 //!
-//! Whoever replaces the file may not be able to signal, or the signal may come while the process is
-//! frozen. The kernel's notices of changes are not to be had on every system, so the file is read.
+//! A program that replaces the file may not be able to send a signal, or the signal may arrive while
+//! the process is paused. The kernel's change notifications are not available on every system.
 
 use {
     std::{fs, path::PathBuf, time::Duration},
@@ -9,43 +9,44 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Between two readings: what a settings file changes (where control VMs are) is of use within
-/// seconds, and a reading costs a few system calls.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Interval between two reads. A change of the settings (the addresses of control VMs) is needed
+/// within seconds, and a read costs a few system calls.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A file that is watched.
+/// Watches one file for changes of its content.
 pub struct FileWatch {
     path: PathBuf,
-    /// The digest of what it held when it was last looked at; `None` while it cannot be read.
-    seen: Option<u64>,
+    /// The digest of the content at the last successful read; `None` before the first.
+    last_digest: Option<u64>,
 }
 
 impl FileWatch {
-    /// Watches the file from what it holds now.
+    /// Starts from the present content of the file.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         let path = path.into();
-        let seen = digest(&path);
-        FileWatch { path, seen }
+        let last_digest = digest(&path);
+        FileWatch { path, last_digest }
     }
 
-    /// Waits until the file holds something else than when it was last looked at. Cancel safe.
+    /// Waits until the content differs from that of the last check. Cancel safe.
     ///
-    /// A file that cannot be read is no change: whoever replaces it may be half way.
+    /// A file that cannot be read does not count as changed, since it may be in the middle of being
+    /// replaced.
     pub async fn changed(&mut self) {
         loop {
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
             if self.check() {
                 return;
             }
         }
     }
 
-    /// Looks at the file now; true if it has changed.
+    /// Reads the file now; true if its content differs from that of the last check.
     pub fn check(&mut self) -> bool {
         let now = digest(&self.path);
-        let changed = now.is_some() && now != self.seen;
+        let changed = now.is_some() && now != self.last_digest;
         if changed {
-            self.seen = now;
+            self.last_digest = now;
         }
         changed
     }
@@ -53,7 +54,7 @@
 
 fn digest(path: &PathBuf) -> Option<u64> {
     fs::read(path)
-        .inspect_err(|error| log::debug!(path:% = path.display(), error:% = error; "not read"))
+        .inspect_err(|error| log::debug!(path:% = path.display(), error:% = error; "the settings file cannot be read"))
         .ok()
         .map(|bytes| xxh3_64(&bytes))
 }
--- a/src/roles/fleet_orders.rs
+++ b/src/roles/fleet_orders.rs
@@ -1,4 +1,4 @@
-//! Brings the listed engines to the weights that operators name.
+//! Orders the listed engines to load the weights that operators name.
 
 use {
     crate::{
@@ -26,29 +26,30 @@
     tokio::sync::watch,
 };
 
-/// The part of the engines that loads, or finishes what it has before, at a time. A turn takes about
-/// a second, so all of them end within the 8 s that operators allow. The others have emptied caches to
-/// fill beside their usual load: with more of them away at once they cannot carry both, and loads slow
-/// each other down.
-const LOADING_PART: (usize, usize) = (1, 6);
+/// The fraction of engines that drain or load at the same time. Each engine takes about a second, so
+/// all of them are done within the 8 s that operators allow. Engines that have loaded refill their
+/// empty caches in addition to their usual load; with a larger fraction out of service they could not
+/// carry both, and loads slow each other down.
+const LOADING_FRACTION: (usize, usize) = (1, 6);
 
-/// What becomes of the answers that an engine is making when its load begins.
+/// What an engine does with answers in progress when it begins to load weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InFlightWork {
-    /// The load waits for their end.
+    /// The load waits until the answers are complete.
     Finish,
-    /// They go on, on the new weights from then on.
+    /// The answers continue, with the new weights once these are loaded.
     Continue,
 }
 
-/// Answers go on: the server was held back before, so few are left, and waiting for the longest of
-/// them takes several times as long as the load.
-const RUNNING_WORK: InFlightWork = InFlightWork::Continue;
+/// Answers continue. The server was drained before, so few of them are left, and waiting for the
+/// longest takes several times as long as the load.
+const IN_FLIGHT_WORK: InFlightWork = InFlightWork::Continue;
 
-/// Orders to engines that load within a second, with versions named every few seconds and orders that
-/// get lost: an order without an answer is repeated while it can still be in time. A server that is
-/// held back finishes short answers at once; waiting for longer ones, which go on while it loads, would
-/// keep it from its work for longer than they gain. Entries learn that it is held back a moment later.
+/// Timing for engines that load within a second, versions that are named every few seconds, and
+/// orders that may be lost. An unanswered order is repeated while it can still meet the deadline. A
+/// draining server completes short answers at once. Longer answers continue during the load, so
+/// waiting for them would keep the server out of service for longer than it helps. Entries learn of
+/// the drain within [`SHOW_EVERY`].
 pub const FLEET_TIMING: OrderTiming = OrderTiming {
     load_limit: Duration::from_millis(4_500),
     retry_wait: Duration::from_millis(300),
@@ -57,7 +58,8 @@
     idle_look: Duration::from_secs(5),
 };
 
-/// The listed engines and the named weights in the form that the weight orders read.
+/// Builds the configuration that the weight orders work from: the listed engines and the named
+/// weights. `fenced` is described at [`update_plan`].
 pub fn build_plan(
     revision: u64,
     fleet: &FleetSnapshot,
@@ -85,15 +87,15 @@
         weights: version.to_string(),
         adapters: Vec::new(),
     });
-    let limit = (engines.len() * LOADING_PART.0).div_ceil(LOADING_PART.1).max(1);
+    let limit = (engines.len() * LOADING_FRACTION.0).div_ceil(LOADING_FRACTION.1).max(1);
     let rules = RuleSet { weight_loads: limit as u32, ..RuleSet::default() };
     let register =
         AssetRegister { servers: engines, models: models.collect(), ..AssetRegister::default() };
     ActiveConfig { revision, register, rules }
 }
 
-/// Renews the plan with each change of the list or of the named weights; `fenced` says whether
-/// engines refuse orders with a lower number than one that they have seen.
+/// Updates the plan with each change of the server list or of the named weights. `fenced` is whether
+/// engines refuse orders whose fencing number is lower than one that they have seen.
 pub async fn update_plan(
     mut fleet: watch::Receiver<Arc<FleetSnapshot>>,
     mut documents: watch::Receiver<Arc<DocumentState>>,
@@ -105,10 +107,10 @@
             let (fleet, documents) = (fleet.borrow_and_update(), documents.borrow_and_update());
             build_plan(revision, &fleet, &documents, fenced)
         };
-        plan.send_if_modified(|shown| {
-            let changed = shown.register != config.register;
+        plan.send_if_modified(|current| {
+            let changed = current.register != config.register;
             if changed {
-                *shown = Arc::new(config);
+                *current = Arc::new(config);
             }
             changed
         });
@@ -122,30 +124,30 @@
     }
 }
 
-/// Speaks to engines in the installation's form.
+/// Sends requests to engines in the installation's message format.
 pub trait EngineClient: Send + Sync {
-    /// Sends an order, unless its time is over when the first byte could leave.
+    /// Sends an order, unless its deadline has passed before the first byte can be sent.
     fn order(
         &self,
         address: SocketAddr,
         order: WeightOrder,
-        running: InFlightWork,
+        in_flight: InFlightWork,
     ) -> BoxFuture<'_, OrderResult>;
 
-    /// Asks for the state.
+    /// Requests an engine's load report; `None` if the engine does not answer.
     fn probe(&self, server: ServerId, address: SocketAddr) -> BoxFuture<'_, Option<LoadReport>>;
 }
 
-/// Gives orders, and holds servers back from new work while they load.
+/// Sends weight orders, and keeps new requests away from servers while they load.
 pub struct FleetOrders {
     board: Arc<FleetBoard>,
     engines: Arc<dyn EngineClient>,
-    /// The weights of each server when it was held back; only of servers that are held.
+    /// The weights of each held server at the time when the hold began.
     held: Mutex<BTreeMap<ServerId, BTreeMap<ModelId, String>>>,
 }
 
 impl FleetOrders {
-    /// Orders for the servers of `board`.
+    /// Creates the orders for the servers of `board`.
     pub fn new(board: Arc<FleetBoard>, engines: Arc<dyn EngineClient>) -> Self {
         FleetOrders { board, engines, held: Mutex::default() }
     }
@@ -161,8 +163,8 @@
         self.board.hold(server);
     }
 
-    /// A server that has loaded gets work again.
-    fn take_report(&self, report: &LoadReport) {
+    /// Updates the board from a load report. A server whose weights have changed gets requests again.
+    fn apply_report(&self, report: &LoadReport) {
         let weights: BTreeMap<ModelId, WeightsNumber> = report
             .weights
             .iter()
@@ -185,7 +187,7 @@
     fn order(&self, address: SocketAddr, order: WeightOrder) -> BoxFuture<'_, OrderResult> {
         self.hold(&order.server);
         Box::pin(async move {
-            let result = self.engines.order(address, order.clone(), RUNNING_WORK).await;
+            let result = self.engines.order(address, order.clone(), IN_FLIGHT_WORK).await;
             let OrderGrounds { observed, wanted_for, given_before } = order.grounds;
             log::info!(server = order.server.as_str(), model = order.model.as_str(),
                 weights = order.weights.as_str(), result:? = result, observed = observed.as_deref(),
@@ -198,7 +200,7 @@
     fn look(&self, server: ServerId, address: SocketAddr) -> BoxFuture<'_, Option<LoadReport>> {
         Box::pin(async move {
             let report = self.engines.probe(server, address).await?;
-            self.take_report(&report);
+            self.apply_report(&report);
             Some(report)
         })
     }
--- a/src/roles/health.rs
+++ b/src/roles/health.rs
@@ -1,4 +1,4 @@
-//! Answers the balancer's question whether this node takes callers.
+//! HTTP server for health checks and other single pages.
 
 use {
     crate::edge::accept::accept_one,
@@ -11,13 +11,13 @@
     tokio::{net::TcpListener, task::JoinHandle},
 };
 
-/// A balancer that sends no head for so long is cut off.
-const HEAD_LIMIT: Duration = Duration::from_secs(5);
+/// How long a client may take to send the request head before its connection is closed.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves one page for as long as the task runs.
+/// Serves the responses of `page` until the returned task is aborted.
 ///
 /// # Errors
-/// When the address cannot be listened on.
+/// When the address cannot be bound.
 pub async fn serve_health_page(
     address: SocketAddr,
     page: impl Fn(&Request<Incoming>) -> (StatusCode, String) + Send + Sync + 'static,
@@ -35,7 +35,7 @@
                 async move { Ok::<_, Infallible>(response) }
             });
             let mut builder = Builder::new();
-            builder.timer(TokioTimer::new()).header_read_timeout(HEAD_LIMIT);
+            builder.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT);
             tokio::spawn(builder.serve_connection(TokioIo::new(stream), service));
         }
     }))
--- a/src/roles/operator_service.rs
+++ b/src/roles/operator_service.rs
@@ -1,4 +1,4 @@
-//! What operators can ask of a control VM, without the form in which they ask.
+//! Operators' requests to a control VM, independent of the wire format.
 
 use {
     crate::{
@@ -12,12 +12,12 @@
     displaydoc::Display,
 };
 
-/// Why an operator gets no answer here.
+/// Why a control VM refuses an operator's request.
 #[derive(Clone, Debug, Display, PartialEq)]
 pub enum OperatorRefusal {
-    /// another control VM leads; ask it
+    /// another control VM is the leader; send the request to it
     AskLeader(VmId),
-    /// no leader with a quorum is known here; ask another control VM, or again in a second
+    /// no leader with a quorum is known here; try another control VM, or retry in a second
     NoLeader,
     /// the change may or may not be in force; send it again unchanged
     OutcomeUnknown,
@@ -27,7 +27,7 @@
 
 impl std::error::Error for OperatorRefusal {}
 
-/// The operators' side of one control VM.
+/// Handles operators' requests on one control VM.
 #[derive(Clone)]
 pub struct OperatorService {
     vm: VmId,
@@ -35,15 +35,16 @@
 }
 
 impl OperatorService {
-    /// A desk at the replica of this VM.
+    /// Creates the service for the replica of this VM.
     pub fn new(vm: VmId, replica: ControlHandle) -> Self {
         OperatorService { vm, replica }
     }
 
-    /// Puts a document in force unless a later one is; done once a quorum has it on disk.
+    /// Puts a document in force unless a later one is. Returns, once a quorum has the document on
+    /// disk, the number of the document in force.
     ///
     /// # Errors
-    /// All but [`OperatorRefusal::OutcomeUnknown`] promise that nothing came into force.
+    /// All but [`OperatorRefusal::OutcomeUnknown`] guarantee that nothing came into force.
     pub async fn put_document(
         &self,
         number: DocumentNumber,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Names a version of a model's weights.
+    /// Names the version of a model's weights that engines have to load.
     ///
     /// # Errors
     /// As [`Self::put_document`].
@@ -76,19 +77,19 @@
         }
     }
 
-    /// The document in force, if this VM is certain that there is no later one: it leads under a
-    /// lease, so nobody else can have accepted any.
+    /// The document in force, if this VM holds the leader lease. No other VM can then have accepted a
+    /// later document.
     ///
     /// # Errors
     /// [`OperatorRefusal::AskLeader`] or [`OperatorRefusal::NoLeader`].
     pub fn read_document(&self) -> Result<NumberedDocument, OperatorRefusal> {
         let documents = self.replica.documents();
         let document = documents.borrow().document().clone();
-        // The lease is looked at last: it then covers the moment of the look at the document.
-        if self.replica.lease_valid() { Ok(document) } else { Err(self.elsewhere()) }
+        // The lease is checked last, so that it covers the moment at which the document was read.
+        if self.replica.lease_valid() { Ok(document) } else { Err(self.not_leader_refusal()) }
     }
 
-    fn elsewhere(&self) -> OperatorRefusal {
+    fn not_leader_refusal(&self) -> OperatorRefusal {
         let leader = self.replica.status().leader.clone();
         match leader.filter(|leader| *leader != self.vm) {
             Some(leader) => OperatorRefusal::AskLeader(leader),
@@ -99,7 +100,7 @@
     async fn propose(&self, command: Command) -> Result<CommandOutcome, OperatorRefusal> {
         match self.replica.propose_local(command).await {
             Ok(outcome) => Ok(outcome),
-            Err(LocalProposeError::NotLeader { .. }) => Err(self.elsewhere()),
+            Err(LocalProposeError::NotLeader { .. }) => Err(self.not_leader_refusal()),
             Err(error) => Err(match ProposeError::from(error) {
                 ProposeError::OutcomeUnknown => OperatorRefusal::OutcomeUnknown,
                 ProposeError::NoQuorum | ProposeError::Busy => OperatorRefusal::NoLeader,
--- a/src/roles/required_weights.rs
+++ b/src/roles/required_weights.rs
@@ -1,8 +1,9 @@
-//! Since when versions of weights are named, as one entry has learned it.
+//! When named versions of weights become required, as seen by one entry.
 //!
-//! Servers load named weights within seconds. One that crashed meanwhile comes back with the weights
-//! that it had, and is listed as ready at once; callers would get answers of weights that operators
-//! replaced long ago. So after a while nothing begins on older weights than the named ones.
+//! Servers load named weights within seconds. A server that crashes meanwhile restarts with its
+//! previous weights and is listed as ready at once; callers would get answers from weights that
+//! operators replaced long ago. Therefore, after a delay, no request is sent to a server whose weights
+//! are older than the named ones.
 
 use {
     crate::{
@@ -15,36 +16,35 @@
     },
 };
 
-/// From the moment an entry learns of a version until nothing begins on older ones: what operators
-/// allow is 8 s from their acknowledgement, and an entry may learn of it 1.4 s later.
+/// Delay from the moment an entry learns of a version until no request starts on older ones.
+/// Operators allow 8 s from their acknowledgement, and an entry may learn of the version 1.4 s later.
 pub const REQUIRED_AFTER: Duration = Duration::from_millis(6_000);
-/// The same from the moment an entry learns of a new leader. The new one gives no orders for the first
-/// three seconds; operators' 8 s count anew from 3 s after its predecessor failed, and it is elected
-/// within 2.2 s of that.
+/// The delay from the moment an entry learns of a new leader. A new leader sends no orders for the
+/// first 3 s; the 8 s that operators allow start again 3 s after the previous leader failed, and the
+/// new one is elected within 2.2 s of that failure.
 pub const REQUIRED_AFTER_ELECTION: Duration = Duration::from_millis(8_000);
-/// Versions of one model that are younger than that; operators name one every few seconds. The
-/// newest replaces the last beyond it.
-const MAX_YOUNG: usize = 64;
+/// Most versions of one model that are not required yet; operators name one every few seconds. Beyond
+/// it a new version replaces the latest pending one.
+const MAX_PENDING: usize = 64;
 
-/// When each version becomes required.
+/// Tracks when each named version becomes required.
 #[derive(Debug, Default)]
 pub struct RequiredWeights {
-    /// The version required now, by model.
+    /// The currently required version of each model.
     required: NamedWeights,
-    /// Later versions with the moment from which they are required, oldest first; at most
-    /// [`MAX_YOUNG`] for each model. The moments do not fall.
-    young: BTreeMap<ModelId, Vec<(WeightsNumber, Instant)>>,
-    /// The latest term in which a leader was heard of; 0 before the first.
+    /// Later versions with the time from which they are required, oldest version first; at most
+    /// [`MAX_PENDING`] for each model. The times never decrease.
+    pending: BTreeMap<ModelId, Vec<(WeightsNumber, Instant)>>,
+    /// The latest known term of a leader; 0 before the first.
     term: Term,
 }
 
 impl RequiredWeights {
-    /// Takes in the named versions and the leader's term, and says which versions are required at
-    /// `now`.
+    /// Adds the named versions and the leader's term, and returns the versions required at `now`.
     ///
-    /// A leader that fails leaves its orders ungiven. If its versions became required all the same,
-    /// the first server to load one would get the work of all, and callers would wait or be refused
-    /// while most servers are idle: so a new leader is given time of its own.
+    /// A leader that fails may not have sent its orders. If its versions became required at the
+    /// original time, the first server to load one would get all requests, and callers would wait or
+    /// be refused while most servers are idle. A new term therefore postpones all pending versions.
     pub fn update(&mut self, now: Instant, named: &NamedWeights, term: Term) -> NamedWeights {
         if term > self.term {
             if self.term > 0 {
@@ -53,21 +53,21 @@
             self.term = term;
         }
         for (model, version) in named {
-            let young = self.young.entry(model.clone()).or_default();
-            let newest = young.last().map(|(newest, _)| *newest);
+            let pending = self.pending.entry(model.clone()).or_default();
+            let newest = pending.last().map(|(newest, _)| *newest);
             let known = newest.max(self.required.get(model).copied());
             if known.is_some_and(|known| known >= *version) {
                 continue;
             }
-            if young.len() >= MAX_YOUNG {
-                young.pop();
+            if pending.len() >= MAX_PENDING {
+                pending.pop();
             }
-            let before = young.last().map(|(_, due)| *due);
-            young.push((*version, before.unwrap_or(now).max(now + REQUIRED_AFTER)));
+            let before = pending.last().map(|(_, due)| *due);
+            pending.push((*version, before.unwrap_or(now).max(now + REQUIRED_AFTER)));
         }
-        for (model, young) in &mut self.young {
-            let count = young.iter().take_while(|(_, due)| now >= *due).count();
-            if let Some((version, _)) = young.drain(..count).next_back() {
+        for (model, pending) in &mut self.pending {
+            let count = pending.iter().take_while(|(_, due)| now >= *due).count();
+            if let Some((version, _)) = pending.drain(..count).next_back() {
                 self.required.insert(model.clone(), version);
             }
         }
@@ -75,14 +75,14 @@
     }
 
     fn postpone(&mut self, due: Instant) {
-        for (_, later) in self.young.values_mut().flatten() {
+        for (_, later) in self.pending.values_mut().flatten() {
             *later = due.max(*later);
         }
     }
 
-    /// When the required versions change next, if nothing new is named.
+    /// When the required versions change next; `None` if no version is pending.
     pub fn next_change(&self) -> Option<Instant> {
-        let first = self.young.values().filter_map(|young| young.first());
+        let first = self.pending.values().filter_map(|pending| pending.first());
         first.map(|(_, due)| *due).min()
     }
 }
