--- a/src/transport.rs
+++ b/src/transport.rs
@@ -1,7 +1,7 @@
 //! Messages between daemons: QUIC with mutual TLS, encoded with postcard.
 //!
-//! Each daemon dials the peers that it has something to tell. A connection that carries nothing
-//! closes after [`network::IDLE_TIMEOUT`], so an idle peer costs no bytes.
+//! A daemon connects to a peer when it has something to send. An unused connection closes after
+//! [`network::IDLE_TIMEOUT`], so idle peers cause no traffic.
 
 pub mod attachment;
 pub mod codec;
--- a/src/transport/attachment.rs
+++ b/src/transport/attachment.rs
@@ -1,8 +1,8 @@
-//! The body of a document behind the reply that brings it.
+//! Sends the body of a document as a separate frame after its reply.
 //!
-//! Load pattern: after a restart hundreds of daemons fetch the same document, megabytes long, from a
-//! few control VMs. Encoded into each reply it would be held several times for each of them until the
-//! slowest has read it. As a part of its own it is held once, however many read it.
+//! After a restart, hundreds of daemons fetch the same document of several megabytes from a few
+//! control VMs. If it were encoded into each reply, several copies per reader would stay in memory
+//! until the slowest reader has finished. A separate frame shares one copy among all readers.
 
 use {
     super::{
@@ -14,7 +14,7 @@
     std::sync::Arc,
 };
 
-/// A document's body as bytes that many streams share.
+/// The body of a document as bytes that several streams share.
 struct SharedText(Arc<str>);
 
 impl AsRef<[u8]> for SharedText {
@@ -23,26 +23,26 @@
     }
 }
 
-/// Takes the document's body out of a reply, if it brings one.
+/// Removes the body of the document from a reply; `None` if the reply contains no document.
 pub fn detach(reply: &mut PeerReply) -> Option<Arc<str>> {
     let PeerReply::Followed(reply) = reply else { return None };
     reply.document.as_mut().map(|document| std::mem::replace(&mut document.body, "".into()))
 }
 
-/// Writes a body that [`detach`] took out, behind the frame of its reply.
+/// Writes a body that [`detach`] removed, after the frame of its reply.
 ///
 /// # Errors
-/// When the stream or its connection is gone.
+/// When the stream or its connection is closed.
 pub async fn write(stream: &mut SendStream, body: Arc<str>) -> Result<(), WriteError> {
     let Ok(header) = codec::frame_header(body.len()) else {
-        log::error!(bytes = body.len(); "a document is too long to be sent; split it");
+        log::error!(bytes = body.len(); "a document exceeds the frame limit and was not sent; make it smaller");
         return Ok(());
     };
     stream.write_all(&header).await?;
     stream.write_chunk(Bytes::from_owner(SharedText(body))).await
 }
 
-/// Reads the body that follows a reply, if the reply brings a document.
+/// Reads the body that follows a reply, if the reply contains a document.
 ///
 /// # Errors
 /// Any [`CodecError`].
--- a/src/transport/codec.rs
+++ b/src/transport/codec.rs
@@ -1,4 +1,4 @@
-//! Frames on the wire: a four-byte length, then one value in postcard.
+//! Wire format: frames of a four-byte big-endian length and one value encoded with postcard.
 
 use {
     displaydoc::Display,
@@ -6,21 +6,21 @@
     serde::{Serialize, de::DeserializeOwned},
 };
 
-/// Largest frame in bytes: a configuration of several megabytes fits whole, and one peer can
-/// make a daemon hold no more than this for each stream.
+/// Largest frame in bytes. A complete configuration of several megabytes fits in one frame, and the
+/// limit bounds the memory that a peer can occupy with each stream.
 pub const MAX_FRAME: usize = 8 << 20;
-/// Bytes of the length before each frame.
+/// Bytes of the length in front of each frame.
 pub const HEADER_LENGTH: usize = 4;
 
-/// Why a frame was not taken.
+/// Why a frame could not be encoded or decoded.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum CodecError {
-    /// a frame of {length} bytes is over the limit of 8 MiB; make the register or the answer smaller
+    /// a frame of {length} bytes exceeds the limit of 8 MiB; make the register or the answer smaller
     Oversize {
-        /// Its length.
+        /// The length of the frame in bytes.
         length: usize,
     },
-    /// the frame does not hold a known message; run the same version on both daemons
+    /// the frame does not contain a known message; run the same version on both daemons
     Malformed,
     /// the stream ended inside a frame; the peer will send again
     Truncated,
@@ -28,10 +28,10 @@
 
 impl std::error::Error for CodecError {}
 
-/// Encodes `value` with its length in front.
+/// Encodes `value` as a frame, including its length.
 ///
 /// # Errors
-/// [`CodecError::Oversize`] when it does not fit one frame.
+/// [`CodecError::Oversize`] when the value exceeds [`MAX_FRAME`].
 pub fn encode(value: &impl Serialize) -> Result<Vec<u8>, CodecError> {
     let frame = postcard::to_extend(value, vec![0; HEADER_LENGTH])
         .map_err(|_error| CodecError::Malformed)?;
@@ -47,7 +47,7 @@
 /// The header of a frame whose body has this length.
 ///
 /// # Errors
-/// [`CodecError::Oversize`] when that does not fit one frame.
+/// [`CodecError::Oversize`] when the length exceeds [`MAX_FRAME`].
 pub fn frame_header(length: usize) -> Result<[u8; HEADER_LENGTH], CodecError> {
     if length > MAX_FRAME {
         return Err(CodecError::Oversize { length });
@@ -58,16 +58,16 @@
 /// The length that a header announces.
 ///
 /// # Errors
-/// [`CodecError::Oversize`] before any memory is set aside for the frame.
+/// [`CodecError::Oversize`] when the length exceeds [`MAX_FRAME`]; no memory has been allocated then.
 pub fn frame_length(header: [u8; HEADER_LENGTH]) -> Result<usize, CodecError> {
     let length = u32::from_be_bytes(header) as usize;
     if length > MAX_FRAME { Err(CodecError::Oversize { length }) } else { Ok(length) }
 }
 
-/// Decodes the body of a frame; bytes left over are refused.
+/// Decodes the body of a frame.
 ///
 /// # Errors
-/// [`CodecError::Malformed`].
+/// [`CodecError::Malformed`], also when bytes follow the value.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, CodecError> {
     match postcard::take_from_bytes(body) {
         Ok((value, [])) => Ok(value),
@@ -78,31 +78,31 @@
 /// Reads one frame.
 ///
 /// # Errors
-/// Any [`CodecError`]; after one the stream is of no more use.
+/// Any [`CodecError`]; the stream must not be used after one.
 pub async fn read_frame<T: DeserializeOwned>(stream: &mut RecvStream) -> Result<T, CodecError> {
     decode(&read_body(stream).await?)
 }
 
-/// Reads the body of one frame as it is.
+/// Reads the body of one frame without decoding it.
 ///
 /// # Errors
-/// As [`read_frame`], but for [`CodecError::Malformed`].
+/// Those of [`read_frame`], except [`CodecError::Malformed`].
 pub async fn read_body(stream: &mut RecvStream) -> Result<Vec<u8>, CodecError> {
     let mut header = [0; HEADER_LENGTH];
-    stream.read_exact(&mut header).await.map_err(cut)?;
+    stream.read_exact(&mut header).await.map_err(truncated)?;
     let mut body = vec![0; frame_length(header)?];
-    stream.read_exact(&mut body).await.map_err(cut)?;
+    stream.read_exact(&mut body).await.map_err(truncated)?;
     Ok(body)
 }
 
-fn cut(_error: ReadExactError) -> CodecError {
+fn truncated(_error: ReadExactError) -> CodecError {
     CodecError::Truncated
 }
 
 /// Writes a frame made by [`encode`].
 ///
 /// # Errors
-/// When the stream or its connection is gone; a part may have been sent.
+/// When the stream or its connection is closed; part of the frame may have been sent.
 pub async fn write_frame(stream: &mut SendStream, frame: &[u8]) -> Result<(), WriteError> {
     stream.write_all(frame).await
 }
--- a/src/transport/config_delta.rs
+++ b/src/transport/config_delta.rs
@@ -1,7 +1,7 @@
-//! The difference between two configurations, record by record.
+//! Record-level differences between two configurations.
 //!
-//! At the design size a whole configuration is several megabytes and changes 2,100 times a day
-//! in a few records; sent whole to 380 daemons it would break their budget of 21 KB a second.
+//! At the design size a complete configuration has several megabytes and changes 2,100 times a day
+//! in a few records each; sending it completely to 380 daemons would exceed their budget of 21 KB/s.
 
 use {
     crate::{
@@ -40,43 +40,43 @@
     OrganisationRule => organisation,
 }
 
-/// The change of one list.
+/// The difference between two versions of one list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListDelta<T> {
-    /// Names of records that are gone.
+    /// Names of removed records.
     pub removed: Vec<String>,
-    /// Records that changed in place or were added at the end.
+    /// Changed records, which keep their position, and new records, which are appended.
     pub put: Vec<T>,
 }
 
-/// The change from one revision to a later one.
+/// The difference between a revision of the configuration and a later one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigDelta {
-    /// The revision that it applies to, and to no other.
+    /// The only revision that the delta applies to.
     pub from: Revision,
-    /// The revision that it leads to; higher than `from`.
+    /// The resulting revision; higher than `from`.
     pub to: Revision,
-    /// Failure domains.
+    /// Failure domains of the register.
     pub failure_domains: ListDelta<DomainRecord>,
-    /// VMs.
+    /// VMs of the register.
     pub vms: ListDelta<VmRecord>,
-    /// Models.
+    /// Models of the register.
     pub models: ListDelta<ModelRecord>,
-    /// Plain services.
+    /// Plain services of the register.
     pub services: ListDelta<ServiceRecord>,
-    /// Backend servers.
+    /// Backend servers of the register.
     pub servers: ListDelta<ServerRecord>,
-    /// Organisations.
+    /// Organisations of the register.
     pub organisations: ListDelta<OrganisationRecord>,
-    /// Rules of single organisations.
+    /// Rules of individual organisations.
     pub organisation_rules: ListDelta<OrganisationRule>,
-    /// All other rules with `organisations` empty, if any changed.
+    /// All other rules, with `organisations` empty; `None` if they did not change.
     pub rules: Option<RuleSet>,
 }
 
 impl ConfigDelta {
-    /// The change from `old` to `new`; `None` when records only changed places, which this form
-    /// can't tell: the configuration then goes whole.
+    /// The difference between `old` and `new`; `None` if it cannot be expressed, because the order of
+    /// records changed. The complete configuration has to be sent then.
     pub fn between(old: &ActiveConfig, new: &ActiveConfig) -> Option<Self> {
         let (before, after) = (&old.register, &new.register);
         let delta = Self {
@@ -95,7 +95,7 @@
         (delta.apply(old).as_ref() == Some(new)).then_some(delta)
     }
 
-    /// The configuration after the change; `None` when `old` is not the revision it applies to.
+    /// Applies the delta to `old`; `None` if `old` does not have the revision `from`.
     pub fn apply(&self, old: &ActiveConfig) -> Option<ActiveConfig> {
         if old.revision != self.from || self.to <= self.from {
             return None;
@@ -117,7 +117,7 @@
         Some(new)
     }
 
-    /// How many records it carries.
+    /// Number of removed, changed and new records; the other rules count as one.
     pub fn record_count(&self) -> usize {
         let lengths = [
             list_count(&self.failure_domains),
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -1,4 +1,4 @@
-//! Connections that peers make to this daemon.
+//! Accepts connections from peers and serves their messages and requests.
 
 use {
     super::{
@@ -13,16 +13,16 @@
     tokio::time::timeout,
 };
 
-/// Connections held at a time: one from each of 380 daemons, with room for those whose loss has
-/// not been noticed yet. Beyond it new ones are refused and counted.
-const MOST_CONNECTIONS: usize = 1_024;
-/// A peer says who it is within this, or is cut off.
-const GREETING_LIMIT: Duration = Duration::from_secs(2);
+/// Most open connections: one from each of 380 daemons, with room for lost connections that have not
+/// timed out yet. Further connections are refused and counted.
+const MAX_CONNECTIONS: usize = 1_024;
+/// How long a peer may take to send its name before its connection is closed.
+const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Serves peers until the endpoint is closed.
 pub async fn accept_peers(endpoint: Endpoint, handler: Arc<dyn PeerHandler>) {
     while let Some(incoming) = endpoint.accept().await {
-        if endpoint.open_connections() > MOST_CONNECTIONS {
+        if endpoint.open_connections() > MAX_CONNECTIONS {
             metrics::counter!(REFUSED_COUNTER, "reason" => "full").increment(1);
             incoming.refuse();
             continue;
@@ -36,7 +36,7 @@
         Ok(connection) => connection,
         Err(error) => return count_refusal(&error),
     };
-    let Ok(Some(peer)) = timeout(GREETING_LIMIT, greet(&connection)).await else {
+    let Ok(Some(peer)) = timeout(GREETING_TIMEOUT, greet(&connection)).await else {
         return connection.close(1u32.into(), b"no greeting");
     };
     loop {
@@ -57,8 +57,8 @@
     }
 }
 
-/// Reads the peer's name and holds it against its certificate: a VM with a valid key could
-/// otherwise vote or finish calls in the name of another.
+/// Reads the peer's name and checks it against the peer's certificate. Without the check, a VM with a
+/// valid key could vote or complete calls in the name of another VM.
 async fn greet(connection: &Connection) -> Option<VmId> {
     let (mut sender, mut receiver) = connection.accept_bi().await.ok()?;
     let peer: VmId = codec::read_frame(&mut receiver).await.ok()?;
@@ -77,7 +77,7 @@
             Ok(message) => handler.message(peer.clone(), message),
             Err(codec::CodecError::Truncated) => return,
             Err(error) => {
-                log::warn!(peer = peer.as_str(); "a message was refused: {error}");
+                log::warn!(peer = peer.as_str(); "peer message rejected: {error}");
                 // The peer closes the connection when its next write fails.
                 let _ = stream.stop(1u32.into());
                 return;
@@ -95,7 +95,7 @@
     let request: PeerRequest = match codec::read_frame(&mut receiver).await {
         Ok(request) => request,
         Err(error) => {
-            log::warn!(peer = peer.as_str(); "a request was refused: {error}");
+            log::warn!(peer = peer.as_str(); "peer request rejected: {error}");
             return;
         }
     };
@@ -104,7 +104,7 @@
     let frame = codec::encode(&reply)
         .or_else(|error| codec::encode(&super::message::PeerReply::Refused(error.to_string())));
     if let Ok(frame) = frame {
-        // A peer that no longer waits has given up on the reply.
+        // A failed write means that the peer no longer waits for the reply.
         let written = codec::write_frame(&mut sender, &frame).await;
         if let (Ok(()), Some(body)) = (written, body) {
             let _ = attachment::write(&mut sender, body).await;
--- a/src/transport/keys.rs
+++ b/src/transport/keys.rs
@@ -1,4 +1,5 @@
-//! Keys of daemons: one authority signs a certificate for each VM, whose name it carries.
+//! Keys of daemons: a certificate authority signs a certificate for each VM, which contains the VM's
+//! name.
 
 use {
     crate::ids::VmId,
@@ -14,107 +15,108 @@
     },
 };
 
-/// The subject of every authority; two authorities differ by their keys alone.
+/// The subject of every authority; two authorities differ only by their keys.
 const AUTHORITY_NAME: &str = "oleandermount authority";
-/// Years that an authority is good for: longer than the machines it signs for.
+/// Years for which an authority is valid: longer than the machines that it signs for are in use.
 const AUTHORITY_YEARS: i32 = 10;
-/// A VM's certificate ends with the next calendar year, so that a stolen one dies by itself.
+/// Calendar years for which a VM's certificate is valid, counting the current one, so that a stolen
+/// certificate expires by itself.
 const CERTIFICATE_YEARS: i32 = 2;
 /// Mean length of a Gregorian year in seconds.
 const YEAR_SECONDS: u64 = 31_556_952;
 
-/// Where a daemon's keys lie.
+/// The key files of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
-    /// Certificates of the authorities that are trusted; while an authority is replaced, both.
+    /// Certificates of the trusted authorities; both of them while an authority is being replaced.
     pub authority: PathBuf,
-    /// This daemon's certificate.
+    /// The certificate of this daemon.
     pub certificate: PathBuf,
-    /// Its private key.
+    /// The private key of this daemon.
     pub key: PathBuf,
 }
 
-/// A certificate and its private key, both as PEM.
+/// A certificate and its private key, both in PEM format.
 #[derive(Clone)]
 pub struct KeyPairPem {
-    /// The certificate.
+    /// The certificate in PEM format.
     pub certificate: String,
-    /// The private key; it stands in no log.
+    /// The private key in PEM format; it must not be logged.
     pub key: String,
 }
 
 /// The keys of one daemon, loaded and parsed.
 pub struct LoadedKeys {
-    /// Trusted authorities; at least one.
+    /// Certificates of the trusted authorities; empty if peers are not authenticated.
     pub authorities: Vec<CertificateDer<'static>>,
-    /// This daemon's certificate chain; at least one.
+    /// The certificate chain of this daemon, its own certificate first; never empty.
     pub chain: Vec<CertificateDer<'static>>,
-    /// Its private key.
+    /// The private key of this daemon.
     pub key: PrivateKeyDer<'static>,
 }
 
-/// Why keys can't be made or used.
+/// Why keys cannot be created or used.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum KeyError {
-    /// {path}: {reason}; make it with `oleandermountctl keys create` and let the daemon read it
+    /// {path}: {reason}; create it with `oleandermountctl keys create` and make it readable for the daemon
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What is wrong with it.
+        /// The error of the operating system or of the parser.
         reason: String,
     },
-    /// the VM name "{vm}" can't stand in a certificate; use lower-case letters, digits and hyphens
+    /// the VM name "{vm}" is not valid in a certificate; use lower-case letters, digits and hyphens
     InvalidVm {
-        /// The name.
+        /// The rejected name.
         vm: VmId,
     },
-    /// the key can't be made: {reason}; check that the authority's key is a PEM private key
+    /// the key cannot be created: {reason}; check that the authority's key is a PEM private key
     Creation {
-        /// What the library says.
+        /// The error of the certificate library.
         reason: String,
     },
-    /// certificate and key are not accepted: {reason}; make both with the same `keys create` call
+    /// the certificate and key are not accepted: {reason}; create both with the same `keys create` call
     Unusable {
-        /// What the library says.
+        /// The error of the TLS library.
         reason: String,
     },
 }
 
 impl std::error::Error for KeyError {}
 
-/// Makes an authority, which signs the certificates of one installation.
+/// Creates an authority, which signs the certificates of one installation.
 ///
 /// # Errors
 /// [`KeyError::Creation`].
 pub fn create_authority() -> Result<KeyPairPem, KeyError> {
-    let key = KeyPair::generate().map_err(creation)?;
-    let certificate = authority_params().self_signed(&key).map_err(creation)?;
+    let key = KeyPair::generate().map_err(creation_error)?;
+    let certificate = authority_params().self_signed(&key).map_err(creation_error)?;
     Ok(KeyPairPem { certificate: certificate.pem(), key: key.serialize_pem() })
 }
 
-/// Makes the certificate of one VM.
+/// Creates the certificate of one VM, signed by `authority`.
 ///
 /// # Errors
 /// [`KeyError::InvalidVm`] or [`KeyError::Creation`].
 pub fn create_certificate(authority: &KeyPairPem, vm: &VmId) -> Result<KeyPairPem, KeyError> {
     check_vm_name(vm)?;
-    let key = KeyPair::generate().map_err(creation)?;
-    let mut params = CertificateParams::new(vec![vm.clone()]).map_err(creation)?;
+    let key = KeyPair::generate().map_err(creation_error)?;
+    let mut params = CertificateParams::new(vec![vm.clone()]).map_err(creation_error)?;
     params.distinguished_name.push(DnType::CommonName, vm.clone());
     params.extended_key_usages =
         vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
     params.use_authority_key_identifier_extension = true;
     params.not_before = date_time_ymd(this_year() - 1, 1, 1);
     params.not_after = date_time_ymd(this_year() + CERTIFICATE_YEARS, 1, 1);
-    let signer = KeyPair::from_pem(&authority.key).map_err(creation)?;
+    let signer = KeyPair::from_pem(&authority.key).map_err(creation_error)?;
     let issuer = Issuer::new(authority_params(), signer);
-    let certificate = params.signed_by(&key, &issuer).map_err(creation)?;
+    let certificate = params.signed_by(&key, &issuer).map_err(creation_error)?;
     Ok(KeyPairPem { certificate: certificate.pem(), key: key.serialize_pem() })
 }
 
-/// Holds a VM's name to what a certificate carries without change.
+/// Checks that a VM's name is preserved in a certificate, and converts it for TLS.
 ///
-/// Certificates compare names without case: were upper case allowed, two VMs could answer to one
+/// Names in certificates are compared without case, so with upper-case letters two VMs could share one
 /// certificate.
 ///
 /// # Errors
@@ -133,22 +135,22 @@
 /// Reads and parses a daemon's keys.
 ///
 /// # Errors
-/// [`KeyError::Unreadable`], which names the file.
+/// [`KeyError::Unreadable`], which contains the path of the file.
 pub fn load_keys(files: &KeyFiles) -> Result<LoadedKeys, KeyError> {
     Ok(LoadedKeys {
         authorities: load_certificates(&files.authority)?,
         chain: load_certificates(&files.certificate)?,
         key: PrivateKeyDer::from_pem_file(&files.key)
-            .map_err(|error| unreadable(&files.key, &error))?,
+            .map_err(|error| unreadable_error(&files.key, &error))?,
     })
 }
 
 fn load_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, KeyError> {
     let found: Vec<_> = CertificateDer::pem_file_iter(path)
         .and_then(Iterator::collect)
-        .map_err(|error| unreadable(path, &error))?;
+        .map_err(|error| unreadable_error(path, &error))?;
     if found.is_empty() {
-        return Err(unreadable(path, &"holds no certificate"));
+        return Err(unreadable_error(path, &"the file contains no certificate"));
     }
     Ok(found)
 }
@@ -168,10 +170,10 @@
     1970 + i32::try_from(elapsed.as_secs() / YEAR_SECONDS).unwrap_or_default()
 }
 
-fn unreadable(path: &Path, reason: &impl ToString) -> KeyError {
+fn unreadable_error(path: &Path, reason: &impl ToString) -> KeyError {
     KeyError::Unreadable { path: path.display().to_string(), reason: reason.to_string() }
 }
 
-fn creation(error: rcgen::Error) -> KeyError {
+fn creation_error(error: rcgen::Error) -> KeyError {
     KeyError::Creation { reason: error.to_string() }
 }
--- a/src/transport/link.rs
+++ b/src/transport/link.rs
@@ -1,8 +1,8 @@
-//! One peer as seen from here: a task that dials when there is something to send, and a bounded
-//! queue of messages before it.
+//! The outbound connection to one peer: a task that dials when there is something to send, fed by a
+//! bounded queue of messages.
 //!
-//! Short messages go in order on one stream. Each long one has a stream of its own behind it, so
-//! that heartbeats do not wait for a document.
+//! Short messages are sent in order on one stream. Each long message has its own stream with a lower
+//! priority, so that heartbeats do not wait for a document.
 
 use {
     super::{
@@ -27,64 +27,65 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Messages and dials that wait for one peer. Beyond it the newest is dropped: what waits longer
-/// than this has been overtaken by the next heartbeat or digest.
+/// Most messages and dials that wait for one peer. Further ones are dropped: a message behind a
+/// longer queue would be superseded by the next heartbeat or digest before it is sent.
 const QUEUE_LENGTH: usize = 256;
-/// Bytes of messages that wait for one peer or are on their way to it: the largest frame beside the
-/// short ones.
+/// Most bytes of messages that wait for one peer or are in flight to it: the largest frame plus the
+/// short messages.
 pub const MAX_LINK_BYTES: usize = MAX_FRAME + (1 << 20);
-/// A dial that takes longer has failed: twenty round trips between regions.
-const DIAL_LIMIT: Duration = Duration::from_secs(1);
-/// A short message that can't be written for so long shows a peer that no longer reads.
-const WRITE_LIMIT: Duration = Duration::from_secs(1);
-/// Bytes of a frame from which it has a stream of its own: more than an append or a piece of a
-/// snapshot usually has, since those must arrive in order.
+/// Timeout of a dial: twenty round trips between regions.
+const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for writing a short message; a peer that takes longer no longer reads.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Frames of at least this many bytes are sent on their own stream. The threshold is above the usual
+/// size of an append or a snapshot chunk, since those must arrive in order.
 const BULK_BYTES: usize = 512 << 10;
-/// A long message that has not arrived after so long is lost: the largest takes less on 7.5 Mbit/s.
-const BULK_LIMIT: Duration = Duration::from_secs(12);
-/// Streams of long messages are served after the one of short messages.
+/// Timeout for delivering a long message; the largest takes less at 7.5 Mbit/s.
+const BULK_TIMEOUT: Duration = Duration::from_secs(12);
+/// Priority of the streams of long messages, below that of the stream of short messages.
 const BULK_PRIORITY: i32 = -1;
-/// The first wait after a failed dial.
-const SHORTEST_WAIT: Duration = Duration::from_millis(50);
-/// The longest wait after failed dials: a healed cut is found within this and one dial.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+/// The first backoff after a failed dial.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest backoff after failed dials. The end of a network partition is noticed within this time
+/// plus one dial.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// What all links of a daemon share.
+/// State shared by all links of a daemon.
 pub struct LinkContext {
-    /// This daemon's VM.
+    /// The VM of this daemon.
     pub vm: VmId,
-    /// The socket.
+    /// The QUIC endpoint that all links dial from.
     pub endpoint: Endpoint,
-    /// TLS settings for the next dial.
+    /// TLS settings for the next dial; replaced when keys are reloaded.
     pub client: ArcSwap<ClientConfig>,
 }
 
-/// A handle on the task; the task ends when the last handle is dropped.
+/// A handle to the task of a link. The task ends when the last handle is dropped.
 #[derive(Clone)]
 pub struct PeerLink {
     address: SocketAddr,
-    queue: mpsc::Sender<LinkDemand>,
-    /// What is left of [`MAX_LINK_BYTES`].
-    room: Arc<Semaphore>,
-    /// The connection in use, if one is up; the task alone replaces it.
+    queue: mpsc::Sender<LinkCommand>,
+    /// The remaining part of [`MAX_LINK_BYTES`].
+    budget: Arc<Semaphore>,
+    /// The current connection, if one is open; only the task replaces it.
     current: Arc<Mutex<Option<Connection>>>,
 }
 
-/// An encoded message, which holds its bytes of the link until it has arrived or is lost.
+/// An encoded message, which occupies its share of the byte budget until it is delivered or lost.
 struct QueuedFrame {
     bytes: Vec<u8>,
-    room: OwnedSemaphorePermit,
+    budget: OwnedSemaphorePermit,
 }
 
-enum LinkDemand {
+enum LinkCommand {
     Send(QueuedFrame),
     Connect(oneshot::Sender<Result<Connection, String>>),
 }
 
 impl PeerLink {
-    /// Starts the task. Nothing is dialled before the first demand.
+    /// Starts the task. It dials when the first message or request needs a connection.
     pub fn start(shared: Arc<LinkContext>, peer: VmId, address: SocketAddr) -> Self {
-        let (queue, demands) = mpsc::channel(QUEUE_LENGTH);
+        let (queue, commands) = mpsc::channel(QUEUE_LENGTH);
         let current = Arc::new(Mutex::new(None));
         let seed = xxh3_64_with_seed(shared.vm.as_bytes(), xxh3_64_with_seed(peer.as_bytes(), 0));
         let task = LinkTask {
@@ -95,40 +96,40 @@
             stream: None,
             backoff: LinkBackoff::new(seed),
         };
-        tokio::spawn(task.run(demands));
-        Self { address, queue, room: Arc::new(Semaphore::new(MAX_LINK_BYTES)), current }
+        tokio::spawn(task.run(commands));
+        Self { address, queue, budget: Arc::new(Semaphore::new(MAX_LINK_BYTES)), current }
     }
 
-    /// Where the peer is.
+    /// The address of the peer.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Queues a message, or drops it when too many messages or bytes wait.
+    /// Queues a message; drops and counts it if too many messages or bytes are queued.
     pub fn send(&self, message: &PeerMessage) {
         let Ok(bytes) = codec::encode(message) else { return count_drop("oversize") };
         let length = u32::try_from(bytes.len()).expect("a frame is below 4 GiB");
-        let Ok(room) = Arc::clone(&self.room).try_acquire_many_owned(length) else {
+        let Ok(budget) = Arc::clone(&self.budget).try_acquire_many_owned(length) else {
             return count_drop("queue_full");
         };
-        let frame = QueuedFrame { bytes, room };
-        if self.queue.try_send(LinkDemand::Send(frame)).is_err() {
+        let frame = QueuedFrame { bytes, budget };
+        if self.queue.try_send(LinkCommand::Send(frame)).is_err() {
             count_drop("queue_full");
         }
     }
 
-    /// The open connection, or a new one.
+    /// Returns the open connection, or dials a new one.
     ///
     /// # Errors
-    /// Why there is none; then nothing was sent.
+    /// The reason why there is no connection; nothing was sent then.
     pub async fn connection(&self) -> Result<Connection, String> {
         if let Some(connection) = open_connection(&self.current) {
             return Ok(connection);
         }
         let (reply, answer) = oneshot::channel();
         self.queue
-            .try_send(LinkDemand::Connect(reply))
-            .map_err(|_full| "too much waits for this peer".to_owned())?;
+            .try_send(LinkCommand::Connect(reply))
+            .map_err(|_full| "the queue for this peer is full".to_owned())?;
         answer.await.unwrap_or_else(|_gone| Err("the peer was removed".to_owned()))
     }
 }
@@ -150,21 +151,21 @@
     peer: VmId,
     address: SocketAddr,
     current: Arc<Mutex<Option<Connection>>>,
-    /// Carries messages in order on the current connection; opened with the first message.
+    /// The stream of short messages on the current connection; opened with the first message.
     stream: Option<SendStream>,
     backoff: LinkBackoff,
 }
 
 impl LinkTask {
-    async fn run(mut self, mut demands: mpsc::Receiver<LinkDemand>) {
-        while let Some(demand) = demands.recv().await {
-            match demand {
-                LinkDemand::Connect(reply) => {
+    async fn run(mut self, mut commands: mpsc::Receiver<LinkCommand>) {
+        while let Some(command) = commands.recv().await {
+            match command {
+                LinkCommand::Connect(reply) => {
                     let result = self.connect().await;
-                    // Whoever asked may have run out of time.
+                    // The receiver is dropped when the call has timed out.
                     let _ = reply.send(result);
                 }
-                LinkDemand::Send(frame) => self.write(frame).await,
+                LinkCommand::Send(frame) => self.write(frame).await,
             }
         }
         if let Some(connection) = open_connection(&self.current) {
@@ -178,7 +179,7 @@
         }
         self.backoff.check()?;
         self.stream = None;
-        let result = timeout(DIAL_LIMIT, self.dial())
+        let result = timeout(DIAL_TIMEOUT, self.dial())
             .await
             .unwrap_or_else(|_elapsed| Err("the peer does not answer".to_owned()));
         match &result {
@@ -189,16 +190,16 @@
             }
             Err(reason) => {
                 self.backoff.failed();
-                log::debug!(peer = self.peer.as_str(); "no connection: {reason}");
+                log::debug!(peer = self.peer.as_str(); "connecting to a peer failed: {reason}");
             }
         }
         result
     }
 
-    /// Dials and says who this is. Only the peer's reply makes the connection usable: with TLS 1.3
-    /// the dialling side is done before the other has checked its certificate, so that without the
-    /// reply a request could be written to a peer that then refuses all of it, and the caller
-    /// would be told that the request may have run.
+    /// Dials the peer and sends the name of this VM. The connection is usable only after the peer's
+    /// reply: with TLS 1.3 the client completes the handshake before the server has checked the
+    /// client's certificate. Without the reply, a request could be written to a peer that then rejects
+    /// the connection, and its outcome would be reported as unknown although it never ran.
     async fn dial(&self) -> Result<Connection, String> {
         let client = ClientConfig::clone(&self.shared.client.load());
         let connection = self
@@ -207,8 +208,8 @@
             .connect_with(client, self.address, &self.peer)
             .map_err(|error| error.to_string())?
             .await
-            .map_err(refused)?;
-        let (mut sender, mut receiver) = connection.open_bi().await.map_err(refused)?;
+            .map_err(connection_error)?;
+        let (mut sender, mut receiver) = connection.open_bi().await.map_err(connection_error)?;
         let hello = codec::encode(&self.shared.vm).map_err(|error| error.to_string())?;
         let greeting: Result<(), _> = async {
             codec::write_frame(&mut sender, &hello).await.map_err(|_lost| ())?;
@@ -217,8 +218,8 @@
         .await;
         match (greeting, connection.close_reason()) {
             (Ok(()), _) => Ok(connection),
-            (Err(()), Some(error)) => Err(refused(error)),
-            (Err(()), None) => Err("the peer did not greet".to_owned()),
+            (Err(()), Some(error)) => Err(connection_error(error)),
+            (Err(()), None) => Err("the peer did not reply to the greeting".to_owned()),
         }
     }
 
@@ -229,7 +230,7 @@
             return;
         }
         let stream = self.stream.take();
-        match timeout(WRITE_LIMIT, write_to(&connection, stream, &frame.bytes)).await {
+        match timeout(WRITE_TIMEOUT, write_to(&connection, stream, &frame.bytes)).await {
             Ok(Some(stream)) => self.stream = Some(stream),
             Ok(None) => {
                 connection.close(1u32.into(), b"messages can't be written");
@@ -243,11 +244,12 @@
     }
 }
 
-/// Writes a long message and waits until the peer has it. One that takes too long is given up by
-/// itself: the peer may be reading all that its link carries.
+/// Writes a long message and waits until the peer has received it. A message that takes too long is
+/// dropped without closing the connection, since the peer may be reading at the full speed of its
+/// network.
 async fn write_bulk(connection: Connection, frame: QueuedFrame) {
-    let QueuedFrame { bytes, room } = frame;
-    let written = timeout(BULK_LIMIT, async {
+    let QueuedFrame { bytes, budget } = frame;
+    let written = timeout(BULK_TIMEOUT, async {
         let mut stream = connection.open_uni().await.ok()?;
         stream.set_priority(BULK_PRIORITY).ok()?;
         codec::write_frame(&mut stream, &bytes).await.ok()?;
@@ -259,7 +261,7 @@
         Ok(None) => count_drop("lost"),
         Err(_elapsed) => count_drop("slow"),
     }
-    drop(room);
+    drop(budget);
 }
 
 async fn write_to(
@@ -275,45 +277,45 @@
     Some(stream)
 }
 
-fn refused(error: quinn::ConnectionError) -> String {
+fn connection_error(error: quinn::ConnectionError) -> String {
     count_refusal(&error);
     error.to_string()
 }
 
-/// Waits between failed dials, doubled each time, each with its own chance, so that the peers of
-/// a VM that returns do not all dial in the same instant.
+/// Exponential backoff with jitter between failed dials, so that the peers of a VM that returns do
+/// not all dial at the same time.
 struct LinkBackoff {
     random: Xoshiro256PlusPlus,
-    wait: Duration,
+    delay: Duration,
     until: Option<Instant>,
 }
 
 impl LinkBackoff {
     fn new(seed: u64) -> Self {
         let random = Xoshiro256PlusPlus::seed_from_u64(seed);
-        Self { random, wait: SHORTEST_WAIT, until: None }
+        Self { random, delay: MIN_BACKOFF, until: None }
     }
 
-    /// Fails at once within a wait, so that callers can try another peer.
+    /// Fails at once during a backoff, so that callers can try another peer.
     fn check(&self) -> Result<(), String> {
         match self.until {
             Some(until) if Instant::now() < until => {
-                Err("the peer was unreachable just now".into())
+                Err("the peer was unreachable and the backoff has not ended".into())
             }
             Some(_) | None => Ok(()),
         }
     }
 
     fn succeeded(&mut self) {
-        self.wait = SHORTEST_WAIT;
+        self.delay = MIN_BACKOFF;
         self.until = None;
     }
 
     fn failed(&mut self) {
-        let half = self.wait / 2;
-        let chance = self.random.next_u32();
-        let jitter = half.mul_f64(f64::from(chance) / f64::from(u32::MAX));
+        let half = self.delay / 2;
+        let random = self.random.next_u32();
+        let jitter = half.mul_f64(f64::from(random) / f64::from(u32::MAX));
         self.until = Some(Instant::now() + half + jitter);
-        self.wait = (self.wait * 2).min(LONGEST_WAIT);
+        self.delay = (self.delay * 2).min(MAX_BACKOFF);
     }
 }
--- a/src/transport/message.rs
+++ b/src/transport/message.rs
@@ -1,4 +1,4 @@
-//! What daemons say to each other.
+//! Messages, requests and replies between daemons.
 
 use {
     crate::{
@@ -14,47 +14,48 @@
 /// A message that expects no reply and may be lost.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Between control replicas.
+    /// A message between control replicas.
     Replica(Box<ReplicaMessage>),
-    /// Between daemons of one failure domain.
+    /// A digest of the sender's state, exchanged between daemons of one failure domain.
     Digest(Box<DomainDigest>),
-    /// Give a server no new work until it reports other weights: it is about to load them.
+    /// Send a server no new requests until it reports other weights, because it is about to load them.
     DrainServer {
-        /// The server.
+        /// The server to drain.
         server: ServerId,
     },
-    /// The sender has this configuration revision; who lacks it asks for it.
+    /// The sender has this configuration revision. A receiver with an older one fetches it.
     ConfigNotice {
-        /// The revision.
+        /// The revision in force at the sender.
         revision: Revision,
     },
 }
 
-/// A request that gets one reply, or fails.
+/// A request that gets exactly one reply, or fails.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Propose a command at the leader; the peer forwards at most once more.
+    /// Propose a command to the leader. The peer forwards it at most once.
     Propose {
-        /// The command.
+        /// The command to propose.
         command: Box<Command>,
-        /// Whether the peer may pass it on to the leader it knows.
+        /// Whether the peer may forward the command to the leader that it knows.
         may_forward: bool,
     },
     /// Fetch the configuration if it is newer than `have`.
     FetchConfig {
-        /// The revision the asker has.
+        /// The revision that the requester has.
         have: Revision,
     },
-    /// What the peer knows of a request, for `oleandermountctl explain`.
+    /// Return the peer's trace of a request, for `oleandermountctl explain`.
     Explain {
-        /// The request.
+        /// The id of the traced request.
         request: RequestId,
     },
-    /// The revision in force at the peer and whether it serves.
+    /// Return the revision in force at the peer, and whether the peer serves.
     Status,
-    /// Take nothing new and finish what is in flight.
+    /// Accept no new requests and complete those in flight.
     Drain,
-    /// What has changed of the state that every daemon follows; the reply may wait for a change.
+    /// Return changes of the state that every daemon follows; the peer may wait for a change before it
+    /// replies.
     Follow(Box<FollowRequest>),
 }
 
@@ -63,18 +64,19 @@
 pub enum PeerReply {
     /// The result of a proposal.
     Proposed(Result<CommandOutcome, ProposeError>),
-    /// The configuration as JSON, or `None` when the asker's is as new.
+    /// The configuration as JSON, or `None` if the requester has the latest revision.
     Config(Option<String>),
-    /// The changes since the asker's revision, oldest first; each applies to the one before.
+    /// The changes since the requester's revision, oldest first; each applies to the result of the
+    /// previous one.
     ConfigChanges(Vec<ConfigDelta>),
     /// Trace lines of a request, oldest first; at most 64.
     Explained(Vec<String>),
     /// The peer's state as JSON.
     Status(String),
-    /// The peer drains.
+    /// The peer has started to drain.
     Draining,
-    /// The peer cannot answer; the text names the remedy.
+    /// The peer cannot answer; the text contains the remedy.
     Refused(String),
-    /// What has changed since the asker's state.
+    /// The changes since the state that the requester reported.
     Followed(Box<FollowReply>),
 }
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -1,4 +1,4 @@
-//! The daemon's end of all connections to its peers.
+//! The network of a daemon: its connections to and from all peers.
 
 use {
     super::{
@@ -25,85 +25,86 @@
     tokio::time::{Instant, timeout_at},
 };
 
-/// A connection that heard nothing for so long is closed. It is also how long a cut goes
-/// unnoticed by a connection in use.
+/// A connection that receives nothing for this time is closed. A network partition can remain
+/// undetected by an active connection for the same time.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Requests that one peer may have open here at a time.
-const OPEN_REQUESTS: u32 = 256;
-/// Streams of messages from one peer: one of short messages, one more while a lost one is noticed,
-/// and those of long messages.
-const OPEN_STREAMS: u32 = 8;
-/// Bytes of one stream that a peer may send ahead of the reader.
+/// Most concurrent requests from one peer.
+const MAX_OPEN_REQUESTS: u32 = 256;
+/// Most message streams from one peer: one of short messages, a second one while a lost stream has not
+/// been detected yet, and those of long messages.
+const MAX_MESSAGE_STREAMS: u32 = 8;
+/// Flow-control window of one stream: bytes that a peer may send ahead of the reader.
 const STREAM_WINDOW: u32 = 1 << 20;
-/// Bytes of all streams of a connection that a peer may send ahead of the reader.
+/// Flow-control window of a connection: bytes of all its streams that a peer may send ahead of the
+/// readers.
 const CONNECTION_WINDOW: u32 = 4 << 20;
-/// First guess of the round trip: between regions, rather than QUIC's third of a second, so that
-/// a lost first packet costs a tenth of a second instead of one.
+/// Initial estimate of the round-trip time, that between regions. QUIC's default of a third of a
+/// second would make a lost first packet cost a second instead of a tenth.
 const INITIAL_ROUND_TRIP: Duration = Duration::from_millis(50);
 
-/// Counts peers that were refused, by reason.
+/// Metric that counts rejected peers by reason.
 pub const REFUSED_COUNTER: &str = "oleandermount_peer_refused_total";
-/// Counts messages that were dropped, by reason.
+/// Metric that counts dropped messages by reason.
 pub const DROPPED_COUNTER: &str = "oleandermount_peer_dropped_total";
 
-/// What a daemon's network needs to start.
+/// Settings of a daemon's network with mutual authentication.
 #[derive(Clone, Debug)]
 pub struct NetworkSettings {
-    /// This daemon's VM; its certificate must carry the name.
+    /// The VM of this daemon; the certificate must contain this name.
     pub vm: VmId,
     /// The UDP address to listen on.
     pub listen: SocketAddr,
-    /// The keys.
+    /// The key files of this daemon.
     pub keys: KeyFiles,
-    /// Where peers are; this VM's own entry is ignored.
+    /// Addresses of the peers; an entry for this VM is ignored.
     pub peers: BTreeMap<VmId, SocketAddr>,
 }
 
-/// What a daemon's network needs to start where the network is trusted as a whole; see
-/// [`super::unauthenticated`].
+/// Settings of a daemon's network without authentication; see [`super::unauthenticated`].
 #[derive(Clone, Debug)]
 pub struct UnauthenticatedSettings {
-    /// This daemon's VM.
+    /// The VM of this daemon.
     pub vm: VmId,
     /// The UDP address to listen on.
     pub listen: SocketAddr,
-    /// Where peers are; this VM's own entry is ignored.
+    /// Addresses of the peers; an entry for this VM is ignored.
     pub peers: BTreeMap<VmId, SocketAddr>,
 }
 
-/// Takes what peers send. Both are called on the network's tasks and must not block.
+/// Handles messages and requests from peers. Both methods run on the tasks of the network and must not
+/// block.
 pub trait PeerHandler: Send + Sync {
-    /// Takes a message that needs no reply.
+    /// Handles a message that needs no reply.
     fn message(&self, from: VmId, message: PeerMessage);
 
-    /// Answers a request.
+    /// Handles a request; the future resolves to the reply.
     fn request(&self, from: VmId, request: PeerRequest) -> BoxFuture<'static, PeerReply>;
 }
 
-/// Why the network did not do what it was asked.
+/// Why the network did not start, or a call failed.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum TransportError {
-    /// the keys can't be used: {0}
+    /// the keys cannot be used: {0}
     Keys(KeyError),
-    /// no peer can be heard on {address}: {reason}; give an address of this VM that is free
+    /// cannot listen for peers on {address}: {reason}; set a free address of this VM
     Listen {
-        /// The address.
+        /// The address that could not be bound.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         reason: String,
     },
-    /// nothing was sent to {peer}: {reason}; another peer may be tried
+    /// nothing was sent to {peer}: {reason}; try another peer
     NotSent {
-        /// The peer.
+        /// The peer that was called.
         peer: VmId,
-        /// What prevented it.
+        /// Why the request was not sent.
         reason: String,
     },
-    /// {peer} may have taken the request, but no reply came: {reason}; ask again only with the same operation id or key
+    /// {peer} may have received the request but did not reply: {reason}; resend it only with the same operation id or key
     Unknown {
-        /// The peer.
+        /// The peer that was called.
         peer: VmId,
-        /// What is missing.
+        /// Why there is no reply.
         reason: String,
     },
 }
@@ -111,7 +112,7 @@
 impl std::error::Error for TransportError {}
 
 impl TransportError {
-    /// Whether the peer surely has not seen the request.
+    /// Whether it is certain that the peer has not received the request.
     pub fn definitely_not_sent(&self) -> bool {
         match self {
             Self::NotSent { .. } => true,
@@ -120,7 +121,7 @@
     }
 }
 
-/// The network of one daemon; clones share it.
+/// The network of one daemon; clones share the same connections.
 #[derive(Clone)]
 pub struct PeerNetwork {
     inner: Arc<NetworkInner>,
@@ -130,10 +131,10 @@
     vm: VmId,
     endpoint: Endpoint,
     address: SocketAddr,
-    /// `None` where the network is trusted as a whole.
+    /// `None` in an unauthenticated network.
     keys: Option<KeyFiles>,
     shared: Arc<LinkContext>,
-    /// One entry for each peer of the last `set_peers`, at most; made when first used.
+    /// At most one link for each peer of the last `set_peers`, created at its first use.
     links: Mutex<LinkTable>,
 }
 
@@ -144,7 +145,8 @@
 }
 
 impl PeerNetwork {
-    /// Listens and starts to serve peers. Must be called within a tokio runtime.
+    /// Binds the address and starts to serve peers, with mutual authentication. Must be called within a
+    /// tokio runtime.
     ///
     /// # Errors
     /// [`TransportError::Keys`] or [`TransportError::Listen`].
@@ -157,12 +159,12 @@
         let endpoint_config = endpoint_settings(&loaded);
         let pair = build_pair(loaded, transport_settings()).map_err(TransportError::Keys)?;
         let NetworkSettings { vm, listen, keys, peers } = settings;
-        let place = UnauthenticatedSettings { vm, listen, peers };
-        Self::start_with(place, Some(keys), endpoint_config, pair, handler)
+        let base = UnauthenticatedSettings { vm, listen, peers };
+        Self::start_with(base, Some(keys), endpoint_config, pair, handler)
     }
 
-    /// Listens and serves peers whose names nobody vouches for. Must be called within a tokio
-    /// runtime.
+    /// Binds the address and starts to serve peers without authentication. Must be called within a
+    /// tokio runtime.
     ///
     /// # Errors
     /// [`TransportError::Keys`] or [`TransportError::Listen`].
@@ -175,7 +177,7 @@
         let pair = build_unauthenticated_pair(identity, transport_settings())
             .map_err(TransportError::Keys)?;
         log::warn!(vm = settings.vm.as_str();
-            "the network is trusted as a whole: peers are not asked to prove who they are");
+            "peers are not authenticated: every host that reaches the peer port is trusted");
         Self::start_with(settings, None, endpoint_config, pair, handler)
     }
 
@@ -192,7 +194,7 @@
         };
         let socket = UdpSocket::bind(settings.listen).map_err(listen)?;
         let runtime = quinn::default_runtime().ok_or_else(|| {
-            listen(std::io::Error::other("no tokio runtime runs where the network starts"))
+            listen(std::io::Error::other("the network must be started within a tokio runtime"))
         })?;
         let endpoint =
             Endpoint::new(endpoint_config, Some(pair.server), socket, runtime).map_err(listen)?;
@@ -219,12 +221,12 @@
         Ok(network)
     }
 
-    /// The address that peers reach this daemon at.
+    /// The bound address, with the port that the kernel chose if the settings have port 0.
     pub fn local_address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// Replaces the peers; connections to those that left or moved are closed.
+    /// Replaces the peers. Connections to peers that were removed or have a new address are closed.
     pub fn set_peers(&self, peers: BTreeMap<VmId, SocketAddr>) {
         let mut table = self.table();
         table.open.retain(|vm, link| peers.get(vm) == Some(&link.address()));
@@ -232,20 +234,21 @@
         table.addresses.remove(&self.inner.vm);
     }
 
-    /// This daemon's VM.
+    /// The VM of this daemon.
     pub fn vm(&self) -> &VmId {
         &self.inner.vm
     }
 
-    /// The peers known now, without this daemon.
+    /// The current peers, without this daemon.
     pub fn peers(&self) -> Vec<VmId> {
         self.table().addresses.keys().cloned().collect()
     }
 
-    /// Reads the key files again. New connections use the new keys; old ones end by themselves.
+    /// Reads the key files again. New connections use the new keys; open connections keep the old ones
+    /// until they close. Does nothing in an unauthenticated network.
     ///
     /// # Errors
-    /// [`TransportError::Keys`]; the former keys then stay in use.
+    /// [`TransportError::Keys`]; the previous keys then stay in use.
     pub fn reload_keys(&self) -> Result<(), TransportError> {
         let Some(files) = &self.inner.keys else { return Ok(()) };
         let pair = load_pair(files)?;
@@ -254,7 +257,7 @@
         Ok(())
     }
 
-    /// Sends without waiting. The message is lost when the peer is unknown, unreachable or slow.
+    /// Sends a message without waiting. It is dropped if the peer is unknown, unreachable or slow.
     pub fn send(&self, to: &VmId, message: PeerMessage) {
         match self.link(to) {
             Some(link) => link.send(&message),
@@ -262,11 +265,11 @@
         }
     }
 
-    /// Asks and waits for the reply, `timeout` at most.
+    /// Sends a request and waits for the reply, at most for `timeout`.
     ///
     /// # Errors
-    /// [`TransportError::NotSent`] only when not a byte of the request can have left this daemon
-    /// for a peer that accepted it; [`TransportError::Unknown`] otherwise.
+    /// [`TransportError::NotSent`] only if no byte of the request can have reached a peer that accepted
+    /// the connection; [`TransportError::Unknown`] otherwise.
     pub async fn call(
         &self,
         to: &VmId,
@@ -276,24 +279,24 @@
         let deadline = Instant::now() + timeout;
         let not_sent = |reason: String| TransportError::NotSent { peer: to.clone(), reason };
         let frame = codec::encode(&request).map_err(|error| not_sent(error.to_string()))?;
-        let link = self.link(to).ok_or_else(|| not_sent("the peer is not listed".to_owned()))?;
+        let link = self.link(to).ok_or_else(|| not_sent("the peer is unknown".to_owned()))?;
         let connection = timeout_at(deadline, link.connection())
             .await
-            .map_err(|_elapsed| not_sent("no connection in time".to_owned()))?
+            .map_err(|_elapsed| not_sent("connecting timed out".to_owned()))?
             .map_err(not_sent)?;
         let (sender, receiver) = timeout_at(deadline, connection.open_bi())
             .await
             .map_err(|_elapsed| not_sent("too many requests are open".to_owned()))?
             .map_err(|error| not_sent(error.to_string()))?;
-        // From the first byte on the peer may act on the request, whatever happens here.
+        // Once the first byte is written, the peer may act on the request even if the call fails.
         let unknown = |reason: String| TransportError::Unknown { peer: to.clone(), reason };
         timeout_at(deadline, exchange(sender, receiver, &frame))
             .await
-            .map_err(|_elapsed| unknown("the reply did not come in time".to_owned()))?
+            .map_err(|_elapsed| unknown("the reply did not arrive in time".to_owned()))?
             .map_err(unknown)
     }
 
-    /// Ends all connections and waits until the peers know.
+    /// Closes all connections and waits until the peers have been notified.
     pub async fn close(&self) {
         self.inner.endpoint.close(VarInt::from_u32(0), b"closing");
         self.inner.endpoint.wait_idle().await;
@@ -321,7 +324,7 @@
     frame: &[u8],
 ) -> Result<PeerReply, String> {
     codec::write_frame(&mut sender, frame).await.map_err(|error| error.to_string())?;
-    // A failed finish shows as a failed read.
+    // If this fails, the read below fails too.
     let _ = sender.finish();
     let mut reply = codec::read_frame(&mut receiver).await.map_err(|error| error.to_string())?;
     attachment::attach(&mut reply, &mut receiver).await.map_err(|error| error.to_string())?;
@@ -337,10 +340,12 @@
 fn transport_settings() -> TransportConfig {
     let mut settings = TransportConfig::default();
     settings
-        .max_idle_timeout(Some(IDLE_TIMEOUT.try_into().expect("five seconds fit a QUIC integer")))
+        .max_idle_timeout(Some(
+            IDLE_TIMEOUT.try_into().expect("five seconds fit into a QUIC integer"),
+        ))
         .initial_rtt(INITIAL_ROUND_TRIP)
-        .max_concurrent_bidi_streams(VarInt::from_u32(OPEN_REQUESTS))
-        .max_concurrent_uni_streams(VarInt::from_u32(OPEN_STREAMS))
+        .max_concurrent_bidi_streams(VarInt::from_u32(MAX_OPEN_REQUESTS))
+        .max_concurrent_uni_streams(VarInt::from_u32(MAX_MESSAGE_STREAMS))
         .stream_receive_window(VarInt::from_u32(STREAM_WINDOW))
         .receive_window(VarInt::from_u32(CONNECTION_WINDOW))
         .send_window(u64::from(CONNECTION_WINDOW))
@@ -348,12 +353,11 @@
     settings
 }
 
-/// Counts a connection that ended because one side did not accept the other's certificate or
-/// protocol.
+/// Counts a connection that failed because one side rejected the other's certificate or protocol.
 pub(super) fn count_refusal(error: &quinn::ConnectionError) {
-    /// QUIC carries TLS alerts as 0x100 plus the alert.
+    /// QUIC encodes a TLS alert as 0x100 plus the alert's code.
     const TLS_ALERTS: std::ops::RangeInclusive<u64> = 0x100..=0x1ff;
-    /// The alert that says that the ends share no protocol.
+    /// The alert `no_application_protocol`.
     const NO_PROTOCOL: u64 = 0x178;
     let code = match error {
         quinn::ConnectionError::TransportError(error) => u64::from(error.code),
@@ -362,16 +366,20 @@
     };
     if code == NO_PROTOCOL {
         metrics::counter!(REFUSED_COUNTER, "reason" => "release").increment(1);
-        log::warn!("a peer runs another release; run the same one on both VMs");
+        log::warn!("a peer runs an incompatible release; run the same release on both VMs");
     } else if TLS_ALERTS.contains(&code) {
         metrics::counter!(REFUSED_COUNTER, "reason" => "authority").increment(1);
-        log::warn!("a peer's certificate was refused: {error}; give it a key of this authority");
+        log::warn!(
+            "the certificate of a peer or of this VM was rejected: {error}; use keys of the same authority on both VMs"
+        );
     }
 }
 
-/// Ends a connection whose other end gave a name that its certificate does not carry.
+/// Closes a connection whose peer sent a name that its certificate does not contain.
 pub(super) fn reject_name(connection: &Connection, vm: &VmId) {
     metrics::counter!(REFUSED_COUNTER, "reason" => "name").increment(1);
-    log::warn!("a peer calls itself {vm:?} against its certificate; give that VM its own key");
+    log::warn!(
+        "a peer sent the name {vm:?}, which its certificate does not contain; give that VM its own key"
+    );
     connection.close(VarInt::from_u32(1), b"the certificate carries another name");
 }
--- a/src/transport/reset_key.rs
+++ b/src/transport/reset_key.rs
@@ -1,10 +1,11 @@
-//! Lets a restarted daemon tell its peers that their connections ended with its former life.
+//! The key for QUIC stateless resets, with which a restarted daemon ends the connections of its
+//! previous incarnation.
 //!
-//! A process that is killed says goodbye to nobody. Its peers would go on writing to it for the
-//! whole idle limit, and its next life, already up, would hear from none of them: no configuration
-//! comes and no leader. QUIC answers such packets with a stateless reset (RFC 9000, section 10.3),
-//! which a peer believes only from the same key; so the key must outlive the process, and is
-//! derived from the one secret that does.
+//! A killed process does not close its connections. Its peers would keep sending on them until the
+//! idle timeout, so the next incarnation would receive neither the configuration nor messages from the
+//! leader for that time. QUIC answers such packets with a stateless reset (RFC 9000, section 10.3),
+//! which a peer accepts only if it was made with the same key. The key therefore has to be the same
+//! after a restart, and is derived from the only secret that is: the private key.
 
 use {
     super::keys::LoadedKeys,
@@ -17,31 +18,31 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Sets these derivations apart from any other use of the private key.
+/// Domain separation from other uses of the private key.
 const PURPOSE: &[u8] = b"oleandermount stateless reset";
-/// Bytes of a connection id, as quinn has them.
-const ID_BYTES: usize = 8;
+/// Bytes of a connection id, the same as in quinn's default.
+const CONNECTION_ID_BYTES: usize = 8;
 
-/// Settings of an endpoint whose resets are believed after a restart with the same keys.
+/// Settings of an endpoint whose resets are accepted after a restart with the same keys.
 pub fn endpoint_settings(keys: &LoadedKeys) -> EndpointConfig {
     settings_from(keys.key.secret_der())
 }
 
-/// Settings of an endpoint in a network that is trusted as a whole: with nothing secret that
-/// outlives the process, the VM's name has to do, and anyone there could forge a reset.
+/// Settings of an endpoint in an unauthenticated network. No secret persists across restarts there, so
+/// the reset key is derived from the VM's name, and any host of the network could forge a reset.
 pub fn unauthenticated_endpoint_settings(vm: &str) -> EndpointConfig {
     settings_from(vm.as_bytes())
 }
 
-fn settings_from(lasting: &[u8]) -> EndpointConfig {
-    let digest = Sha256::new().chain_update(PURPOSE).chain_update(lasting);
+fn settings_from(key_material: &[u8]) -> EndpointConfig {
+    let digest = Sha256::new().chain_update(PURPOSE).chain_update(key_material);
     let mut settings = EndpointConfig::new(Arc::new(ResetKey(digest.finalize().into())));
-    settings.cid_generator(|| Box::new(PlainIds));
+    settings.cid_generator(|| Box::new(RandomConnectionIds));
     settings
 }
 
-/// Signs connection ids. They all have the same length, so a digest of key and id is a proper
-/// message authentication code.
+/// Signs connection ids. All ids have the same length, so a digest of key and id is a secure message
+/// authentication code.
 struct ResetKey([u8; 32]);
 
 impl HmacKey for ResetKey {
@@ -61,19 +62,19 @@
     }
 }
 
-/// Random connection ids. Those of quinn's usual generator are recognised only by the life that
-/// made them, and a packet with another is dropped without the reset.
-struct PlainIds;
+/// Generates random connection ids. Ids of quinn's default generator are recognised only by the process
+/// that made them, and packets with other ids are dropped without a reset.
+struct RandomConnectionIds;
 
-impl ConnectionIdGenerator for PlainIds {
+impl ConnectionIdGenerator for RandomConnectionIds {
     fn generate_cid(&mut self) -> ConnectionId {
-        let mut id = [0; ID_BYTES];
-        OsRng.try_fill_bytes(&mut id).expect("the kernel's random numbers are always there");
+        let mut id = [0; CONNECTION_ID_BYTES];
+        OsRng.try_fill_bytes(&mut id).expect("the kernel's random number generator is available");
         ConnectionId::new(&id)
     }
 
     fn cid_len(&self) -> usize {
-        ID_BYTES
+        CONNECTION_ID_BYTES
     }
 
     fn cid_lifetime(&self) -> Option<Duration> {
--- a/src/transport/tls.rs
+++ b/src/transport/tls.rs
@@ -1,4 +1,4 @@
-//! TLS settings of both ends, and the check of a peer's name against its certificate.
+//! TLS settings of clients and servers, and the check of a peer's name against its certificate.
 
 use {
     super::keys::{KeyError, LoadedKeys, check_vm_name},
@@ -18,8 +18,9 @@
     std::sync::Arc,
 };
 
-/// The protocol both ends must speak. A change of the frames changes it, and so does one of what a
-/// command of the replicated log comes to: replicas that disagree on that must not form a quorum.
+/// The ALPN protocol that both ends must support. It changes with the format of frames, and with the
+/// effect of commands in the replicated log: replicas that apply commands differently must not form a
+/// quorum.
 pub(super) const PROTOCOL: &[u8] = b"oleandermount/2";
 
 /// TLS settings for dialling and for accepting, made from the same keys.
@@ -30,8 +31,8 @@
     pub server: ServerConfig,
 }
 
-/// Builds both ends' settings. Sessions are never resumed: a resumed one would skip the check of
-/// the certificate, and a key of an authority that was just removed would still get in.
+/// Builds the settings for both directions. Session resumption is disabled: a resumed session skips the
+/// check of the certificate, so a key of an authority that was just removed would still be accepted.
 ///
 /// # Errors
 /// [`KeyError::Unusable`].
@@ -71,7 +72,7 @@
     Ok(TlsPair { client, server })
 }
 
-/// Whether the certificate that the peer proved to own carries the name it goes by.
+/// Whether the certificate that the peer authenticated with contains the name `vm`.
 pub fn certificate_names_peer(connection: &Connection, vm: &VmId) -> bool {
     let Ok(name) = check_vm_name(vm) else { return false };
     let Some(identity) = connection.peer_identity() else { return false };
--- a/src/transport/unauthenticated.rs
+++ b/src/transport/unauthenticated.rs
@@ -1,9 +1,9 @@
-//! Connections without keys handed out, for networks that are trusted as a whole.
+//! Connections without authentication, for networks in which every host is trusted.
 //!
-//! Some installations give daemons nothing that could prove who they are. Each life then makes an
-//! identity of its own, which carries the VM's name and which nobody vouches for: bytes on the wire
-//! are encrypted and whole, but whoever reaches the port may claim any name. The mode is explicit,
-//! and a daemon that starts in it says so in its log.
+//! Some installations do not provide daemons with keys. Each process then creates a self-signed
+//! certificate for its VM's name. The traffic is encrypted and protected against modification, but any
+//! host that reaches the port can claim any name. The mode has to be chosen explicitly, and a daemon
+//! that starts in it logs a warning.
 
 use {
     super::{
@@ -34,16 +34,16 @@
     std::sync::Arc,
 };
 
-/// Makes the identity of one life: a certificate signed by itself.
+/// Creates the identity of one process: a self-signed certificate and its key.
 ///
 /// # Errors
 /// [`KeyError::InvalidVm`] or [`KeyError::Creation`].
 pub fn self_signed_identity(vm: &VmId) -> Result<LoadedKeys, KeyError> {
     check_vm_name(vm)?;
-    let creation = |error: rcgen::Error| KeyError::Creation { reason: error.to_string() };
-    let key = KeyPair::generate().map_err(creation)?;
-    let params = CertificateParams::new(vec![vm.clone()]).map_err(creation)?;
-    let certificate = params.self_signed(&key).map_err(creation)?;
+    let creation_error = |error: rcgen::Error| KeyError::Creation { reason: error.to_string() };
+    let key = KeyPair::generate().map_err(creation_error)?;
+    let params = CertificateParams::new(vec![vm.clone()]).map_err(creation_error)?;
+    let certificate = params.self_signed(&key).map_err(creation_error)?;
     Ok(LoadedKeys {
         authorities: Vec::new(),
         chain: vec![certificate.der().clone()],
@@ -51,7 +51,8 @@
     })
 }
 
-/// Settings of both ends that take any identity whose owner holds its key.
+/// Builds TLS settings for dialling and accepting that trust any certificate whose owner proves to have
+/// its private key.
 ///
 /// # Errors
 /// [`KeyError::Unusable`].
@@ -65,7 +66,7 @@
     };
     let transport = Arc::new(transport);
     let provider = Arc::new(ring::default_provider());
-    let verifier = Arc::new(AnyIdentity { provider: Arc::clone(&provider) });
+    let verifier = Arc::new(AnyCertificate { provider: Arc::clone(&provider) });
     let mut client = rustls::ClientConfig::builder_with_provider(Arc::clone(&provider))
         .with_protocol_versions(&[&TLS13])
         .map_err(unusable)?
@@ -92,14 +93,15 @@
     Ok(TlsPair { client, server })
 }
 
-/// Takes any certificate that carries the name it is dialled by, if its owner holds the key.
+/// Accepts any certificate whose owner proves to have its private key. The certificate of a server must
+/// contain the name that was dialled.
 #[derive(Debug)]
-struct AnyIdentity {
+struct AnyCertificate {
     provider: Arc<CryptoProvider>,
 }
 
-impl AnyIdentity {
-    fn holds_key(
+impl AnyCertificate {
+    fn verify_signature(
         &self,
         message: &[u8],
         certificate: &CertificateDer<'_>,
@@ -110,7 +112,7 @@
     }
 }
 
-impl ServerCertVerifier for AnyIdentity {
+impl ServerCertVerifier for AnyCertificate {
     fn verify_server_cert(
         &self,
         certificate: &CertificateDer<'_>,
@@ -139,7 +141,7 @@
         certificate: &CertificateDer<'_>,
         signature: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        self.holds_key(message, certificate, signature)
+        self.verify_signature(message, certificate, signature)
     }
 
     fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
@@ -147,7 +149,7 @@
     }
 }
 
-impl ClientCertVerifier for AnyIdentity {
+impl ClientCertVerifier for AnyCertificate {
     fn root_hint_subjects(&self) -> &[DistinguishedName] {
         &[]
     }
@@ -158,7 +160,7 @@
         _intermediates: &[CertificateDer<'_>],
         _now: UnixTime,
     ) -> Result<ClientCertVerified, Error> {
-        // The name is held against the certificate when the peer greets.
+        // The name is checked against the certificate when the peer sends its greeting.
         Ok(ClientCertVerified::assertion())
     }
 
@@ -177,7 +179,7 @@
         certificate: &CertificateDer<'_>,
         signature: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        self.holds_key(message, certificate, signature)
+        self.verify_signature(message, certificate, signature)
     }
 
     fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
