--- a/tests/bulk_messages.rs
+++ b/tests/bulk_messages.rs
@@ -1,4 +1,5 @@
-//! Long messages between daemons: what waits for a slow or silent peer, and what overtakes them.
+//! Long messages between daemons: short messages overtake them, and the queue for a slow or
+//! unresponsive peer is bounded.
 
 mod fakes {
     pub mod echo_peer;
@@ -8,7 +9,7 @@
 
 use {
     fakes::{
-        echo_peer::{LONG, start_peer},
+        echo_peer::{TEST_TIMEOUT, start_peer},
         key_folder::KeyFolder,
         udp_relay::UdpRelay,
     },
@@ -21,14 +22,14 @@
     tokio::{sync::mpsc, time::timeout},
 };
 
-/// A long document, and a link on which it takes three seconds.
 const DOCUMENT_BYTES: usize = 3 << 20;
+/// Bytes per second of a link on which a document takes three seconds.
 const SLOW_LINK: u32 = 1 << 20;
-/// More documents than a link may hold.
+/// More documents than fit in the byte budget of a link.
 const DOCUMENTS: usize = 100;
 const NOTICE: PeerMessage = PeerMessage::ConfigNotice { revision: 7 };
 
-/// An append that carries one document of `length` bytes.
+/// An append that contains one document of `length` bytes.
 fn long_append(length: usize) -> PeerMessage {
     let command = Command::PutDocument { number: 1, body: "x".repeat(length) };
     let entries = vec![LogEntry { term: 1, index: 1, payload: EntryPayload::Command(command) }];
@@ -41,35 +42,36 @@
 
 struct RelayedPair {
     sender: PeerNetwork,
-    heard: mpsc::Receiver<(VmId, PeerMessage)>,
+    received: mpsc::Receiver<(VmId, PeerMessage)>,
     relay: UdpRelay,
-    /// Keep it running.
+    /// Held to keep the receiver running.
     _receiver: PeerNetwork,
     _keys: KeyFolder,
 }
 
 impl RelayedPair {
-    /// Two daemons whose connection is up.
+    /// Starts two daemons and opens a connection between them.
     async fn start() -> Self {
         let keys = KeyFolder::new();
         let relay = UdpRelay::start(&["receiver", "sender"]).await;
-        let (receiver, heard) = start_peer("receiver", keys.files("receiver"), &[]);
+        let (receiver, received) = start_peer("receiver", keys.files("receiver"), &[]);
         let peers = [("receiver", relay.port("receiver"))];
         let (sender, _) = start_peer("sender", keys.files("sender"), &peers);
         relay.place("receiver", receiver.local_address());
         relay.place("sender", sender.local_address());
-        let status = sender.call(&"receiver".to_owned(), PeerRequest::Status, LONG).await;
+        let status = sender.call(&"receiver".to_owned(), PeerRequest::Status, TEST_TIMEOUT).await;
         status.expect("the receiver answers");
-        RelayedPair { sender, heard, relay, _receiver: receiver, _keys: keys }
+        RelayedPair { sender, received, relay, _receiver: receiver, _keys: keys }
     }
 
     fn send(&self, message: PeerMessage) {
         self.sender.send(&"receiver".to_owned(), message);
     }
 
-    async fn hear(&mut self) -> PeerMessage {
-        let heard = timeout(LONG, self.heard.recv()).await.expect("a message comes");
-        heard.expect("the receiver runs").1
+    async fn receive(&mut self) -> PeerMessage {
+        let received =
+            timeout(TEST_TIMEOUT, self.received.recv()).await.expect("a message arrives");
+        received.expect("the receiver runs").1
     }
 }
 
@@ -80,20 +82,20 @@
     line.map_or(0, |number| number.parse().expect("a counter is a number"))
 }
 
-// Guards against followers that hear no heartbeat while a long document is on its way to them.
+// Guards against followers that receive no heartbeats while a long document is being sent to them.
 #[tokio::test(flavor = "multi_thread")]
-async fn short_one_overtakes() {
+async fn short_message_overtakes_long_one() {
     let mut pair = RelayedPair::start().await;
     pair.relay.slow("receiver", SLOW_LINK);
     pair.send(long_append(DOCUMENT_BYTES));
     pair.send(NOTICE);
-    assert_eq!(pair.hear().await, NOTICE);
-    assert_eq!(pair.hear().await, long_append(DOCUMENT_BYTES), "it arrives whole");
+    assert_eq!(pair.receive().await, NOTICE);
+    assert_eq!(pair.receive().await, long_append(DOCUMENT_BYTES), "the document arrives complete");
 }
 
-// Guards against memory that grows with the messages that wait for a silent peer.
+// Guards against memory use that grows with the messages queued for an unresponsive peer.
 #[tokio::test]
-async fn unread_ones_are_bounded() {
+async fn queued_bytes_are_bounded() {
     let recorder = PrometheusBuilder::new().build_recorder();
     let handle = recorder.handle();
     let _guard = metrics::set_default_local_recorder(&recorder);
@@ -102,18 +104,18 @@
     for _ in 0..DOCUMENTS {
         pair.send(long_append(DOCUMENT_BYTES));
     }
-    let most = MAX_LINK_BYTES / DOCUMENT_BYTES;
-    assert!(dropped(&handle, "queue_full") >= DOCUMENTS - most, "{}", handle.render());
+    let max_queued = MAX_LINK_BYTES / DOCUMENT_BYTES;
+    assert!(dropped(&handle, "queue_full") >= DOCUMENTS - max_queued, "{}", handle.render());
     pair.relay.heal();
-    // The connection may have been given up meanwhile; messages may be lost, and are sent again.
+    // The connection may have been closed in the meantime, so messages may be lost and are resent.
     let again = async {
         loop {
             pair.send(NOTICE);
-            let heard = timeout(LONG / 100, pair.heard.recv()).await;
-            if matches!(heard, Ok(Some((_, PeerMessage::ConfigNotice { .. })))) {
+            let received = timeout(TEST_TIMEOUT / 100, pair.received.recv()).await;
+            if matches!(received, Ok(Some((_, PeerMessage::ConfigNotice { .. })))) {
                 return;
             }
         }
     };
-    timeout(LONG, again).await.expect("the link is usable again");
+    timeout(TEST_TIMEOUT, again).await.expect("the link is usable again");
 }
--- a/tests/fakes/echo_peer.rs
+++ b/tests/fakes/echo_peer.rs
@@ -1,4 +1,4 @@
-//! A peer that notes what it hears and answers each status request with the asker's name.
+//! A peer that records received messages and answers each status request with the caller's name.
 
 use {
     futures::future::BoxFuture,
@@ -13,16 +13,18 @@
     tokio::sync::mpsc,
 };
 
-/// Long enough for the slowest machine; no test's verdict depends on it being reached.
-pub const LONG: Duration = Duration::from_secs(30);
+/// Long enough for slow machines; no passing test waits for it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub struct EchoPeer {
-    heard: mpsc::Sender<(VmId, PeerMessage)>,
+    received: mpsc::Sender<(VmId, PeerMessage)>,
 }
 
 impl PeerHandler for EchoPeer {
     fn message(&self, from: VmId, message: PeerMessage) {
-        self.heard.try_send((from, message)).expect("the test hears fewer");
+        self.received
+            .try_send((from, message))
+            .expect("the channel has room for all messages of a test");
     }
 
     fn request(&self, from: VmId, request: PeerRequest) -> BoxFuture<'static, PeerReply> {
@@ -36,17 +38,17 @@
     }
 }
 
-/// Starts a peer on a port of the kernel's choice.
+/// Starts a peer on a port that the kernel chooses.
 pub fn start_peer(
     vm: &str,
     keys: KeyFiles,
     peers: &[(&str, SocketAddr)],
 ) -> (PeerNetwork, mpsc::Receiver<(VmId, PeerMessage)>) {
-    let (heard, hearing) = mpsc::channel(1_024);
+    let (received, receiver) = mpsc::channel(1_024);
     let peers: BTreeMap<_, _> =
         peers.iter().map(|(peer, address)| ((*peer).to_owned(), *address)).collect();
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
     let settings = NetworkSettings { vm: vm.to_owned(), listen, keys, peers };
-    let network = PeerNetwork::start(settings, Arc::new(EchoPeer { heard })).expect("it starts");
-    (network, hearing)
+    let network = PeerNetwork::start(settings, Arc::new(EchoPeer { received })).expect("it starts");
+    (network, receiver)
 }
--- a/tests/named_weights.rs
+++ b/tests/named_weights.rs
@@ -1,5 +1,5 @@
-//! Weights that operators name every few seconds reach all servers, and nothing begins on weights
-//! that were replaced long ago.
+//! Versions of weights that operators name every few seconds reach all servers, and no request starts
+//! on weights that were replaced long ago.
 
 use {
     oleandermount::{
@@ -31,11 +31,11 @@
     NamedWeights::from([("m0".to_owned(), version)])
 }
 
-/// Callers of one server got answers of weights that had been replaced twice. Order of events: a
-/// version is named while a busy server still has the first one; quick servers load each new
-/// version, and the busy one never has its turn.
+/// Guards against a server that stays on weights that were replaced twice: a version is named while a
+/// busy server still has the first one, idle servers load each new version, and the busy one is never
+/// selected.
 #[test]
-fn oldest_loads_first() {
+fn server_with_oldest_weights_loads_first() {
     let server = |observed: &str, in_flight| RolloutServer {
         desired: "4".to_owned(),
         observed: Some(observed.to_owned()),
@@ -53,24 +53,24 @@
     assert_eq!((step.drain, step.load), (vec!["b".to_owned()], vec![]));
 }
 
-/// Three engines of which one may load at a time; each load takes 400 ms.
-struct TurnBench {
+/// Three engines, of which one may load at a time; a load takes 400 ms.
+struct OrderBench {
     core: OrderCore,
     now: Instant,
     versions: BTreeMap<String, String>,
-    /// The load under way: where, to which version, and until when.
+    /// The load in progress: server, version and end.
     load: Option<(String, String, Instant)>,
-    /// Orders in the order in which they were given.
+    /// Server and version of each order, in the order of sending.
     ordered: Vec<(String, String)>,
-    /// Whether servers refuse lower numbers.
+    /// Whether servers refuse lower fencing numbers.
     fenced: bool,
 }
 
-impl TurnBench {
+impl OrderBench {
     const SERVERS: [&str; 3] = ["s0", "s1", "s2"];
 
     fn new() -> Self {
-        TurnBench {
+        OrderBench {
             core: OrderCore::with_timing(FLEET_TIMING),
             now: Instant::now(),
             versions: Self::SERVERS.map(|server| (server.to_owned(), "1".to_owned())).into(),
@@ -80,27 +80,27 @@
         }
     }
 
-    fn want(&mut self, version: &str, index: u64) {
+    fn name_version(&mut self, version: &str, index: u64) {
         let model = "m0".to_owned();
         let weights = [(model.clone(), version.to_owned())].into();
         let servers = Self::SERVERS.map(|server| (server.to_owned(), [model.clone()].into()));
         let number = FencingNumber { term: 1, index };
         let desired = [(model, (version.to_owned(), number))].into();
         let (servers, fenced) = (servers.into(), self.fenced);
-        self.give(OrderInput::Configure(OrderPlan { limit: 1, weights, servers, fenced }));
-        self.give(OrderInput::Desired(Arc::new(desired)));
+        self.handle_input(OrderInput::Configure(OrderPlan { limit: 1, weights, servers, fenced }));
+        self.handle_input(OrderInput::Desired(Arc::new(desired)));
     }
 
-    fn give(&mut self, input: OrderInput) {
+    fn handle_input(&mut self, input: OrderInput) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for action in self.core.handle(self.now, input) {
-                inputs.extend(self.perform(action));
+                inputs.extend(self.handle_action(action));
             }
         }
     }
 
-    fn perform(&mut self, action: OrderAction) -> Option<OrderInput> {
+    fn handle_action(&mut self, action: OrderAction) -> Option<OrderInput> {
         match action {
             OrderAction::Look { server } => {
                 let report = LoadReport {
@@ -135,70 +135,73 @@
             {
                 self.versions.insert(server, version);
             }
-            self.give(OrderInput::Wake);
+            self.handle_input(OrderInput::Wake);
         }
     }
 }
 
-/// The same server loaded version after version while others waited. Order of events: it is held
-/// back and loads version 2; version 3 is named meanwhile; when it has loaded it has to wait for its
-/// turn like the others, and its load is noticed at once and not only when it is looked at as one
-/// that waits.
+/// Guards against one server that loads version after version while others wait. The server is drained
+/// and loads version 2 while version 3 is named. After the load it has to queue behind the others, and
+/// the end of its load is detected at once, not at the next probe of queued servers.
 #[test]
-fn a_load_ends_the_turn() {
-    let mut bench = TurnBench::new();
-    bench.give(OrderInput::Lease(Some((1, bench.now))));
-    bench.want("2", 1);
+fn loaded_server_queues_again() {
+    let mut bench = OrderBench::new();
+    bench.handle_input(OrderInput::Lease(Some((1, bench.now))));
+    bench.name_version("2", 1);
     bench.run(Duration::from_secs(10), |bench| bench.ordered.len() == 1);
-    bench.want("3", 2);
+    bench.name_version("3", 2);
     bench.run(Duration::from_secs(9), |_| false);
     let servers: Vec<&str> = bench.ordered.iter().map(|(server, _)| server.as_str()).collect();
     assert_eq!(servers.len(), 4, "{:?}", bench.ordered);
-    assert_eq!(servers[3], servers[0], "who loaded version 2 comes last: {:?}", bench.ordered);
+    assert_eq!(
+        servers[3], servers[0],
+        "the server that loaded version 2 is last: {:?}",
+        bench.ordered
+    );
     assert!(bench.versions.values().all(|version| version == "3"), "{:?}", bench.versions);
 }
 
 #[test]
-fn required_after_a_while() {
-    let mut clock = RequiredWeights::default();
-    let begin = Instant::now();
-    assert_eq!(clock.update(begin, &named(2), 4), NamedWeights::new());
-    let later = begin + Duration::from_secs(3);
-    assert_eq!(clock.update(later, &named(3), 4), NamedWeights::new());
-    assert_eq!(clock.next_change(), Some(begin + REQUIRED_AFTER));
-    assert_eq!(clock.update(begin + REQUIRED_AFTER, &named(3), 4), named(2));
-    assert_eq!(clock.update(later + REQUIRED_AFTER, &named(3), 4), named(3));
-    assert_eq!(clock.next_change(), None);
+fn version_becomes_required_after_delay() {
+    let mut requirements = RequiredWeights::default();
+    let start = Instant::now();
+    assert_eq!(requirements.update(start, &named(2), 4), NamedWeights::new());
+    let second = start + Duration::from_secs(3);
+    assert_eq!(requirements.update(second, &named(3), 4), NamedWeights::new());
+    assert_eq!(requirements.next_change(), Some(start + REQUIRED_AFTER));
+    assert_eq!(requirements.update(start + REQUIRED_AFTER, &named(3), 4), named(2));
+    assert_eq!(requirements.update(second + REQUIRED_AFTER, &named(3), 4), named(3));
+    assert_eq!(requirements.next_change(), None);
 }
 
-/// Callers waited for seconds, or were refused, while most servers were idle. Order of events: a version
-/// is named and the leader freezes before it has given an order; the next leader waits before its first
-/// one; the version becomes required, and the first server to load it gets the work of all.
+/// Guards against callers that wait or are refused while most servers are idle: a version is named and
+/// the leader pauses before it has sent an order; the next leader waits before its first order; the
+/// version becomes required meanwhile, and the first server to load it gets all requests.
 #[test]
-fn new_leader_is_given_time() {
-    let mut clock = RequiredWeights::default();
-    let begin = Instant::now();
-    clock.update(begin, &named(2), 4);
-    let elected = begin + Duration::from_secs(2);
-    assert_eq!(clock.update(elected, &named(2), 5), NamedWeights::new());
-    assert_eq!(clock.update(begin + REQUIRED_AFTER, &named(2), 5), NamedWeights::new());
-    assert_eq!(clock.next_change(), Some(elected + REQUIRED_AFTER_ELECTION));
-    // What is named later is not required before what was named earlier.
-    let later = elected + Duration::from_secs(1);
-    assert_eq!(clock.update(later, &named(3), 5), NamedWeights::new());
-    assert_eq!(clock.update(elected + REQUIRED_AFTER_ELECTION, &named(3), 5), named(3));
-    assert_eq!(clock.next_change(), None);
-    // The first leader that an entry hears of postpones nothing: it may have led for long.
-    let mut clock = RequiredWeights::default();
-    clock.update(begin, &named(2), 0);
-    assert_eq!(clock.update(begin + REQUIRED_AFTER, &named(2), 5), named(2));
+fn new_leader_postpones_pending_versions() {
+    let mut requirements = RequiredWeights::default();
+    let start = Instant::now();
+    requirements.update(start, &named(2), 4);
+    let elected = start + Duration::from_secs(2);
+    assert_eq!(requirements.update(elected, &named(2), 5), NamedWeights::new());
+    assert_eq!(requirements.update(start + REQUIRED_AFTER, &named(2), 5), NamedWeights::new());
+    assert_eq!(requirements.next_change(), Some(elected + REQUIRED_AFTER_ELECTION));
+    // A version that is named later does not become required before an earlier one.
+    let second = elected + Duration::from_secs(1);
+    assert_eq!(requirements.update(second, &named(3), 5), NamedWeights::new());
+    assert_eq!(requirements.update(elected + REQUIRED_AFTER_ELECTION, &named(3), 5), named(3));
+    assert_eq!(requirements.next_change(), None);
+    // The first leader that an entry learns of postpones nothing: it may have been elected long ago.
+    let mut requirements = RequiredWeights::default();
+    requirements.update(start, &named(2), 0);
+    assert_eq!(requirements.update(start + REQUIRED_AFTER, &named(2), 5), named(2));
 }
 
 fn listed(id: &str, version: u64, phase: ServerPhase) -> ListedServer {
     ListedServer {
         id: id.to_owned(),
         service: "llm".to_owned(),
-        address: "127.0.0.1:9".parse().expect("it is an address"),
+        address: "127.0.0.1:9".parse().expect("the address is valid"),
         failure_domain: "d1".to_owned(),
         slots: 8,
         phase,
@@ -230,11 +233,11 @@
     })))
 }
 
-/// A server that crashed comes back with the weights that it had, and is listed as ready at once.
-/// Callers must not get answers of weights that were replaced long ago while others have newer ones;
-/// where nobody has, old weights are better than no answer.
+/// Guards against answers from weights that were replaced long ago: a server that crashed restarts with
+/// its previous weights and is listed as ready at once. It gets no requests while another server has
+/// newer weights; if none has, old weights are better than no answer.
 #[test]
-fn returned_server_waits() {
+fn restarted_server_with_old_weights_is_outdated() {
     let old = listed("i-1", 2, ServerPhase::Ready);
     let fleet = FleetSnapshot::new(vec![old.clone(), listed("i-2", 3, ServerPhase::Ready)]);
     let view = EdgeView::new(Some(index()), &fleet, &named(3), &named(3), 1);
@@ -243,17 +246,16 @@
     assert!(EdgeView::new(Some(index()), &alone, &named(3), &named(3), 1).outdated.is_empty());
 }
 
-/// Operators saw servers on replaced weights for three seconds more after each change of the leader.
-/// Order of events: a leader that has just been elected finds weights named; it waits until nothing
-/// that the former one sent can still arrive. Servers that check numbers refuse that one's orders, so
-/// there it begins at once.
+/// Guards against servers that stay on replaced weights for three seconds longer than necessary after
+/// each change of the leader. A new leader waits until no order of the previous one can still arrive.
+/// Servers that check fencing numbers refuse those orders, so for them it sends orders at once.
 #[test]
-fn new_leader_orders_at_once() {
+fn new_leader_waits_unless_fenced() {
     for fenced in [false, true] {
-        let mut bench = TurnBench { fenced, ..TurnBench::new() };
+        let mut bench = OrderBench { fenced, ..OrderBench::new() };
         let elected = bench.now;
-        bench.give(OrderInput::Lease(Some((1, elected))));
-        bench.want("2", 1);
+        bench.handle_input(OrderInput::Lease(Some((1, elected))));
+        bench.name_version("2", 1);
         bench.run(Duration::from_secs(10), |bench| !bench.ordered.is_empty());
         let waited = bench.now - elected;
         let drain = FLEET_TIMING.drain_limit;
--- a/tests/weight_scheduling.rs
+++ b/tests/weight_scheduling.rs
@@ -1,5 +1,5 @@
-//! Weights that operators name faster than the servers of a large installation can load them: which
-//! servers have their turn, in virtual time and without a network.
+//! Scheduling of loads when operators name versions faster than the servers of a large installation
+//! can load them, in virtual time and without a network.
 
 use {
     oleandermount::{
@@ -18,16 +18,16 @@
 
 const MODEL: &str = "basket-llm";
 const STEP: Duration = Duration::from_millis(10);
-/// From a proposal to its commit while the control VMs are busy.
+/// Time from a proposal to its commit while the control VMs are busy.
 const COMMIT_TIME: Duration = Duration::from_millis(250);
 const LOAD_TIME: Duration = Duration::from_millis(400);
-/// How old a server's report is.
+/// Age of the state in a server's report.
 const REPORT_LAG: Duration = Duration::from_millis(300);
-/// How long operators allow a server to stay on weights after newer ones were named.
+/// How long a server may stay on weights after newer ones were named.
 const AGE_ALLOWED: Duration = Duration::from_secs(8);
 
 struct BusyEngine {
-    /// The versions that it had, with the moment from which it had them; the last is its present one.
+    /// Loaded versions with the time of each load; the last one is current.
     versions: Vec<(Instant, WeightsNumber)>,
     load: Option<(WeightsNumber, Instant)>,
 }
@@ -39,8 +39,8 @@
     }
 }
 
-/// A leader's orders to engines that always have work.
-struct TurnBench {
+/// A leader that orders loads from engines that are always busy.
+struct OrderBench {
     now: Instant,
     core: OrderCore,
     desired: DesiredWeights,
@@ -48,21 +48,21 @@
     engines: BTreeMap<ServerId, BusyEngine>,
     commits: Vec<(Instant, OrderInput, Command)>,
     named: Vec<(Instant, WeightsNumber)>,
-    /// Orders of a version that their server had accepted before.
+    /// Number of orders for a version that the server had accepted before.
     repeated: usize,
-    /// Servers, from the first, that do not answer; a look at one of them ends after a second.
-    silent: usize,
-    waiting_looks: Vec<(Instant, ServerId)>,
+    /// Number of servers, from the first, that do not answer; a probe of one of them fails after 1 s.
+    unresponsive: usize,
+    pending_probes: Vec<(Instant, ServerId)>,
 }
 
-impl TurnBench {
+impl OrderBench {
     fn new(count: usize) -> Self {
         let now = Instant::now();
         let engine = |number| {
             let versions = vec![(now, 1)];
             (format!("i-{number:04}"), BusyEngine { versions, load: None })
         };
-        let mut bench = TurnBench {
+        let mut bench = OrderBench {
             now,
             core: OrderCore::with_timing(FLEET_TIMING),
             desired: DesiredWeights::new(),
@@ -71,40 +71,41 @@
             commits: Vec::new(),
             named: vec![(now, 1)],
             repeated: 0,
-            silent: 0,
-            waiting_looks: Vec::new(),
+            unresponsive: 0,
+            pending_probes: Vec::new(),
         };
-        bench.give(OrderInput::Lease(Some((1, now))));
+        bench.handle_input(OrderInput::Lease(Some((1, now))));
         bench
     }
 
     fn name(&mut self, version: WeightsNumber) {
         self.named.push((self.now, version));
-        let limit = u32::try_from(self.engines.len().div_ceil(6)).expect("it is small");
+        let limit =
+            u32::try_from(self.engines.len().div_ceil(6)).expect("the number of engines is small");
         let weights = [(MODEL.to_owned(), version.to_string())].into();
         let servers = self.engines.keys().map(|id| (id.clone(), [MODEL.to_owned()].into()));
         let plan = OrderPlan { limit, weights, servers: servers.collect(), fenced: true };
-        self.give(OrderInput::Configure(plan));
+        self.handle_input(OrderInput::Configure(plan));
     }
 
-    fn give(&mut self, input: OrderInput) {
+    fn handle_input(&mut self, input: OrderInput) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for action in self.core.handle(self.now, input) {
-                inputs.extend(self.perform(action));
+                inputs.extend(self.handle_action(action));
             }
         }
     }
 
-    fn perform(&mut self, action: OrderAction) -> Option<OrderInput> {
+    fn handle_action(&mut self, action: OrderAction) -> Option<OrderInput> {
         match action {
             OrderAction::Propose { model, command } => {
                 let input = OrderInput::Proposed { model };
                 self.commits.push((self.now + COMMIT_TIME, input, command));
                 None
             }
-            OrderAction::Look { server } if server < format!("i-{:04}", self.silent) => {
-                self.waiting_looks.push((self.now + Duration::from_secs(1), server));
+            OrderAction::Look { server } if server < format!("i-{:04}", self.unresponsive) => {
+                self.pending_probes.push((self.now + Duration::from_secs(1), server));
                 None
             }
             OrderAction::Look { server } => {
@@ -128,7 +129,7 @@
 
     fn accept(&mut self, order: WeightOrder) -> OrderInput {
         let version: WeightsNumber = order.weights.parse().expect("versions are numbers");
-        let engine = self.engines.get_mut(&order.server).expect("it is known");
+        let engine = self.engines.get_mut(&order.server).expect("the engine exists");
         let loading = engine.load.map(|(version, _)| version);
         let newest = loading.or(engine.versions.last().map(|(_, version)| *version));
         let mut result = OrderResult::NotTaken;
@@ -153,22 +154,24 @@
         let (due, later) = self.commits.drain(..).partition(|(at, ..)| now >= *at);
         self.commits = later;
         for (_, input, command) in due {
-            let Command::DesireModel { model, weights } = command else { panic!("weights only") };
+            let Command::DesireModel { model, weights } = command else {
+                panic!("only weights are proposed")
+            };
             self.log_index += 1;
             let number = FencingNumber { term: 1, index: self.log_index };
             self.desired.insert(model, (weights, number));
-            self.give(OrderInput::Desired(Arc::new(self.desired.clone())));
-            self.give(input);
+            self.handle_input(OrderInput::Desired(Arc::new(self.desired.clone())));
+            self.handle_input(input);
         }
-        let (ended, waiting) = self.waiting_looks.drain(..).partition(|(at, _)| now >= *at);
-        self.waiting_looks = waiting;
+        let (ended, waiting) = self.pending_probes.drain(..).partition(|(at, _)| now >= *at);
+        self.pending_probes = waiting;
         for (_, server) in ended {
-            self.give(OrderInput::Looked { server, report: None });
+            self.handle_input(OrderInput::Looked { server, report: None });
         }
-        self.give(OrderInput::Wake);
+        self.handle_input(OrderInput::Wake);
     }
 
-    /// How long the server that waited longest has been on weights after newer ones were named.
+    /// The longest time that any server has been on weights after newer ones were named.
     fn greatest_age(&self) -> Duration {
         let age = |engine: &BusyEngine| {
             let version = engine.version_at(self.now);
@@ -179,34 +182,34 @@
     }
 }
 
-/// Guards against answers on weights that were replaced long ago: the servers listed last never had
-/// their turn while newer versions kept coming.
+/// Guards against servers that stay on weights that were replaced long ago: the servers listed last
+/// were never selected while operators kept naming newer versions.
 #[test]
-fn everyone_has_a_turn() {
+fn all_servers_load_in_time() {
     for count in [320, 870] {
-        let mut bench = TurnBench::new(count);
-        let begin = bench.now;
+        let mut bench = OrderBench::new(count);
+        let start = bench.now;
         let mut moments = [2_000, 5_100, 9_000, 13_000].map(Duration::from_millis).into_iter();
         let mut next = moments.next();
         for version in 2.. {
-            while bench.now - begin < next.unwrap_or(Duration::from_secs(30)) {
+            while bench.now - start < next.unwrap_or(Duration::from_secs(30)) {
                 bench.step();
                 let age = bench.greatest_age();
-                let at = bench.now - begin;
+                let at = bench.now - start;
                 assert!(age <= AGE_ALLOWED, "{count} servers: weights {age:?} old at {at:?}");
             }
             let Some(_) = next else { break };
             bench.name(version);
             next = moments.next();
         }
-        assert_eq!(bench.greatest_age(), Duration::ZERO, "all have the last version");
+        assert_eq!(bench.greatest_age(), Duration::ZERO, "all servers have the latest version");
     }
 }
 
-/// Guards against turns lost to orders of weights that a server has accepted already.
+/// Guards against load slots that are wasted on orders for weights that a server has already accepted.
 #[test]
-fn accepted_once() {
-    let mut bench = TurnBench::new(60);
+fn accepted_orders_are_not_repeated() {
+    let mut bench = OrderBench::new(60);
     for version in 2..6 {
         bench.name(version);
         for _ in 0..400 {
@@ -216,52 +219,52 @@
     assert_eq!(bench.repeated, 0);
 }
 
-/// Guards against accepted orders given again, and all servers looked at anew, after a lease that
-/// lapsed for a moment and came back in its term.
+/// Guards against repeated orders and probes of all servers after a lease that lapsed for a moment and
+/// was renewed in the same term.
 #[test]
-fn lapse_forgets_nothing() {
-    let mut bench = TurnBench::new(60);
+fn lapsed_lease_keeps_progress() {
+    let mut bench = OrderBench::new(60);
     let lease = Some((1, bench.now));
     bench.name(2);
     for tick in 0..1_000 {
         bench.step();
         if tick % 50 == 0 {
-            bench.give(OrderInput::Lease(None));
-            bench.give(OrderInput::Lease(lease));
+            bench.handle_input(OrderInput::Lease(None));
+            bench.handle_input(OrderInput::Lease(lease));
         }
     }
     assert_eq!(bench.repeated, 0);
-    assert_eq!(bench.greatest_age(), Duration::ZERO, "all have the last version");
+    assert_eq!(bench.greatest_age(), Duration::ZERO, "all servers have the latest version");
 }
 
-/// Guards against servers that never load because others, listed before them, do not answer: looks at
-/// those took all places.
+/// Guards against servers that never load because servers listed before them do not answer: probes of
+/// those servers occupied all slots.
 #[test]
-fn silent_ones_wait() {
-    let mut bench = TurnBench::new(320);
-    bench.silent = 100;
+fn unresponsive_servers_do_not_block_others() {
+    let mut bench = OrderBench::new(320);
+    bench.unresponsive = 100;
     bench.name(2);
     for _ in 0..2_000 {
         bench.step();
     }
-    let answering = bench.engines.values().skip(bench.silent);
+    let answering = bench.engines.values().skip(bench.unresponsive);
     let behind = answering.filter(|engine| engine.version_at(bench.now) < 2).count();
-    assert_eq!(behind, 0, "servers that answer have the last version after 20 s");
+    assert_eq!(behind, 0, "responsive servers have the latest version after 20 s");
 }
 
-/// Guards against places that are held by servers which fell silent while they were drained.
+/// Guards against load slots that stay occupied by servers which became unresponsive while draining.
 #[test]
-fn silent_ones_free_places() {
-    let mut bench = TurnBench::new(60);
+fn unresponsive_servers_release_slots() {
+    let mut bench = OrderBench::new(60);
     bench.name(2);
     for _ in 0..40 {
         bench.step();
     }
-    bench.silent = 10;
+    bench.unresponsive = 10;
     for _ in 0..1_500 {
         bench.step();
     }
-    let answering = bench.engines.values().skip(bench.silent);
+    let answering = bench.engines.values().skip(bench.unresponsive);
     let behind = answering.filter(|engine| engine.version_at(bench.now) < 2).count();
-    assert_eq!(behind, 0, "servers that answer have the last version after 15 s");
+    assert_eq!(behind, 0, "responsive servers have the latest version after 15 s");
 }
