--- a/src/daemon/lifecycle.rs
+++ b/src/daemon/lifecycle.rs
@@ -22,9 +22,9 @@
         weight_orders::WeightOrders,
     },
     crate::{
-        gateway::{
+        http_api::{
             HttpServer,
-            caller::{CallerGate, caller_router, health_router},
+            caller::{CallerApi, caller_router, health_router},
             operator::{self, OperatorState},
         },
         ids::Incarnation,
@@ -131,7 +131,7 @@
         tasks.spawn(measures::upkeep(metrics.clone()));
         let connected = connect_parts(&options, &mut tasks)?;
         let ConnectedParts { parts, network, .. } = &connected;
-        let gate = CallerGate { core: Arc::clone(&parts.core), limits: options.limits.clone() };
+        let gate = CallerApi { core: Arc::clone(&parts.core), limits: options.limits.clone() };
         let callers = match options.identity.role {
             DaemonRole::Entry => caller_router(gate),
             DaemonRole::Control => health_router(),
--- a/src/daemon/remote_proposer.rs
+++ b/src/daemon/remote_proposer.rs
@@ -218,7 +218,7 @@
             Ok(PeerReply::Proposed(Err(ProposeError::NoQuorum))) => PeerOutcome::NotAccepted,
             Ok(PeerReply::Proposed(result)) => PeerOutcome::Final(result),
             Ok(PeerReply::Refused(_)) => PeerOutcome::NotAccepted,
-            Err(error) if error.surely_not_sent() => PeerOutcome::Unreachable,
+            Err(error) if error.definitely_not_sent() => PeerOutcome::Unreachable,
             Ok(_) | Err(_) => {
                 self.forget_leader(peer);
                 PeerOutcome::Final(Err(ProposeError::OutcomeUnknown))
--- a/src/gateway/answer.rs
+++ b/src/http_api/response.rs
@@ -1,4 +1,4 @@
-//! The forms in which answers leave: JSON bodies, refusals and event streams.
+//! Response formats: JSON bodies, refusals and server-sent event streams.
 
 use {
     crate::{
@@ -21,13 +21,13 @@
     },
 };
 
-/// The header that names a request in every answer.
-pub const REQUEST_HEADER: &str = "x-oleandermount-request-id";
-/// The last event of a whole stream.
+/// The response header that carries the request id.
+pub const REQUEST_ID_HEADER: &str = "x-oleandermount-request-id";
+/// The last event of a complete stream.
 const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// An answer with a whole body.
-pub fn body_answer(
+/// Builds a response with a complete body. An invalid `status` becomes 502.
+pub fn body_response(
     status: u16,
     content_type: impl AsRef<str>,
     body: impl Into<Bytes>,
@@ -36,18 +36,18 @@
     let mut response = Response::new(Body::Full(body.into().into()));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     set_header(response.headers_mut(), header::CONTENT_TYPE.as_str(), content_type);
-    set_header(response.headers_mut(), REQUEST_HEADER, request);
+    set_header(response.headers_mut(), REQUEST_ID_HEADER, request);
     response
 }
 
-/// A JSON answer.
-pub fn json_answer(status: u16, body: &Value, request: &RequestId) -> Response {
-    body_answer(status, "application/json", body.to_string(), request)
+/// Builds a response with a JSON body. An invalid `status` becomes 502.
+pub fn json_response(status: u16, body: &Value, request: &RequestId) -> Response {
+    body_response(status, "application/json", body.to_string(), request)
 }
 
-/// The answer of a refusal.
-pub fn refusal_answer(refusal: &CallerRefusal, request: &RequestId) -> Response {
-    let mut response = body_answer(refusal.status, "application/json", refusal.body(), request);
+/// Builds the response to a refused request, with `Retry-After` when the refusal advises a delay.
+pub fn refusal_response(refusal: &CallerRefusal, request: &RequestId) -> Response {
+    let mut response = body_response(refusal.status, "application/json", refusal.body(), request);
     if let Some(seconds) = refusal.retry_after_seconds() {
         set_header(response.headers_mut(), header::RETRY_AFTER.as_str(), seconds.to_string());
     }
@@ -59,12 +59,15 @@
         (Ok(name), Ok(value)) => {
             headers.insert(name, value);
         }
-        _ => log::warn!(header = name; "a header value of a backend server cannot be passed on"),
+        _ => {
+            log::warn!(header = name; "response header omitted: its value from the backend server is not valid")
+        }
     }
 }
 
-/// An event stream that begins with `first` and goes on with `parts`.
-pub fn stream_answer(
+/// Builds a server-sent event stream that starts with `first` and continues with `parts`. The
+/// request counts as open until the last event has been built.
+pub fn stream_response(
     first: Value,
     parts: mpsc::Receiver<ResponsePart>,
     delivery: ResponseDelivery,
@@ -72,9 +75,9 @@
     open: OpenRequest,
 ) -> Response {
     let state = StreamState { first: Some(first), parts, delivery, request, open: Some(open) };
-    let mut response = body_answer(200, "text/event-stream", Bytes::new(), &state.request);
+    let mut response = body_response(200, "text/event-stream", Bytes::new(), &state.request);
     set_header(response.headers_mut(), header::CACHE_CONTROL.as_str(), "no-cache");
-    *response.body_mut() = Body::from_stream(events(state));
+    *response.body_mut() = Body::from_stream(stream_events(state));
     response
 }
 
@@ -83,11 +86,11 @@
     parts: mpsc::Receiver<ResponsePart>,
     delivery: ResponseDelivery,
     request: RequestId,
-    /// Held until the last event is made; `None` ends the stream.
+    /// Held until the last event is built; `None` ends the stream.
     open: Option<OpenRequest>,
 }
 
-fn events(state: StreamState) -> impl Stream<Item = Result<Bytes, Infallible>> {
+fn stream_events(state: StreamState) -> impl Stream<Item = Result<Bytes, Infallible>> {
     stream::unfold(state, |mut state| async move {
         state.open.as_ref()?;
         let part = match state.first.take() {
@@ -98,7 +101,7 @@
             Some(ResponsePart::Chunk(chunk)) => data_event(&chunk),
             Some(ResponsePart::Complete(usage)) => {
                 state.open = None;
-                last_events(state.delivery, usage, &state.request)
+                final_events(state.delivery, usage, &state.request)
             }
             Some(ResponsePart::Refused(refusal)) => {
                 state.open = None;
@@ -117,12 +120,13 @@
     format!("data: {chunk}\n\n")
 }
 
-/// A truthful end of a stream that is not whole: an error event and no `[DONE]`.
+/// Ends an incomplete stream: an error event without `[DONE]`, so that callers do not take the
+/// stream for a complete one.
 fn error_event(refusal: &CallerRefusal) -> String {
     format!("event: error\ndata: {}\n\n", refusal.body())
 }
 
-fn last_events(delivery: ResponseDelivery, usage: TokenUsage, request: &RequestId) -> String {
+fn final_events(delivery: ResponseDelivery, usage: TokenUsage, request: &RequestId) -> String {
     match delivery {
         ResponseDelivery::StreamedWithUsage => {
             let chunk = json!({ "id": request, "choices": [], "usage": usage_body(usage) });
@@ -132,7 +136,7 @@
     }
 }
 
-/// Token counts in the OpenAI form.
+/// The `usage` object of an OpenAI response. Unknown cached tokens count as 0.
 pub fn usage_body(usage: TokenUsage) -> Value {
     json!({
         "prompt_tokens": usage.prompt_tokens,
--- a/src/transport.rs
+++ b/src/transport.rs
@@ -1,7 +1,7 @@
 //! Messages between daemons: QUIC with mutual TLS, encoded with postcard.
 //!
-//! Each daemon dials the peers that it has something to tell. A connection that carries nothing
-//! closes after [`network::IDLE_LIMIT`], so an idle peer costs no bytes.
+//! A daemon connects to a peer when it has something to send. An unused connection closes after
+//! [`network::IDLE_TIMEOUT`], so idle peers cause no traffic.
 
 pub mod attachment;
 pub mod codec;
@@ -11,13 +11,13 @@
 pub mod link;
 pub mod message;
 pub mod network;
-pub mod open_trust;
 pub mod reset_key;
 pub mod tls;
+pub mod unauthenticated;
 
 pub use self::{
     codec::CodecError,
     keys::{KeyError, KeyFiles, KeyPairPem},
     message::{PeerMessage, PeerReply, PeerRequest},
-    network::{NetworkSettings, OpenNetworkSettings, PeerHandler, PeerNetwork, TransportError},
+    network::{NetworkSettings, PeerHandler, PeerNetwork, TransportError, UnauthenticatedSettings},
 };
