--- a/src/backend.rs
+++ b/src/backend.rs
@@ -2,16 +2,16 @@
 //!
 //! docs/BACKENDS.md describes the interfaces spoken here.
 
+pub mod cache_key;
 pub mod connection;
 pub mod engine;
-pub mod prompt_keep;
 pub mod service;
 pub mod sse;
 
 pub use self::{
     connection::{BackendError, OpenResponse},
     engine::{EngineCall, EngineEvent, EngineStream},
-    service::{ServiceAnswer, ServiceRequest},
+    service::{ServiceRequest, ServiceResponse},
 };
 
 /// Carries the attempt id to a backend server, which repeats it in its answer.
--- a/src/backend/prompt_keep.rs
+++ b/src/backend/cache_key.rs
@@ -7,6 +7,6 @@
 use crate::policy::PrefixLevel;
 
 /// The name of the piece that ends at `level`.
-pub fn piece_key(salt: impl AsRef<str>, level: &PrefixLevel) -> String {
+pub fn cache_entry_key(salt: impl AsRef<str>, level: &PrefixLevel) -> String {
     format!("{}-{:016x}", salt.as_ref(), level.hash)
 }
--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -42,14 +42,14 @@
     /// no sign of life within {0:?}; the backend server may have run the request
     TimedOut(Duration),
     /// the answer belongs to another attempt; the connection is dropped
-    Crossed,
+    MismatchedAttempt,
     /// the backend server answered {status}
     Status {
         /// HTTP status.
         status: u16,
         /// When it asked to come back, in seconds.
         retry_after: Option<u64>,
-        /// Its body, cut at [`ERROR_BODY_BYTES`].
+        /// Its body, cut at [`MAX_ERROR_BODY_BYTES`].
         body: Bytes,
     },
     /// the backend server's answer is not in the agreed form: {0}
@@ -57,7 +57,7 @@
 }
 
 /// Error bodies are passed on to callers or logged; no more than this is read of them.
-pub const ERROR_BODY_BYTES: usize = 4096;
+pub const MAX_ERROR_BODY_BYTES: usize = 4096;
 
 impl std::error::Error for BackendError {}
 
@@ -72,7 +72,7 @@
         match self {
             BackendError::NotConnected(_) => AttemptFailure::NotConnected,
             BackendError::Stale => AttemptFailure::Stale,
-            BackendError::Broken | BackendError::Crossed => AttemptFailure::Broken,
+            BackendError::Broken | BackendError::MismatchedAttempt => AttemptFailure::Broken,
             BackendError::TimedOut(_) => AttemptFailure::TimedOut,
             BackendError::Status { status: 409, .. } => AttemptFailure::WrongWeights,
             BackendError::Status { status: 429 | 503, .. } => AttemptFailure::Refused,
@@ -146,15 +146,15 @@
     };
     let open = OpenResponse { response, connection };
     match open.response.headers().get(ATTEMPT_HEADER) {
-        Some(echo) if echo.as_bytes() != attempt_text(attempt).as_bytes() => {
-            Err(BackendError::Crossed)
+        Some(echo) if echo.as_bytes() != format_attempt_id(attempt).as_bytes() => {
+            Err(BackendError::MismatchedAttempt)
         }
         _ => Ok(open),
     }
 }
 
 /// The form in which attempt ids travel.
-pub fn attempt_text(attempt: AttemptId) -> String {
+pub fn format_attempt_id(attempt: AttemptId) -> String {
     format!("{attempt:032x}")
 }
 
--- a/src/backend/engine.rs
+++ b/src/backend/engine.rs
@@ -3,8 +3,8 @@
 use {
     super::{
         ATTEMPT_HEADER, BackendError, OpenResponse,
-        connection::{ERROR_BODY_BYTES, ExchangeLimits, attempt_text, exchange},
-        prompt_keep::piece_key,
+        cache_key::cache_entry_key,
+        connection::{ExchangeLimits, MAX_ERROR_BODY_BYTES, exchange, format_attempt_id},
         sse::{SseEvent, SseParser},
     },
     crate::{
@@ -22,11 +22,11 @@
 };
 
 /// A running engine sends a token or a comment at least this often; longer silence is a failure.
-pub const SILENCE_LIMIT: Duration = Duration::from_secs(10);
+pub const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Small control calls: an engine that cannot answer within this is as good as down.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Answers to control calls stay below this.
-const CONTROL_BODY_BYTES: usize = 1024 * 1024;
+const MAX_CONTROL_BODY_BYTES: usize = 1024 * 1024;
 
 /// One generation that an engine is asked for.
 #[derive(Clone, Debug)]
@@ -120,7 +120,7 @@
             fields.insert("weights".into(), json!(weights));
         }
         if let Some((level, incarnation)) = import {
-            let key = piece_key(&cache_salt, &level);
+            let key = cache_entry_key(&cache_salt, &level);
             fields.insert(
                 "kv_import".into(),
                 json!({ "key": key, "tokens": level.tokens, "incarnation": incarnation }),
@@ -139,7 +139,7 @@
         .uri(path.as_ref())
         .header("host", "backend")
         .header("content-type", "application/json")
-        .header(ATTEMPT_HEADER, attempt_text(attempt))
+        .header(ATTEMPT_HEADER, format_attempt_id(attempt))
         .body(Full::new(body))
         .expect("paths are checked by the gateway and the headers are constant")
 }
@@ -156,7 +156,8 @@
         .get("retry-after")
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.parse().ok());
-    let body = read_limited(open.response.body_mut(), ERROR_BODY_BYTES).await.unwrap_or_default();
+    let body =
+        read_limited(open.response.body_mut(), MAX_ERROR_BODY_BYTES).await.unwrap_or_default();
     Err(BackendError::Status { status: status.as_u16(), retry_after, body })
 }
 
@@ -180,10 +181,10 @@
             if let Some(event) = self.ready.pop_front() {
                 return Ok(event);
             }
-            let frame = timeout(SILENCE_LIMIT, self.open.response.body_mut().frame())
+            let frame = timeout(STREAM_IDLE_TIMEOUT, self.open.response.body_mut().frame())
                 .await
-                .map_err(|_| BackendError::TimedOut(SILENCE_LIMIT))?;
-            self.accept(frame)?;
+                .map_err(|_| BackendError::TimedOut(STREAM_IDLE_TIMEOUT))?;
+            self.handle_frame(frame)?;
         }
     }
 
@@ -191,17 +192,17 @@
     ///
     /// # Errors
     /// As [`EngineStream::next_event`].
-    pub fn ready_event(&mut self) -> Result<Option<EngineEvent>, BackendError> {
+    pub fn try_next_event(&mut self) -> Result<Option<EngineEvent>, BackendError> {
         while self.ready.is_empty() {
             match self.open.response.body_mut().frame().now_or_never() {
-                Some(frame) => self.accept(frame)?,
+                Some(frame) => self.handle_frame(frame)?,
                 None => return Ok(None),
             }
         }
         Ok(self.ready.pop_front())
     }
 
-    fn accept(
+    fn handle_frame(
         &mut self,
         frame: Option<Result<hyper::body::Frame<Bytes>, hyper::Error>>,
     ) -> Result<(), BackendError> {
@@ -211,10 +212,10 @@
             .parser
             .push(&bytes)
             .map_err(|_| BackendError::Malformed("an event is too long".to_owned()))?;
-        events.into_iter().try_for_each(|event| self.take_event(event))
+        events.into_iter().try_for_each(|event| self.handle_event(event))
     }
 
-    fn take_event(&mut self, event: SseEvent) -> Result<(), BackendError> {
+    fn handle_event(&mut self, event: SseEvent) -> Result<(), BackendError> {
         if event.data == "[DONE]" {
             self.ready.push_back(EngineEvent::Done);
             return Ok(());
@@ -265,13 +266,13 @@
 /// # Errors
 /// As [`exchange`].
 pub async fn cancel(address: SocketAddr, attempt: AttemptId) -> Result<(), BackendError> {
-    let path = format!("/v1/attempts/{}/cancel", attempt_text(attempt));
-    control(address, post(path, attempt, Bytes::new())).await.map(|_: Value| ())
+    let path = format!("/v1/attempts/{}/cancel", format_attempt_id(attempt));
+    control_call(address, post(path, attempt, Bytes::new())).await.map(|_: Value| ())
 }
 
 /// What an engine or a service says of itself.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct LoadAnswer {
+pub struct LoadResponse {
     /// Its present life.
     pub incarnation: Incarnation,
     /// Loaded weights by model.
@@ -299,7 +300,7 @@
 /// # Errors
 /// As [`exchange`], and `Malformed`.
 pub async fn load(address: SocketAddr, server: ServerId) -> Result<LoadReport, BackendError> {
-    let answer: LoadAnswer = control(address, get("/v1/load")).await?;
+    let answer: LoadResponse = control_call(address, get("/v1/load")).await?;
     Ok(LoadReport {
         server,
         incarnation: answer.incarnation,
@@ -313,7 +314,7 @@
 }
 
 #[derive(Deserialize)]
-struct CacheAnswer {
+struct CacheEventsResponse {
     incarnation: Incarnation,
     sequence: u64,
     #[serde(default)]
@@ -332,8 +333,8 @@
     sequence: u64,
 ) -> Result<CacheEvent, BackendError> {
     let path = format!("/v1/cache_events?after={sequence}");
-    let answer: CacheAnswer = control(address, get(path)).await?;
-    let CacheAnswer { incarnation, sequence, stored, evicted } = answer;
+    let answer: CacheEventsResponse = control_call(address, get(path)).await?;
+    let CacheEventsResponse { incarnation, sequence, stored, evicted } = answer;
     Ok(CacheEvent { server, incarnation, sequence, stored, evicted })
 }
 
@@ -353,7 +354,7 @@
 ) -> Result<(), BackendError> {
     let body = json!({ "model": model, "weights": weights, "fencing": fencing });
     let request = post("/v1/weights", 0, Bytes::from(body.to_string()));
-    control_before(address, request, send_before).await.map(|_: Value| ())
+    control_call_before(address, request, send_before).await.map(|_: Value| ())
 }
 
 fn get(path: impl AsRef<str>) -> Request<Full<Bytes>> {
@@ -364,14 +365,14 @@
         .expect("the paths are built here and are valid")
 }
 
-async fn control<T: DeserializeOwned>(
+async fn control_call<T: DeserializeOwned>(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<T, BackendError> {
-    control_before(address, request, Instant::now() + CONTROL_TIMEOUT).await
+    control_call_before(address, request, Instant::now() + CONTROL_TIMEOUT).await
 }
 
-async fn control_before<T: DeserializeOwned>(
+async fn control_call_before<T: DeserializeOwned>(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     send_before: Instant,
@@ -386,6 +387,6 @@
         .unwrap_or(0);
     let open = exchange(address, attempt, request, limits).await?;
     let mut open = expect_success(open).await?;
-    let body = read_limited(open.response.body_mut(), CONTROL_BODY_BYTES).await?;
+    let body = read_limited(open.response.body_mut(), MAX_CONTROL_BODY_BYTES).await?;
     serde_json::from_slice(&body).map_err(|error| BackendError::Malformed(error.to_string()))
 }
--- a/src/backend/service.rs
+++ b/src/backend/service.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         ATTEMPT_HEADER, BackendError,
-        connection::{ExchangeLimits, attempt_text, exchange},
+        connection::{ExchangeLimits, exchange, format_attempt_id},
     },
     crate::ids::AttemptId,
     bytes::Bytes,
@@ -14,7 +14,7 @@
 };
 
 /// Services answer callers with forms and lists; more than this is refused.
-pub const ANSWER_BYTES: usize = 8 * 1024 * 1024;
+pub const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 /// One call to a plain service.
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
 
 /// A service's whole answer, whatever its status.
 #[derive(Clone, Debug)]
-pub struct ServiceAnswer {
+pub struct ServiceResponse {
     /// HTTP status.
     pub status: u16,
     /// `Content-Type`.
@@ -51,7 +51,7 @@
     attempt: AttemptId,
     request: ServiceRequest,
     limits: ExchangeLimits,
-) -> Result<ServiceAnswer, BackendError> {
+) -> Result<ServiceResponse, BackendError> {
     let started = Instant::now();
     let ServiceRequest { method, path, headers, body } = request;
     let mut outgoing = Request::new(Full::new(body));
@@ -60,7 +60,7 @@
         .parse()
         .map_err(|_| BackendError::Malformed("the path is not valid for a request".to_owned()))?;
     *outgoing.headers_mut() = headers;
-    let fixed = [("host", "backend".to_owned()), (ATTEMPT_HEADER, attempt_text(attempt))];
+    let fixed = [("host", "backend".to_owned()), (ATTEMPT_HEADER, format_attempt_id(attempt))];
     fixed.into_iter().for_each(|(name, value)| {
         let value = value.parse().expect("digits and letters are valid header values");
         outgoing.headers_mut().insert(name, value);
@@ -74,11 +74,11 @@
     let content_type =
         text(header::CONTENT_TYPE).unwrap_or_else(|| "application/octet-stream".to_owned());
     let retry_after = text(header::RETRY_AFTER).and_then(|value| value.parse().ok());
-    let body = Limited::new(open.response.body_mut(), ANSWER_BYTES);
+    let body = Limited::new(open.response.body_mut(), MAX_RESPONSE_BYTES);
     let body = timeout_at(limits.head_before, body.collect())
         .await
         .map_err(|_| BackendError::TimedOut(started.elapsed()))?
         .map_err(|_| BackendError::Broken)?
         .to_bytes();
-    Ok(ServiceAnswer { status, content_type, retry_after, body })
+    Ok(ServiceResponse { status, content_type, retry_after, body })
 }
--- a/src/backend/sse.rs
+++ b/src/backend/sse.rs
@@ -13,17 +13,17 @@
     pub data: String,
 }
 
-/// An event that grew past [`EVENT_BYTES`].
+/// An event that grew past [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventTooLong;
 
 /// One event holds a few tokens; an engine that sends more in one event is at fault.
-pub const EVENT_BYTES: usize = 256 * 1024;
+pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// Collects bytes until an event is whole.
 #[derive(Debug, Default)]
 pub struct SseParser {
-    /// Never longer than [`EVENT_BYTES`] after `push`.
+    /// Never longer than [`MAX_EVENT_BYTES`] after `push`.
     buffer: BytesMut,
 }
 
@@ -31,7 +31,7 @@
     /// Takes more bytes and returns the events that they complete.
     ///
     /// # Errors
-    /// `EventTooLong` if the unfinished event exceeds [`EVENT_BYTES`].
+    /// `EventTooLong` if the unfinished event exceeds [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<SseEvent>, EventTooLong> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -39,7 +39,7 @@
             let block = self.buffer.split_to(length + separator).freeze();
             events.extend(parse_event(&block.slice(..length)));
         }
-        if self.buffer.len() > EVENT_BYTES {
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(EventTooLong);
         }
         if self.buffer.is_empty() {
--- a/src/bin/oleandermountd.rs
+++ b/src/bin/oleandermountd.rs
@@ -19,8 +19,8 @@
     let options = DaemonOptions::from_process().unwrap_or_else(|error| {
         process::exit(error.report());
     });
-    logs::install(options.life.log_level);
-    options.life.disabled.warn_if_any();
+    logs::install(options.runtime.log_level);
+    options.runtime.disabled.warn_if_any();
     let runtime = tokio::runtime::Runtime::new().unwrap_or_else(|error| {
         eprintln!("oleandermountd: no runtime: {error}; allow the process more threads");
         process::exit(START_FAILED);
@@ -62,28 +62,28 @@
         })
     }
 
-    async fn next(&mut self) -> Order {
+    async fn next(&mut self) -> SignalAction {
         tokio::select! {
-            _ = self.terminate.recv() => Order::Stop,
-            _ = self.interrupt.recv() => Order::Stop,
-            _ = self.reload.recv() => Order::RenewKeys,
+            _ = self.terminate.recv() => SignalAction::Stop,
+            _ = self.interrupt.recv() => SignalAction::Stop,
+            _ = self.reload.recv() => SignalAction::ReloadKeys,
         }
     }
 
     async fn stop(&mut self) {
-        while self.next().await != Order::Stop {}
+        while self.next().await != SignalAction::Stop {}
     }
 }
 
 /// What a signal orders.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Order {
+enum SignalAction {
     Stop,
-    RenewKeys,
+    ReloadKeys,
 }
 
 async fn serve(daemon: Daemon<Serving>, mut signals: Signals) -> i32 {
-    while signals.next().await == Order::RenewKeys {
+    while signals.next().await == SignalAction::ReloadKeys {
         daemon.reload_keys();
     }
     // The first signal drains; a second one ends the wait and says what was cut.
--- a/src/daemon/control_driver/runner.rs
+++ b/src/daemon/control_driver/runner.rs
@@ -233,7 +233,7 @@
     /// that it acknowledged would be durable. The daemon continues to serve with its present
     /// configuration.
     fn stop(&mut self, reason: &str) {
-        log::error!(reason = reason; "{}", events::DISK_LOST);
+        log::error!(reason = reason; "{}", events::REPLICA_STOPPED);
         metrics::counter!("oleandermount_control_replica_stopped_total").increment(1);
         // Dropping the replies reports an unknown outcome to the proposers.
         self.waiting.clear();
@@ -285,7 +285,7 @@
             Ok(replica) => {
                 self.generation = generation;
                 self.replica = replica;
-                log::warn!(life = generation; "{}", events::DISK_BACK);
+                log::warn!(life = generation; "{}", events::REPLICA_RESUMED);
                 self.publish();
                 true
             }
--- a/src/daemon/lifecycle.rs
+++ b/src/daemon/lifecycle.rs
@@ -281,10 +281,10 @@
         let ended = tokio::select! {
             () = core.gate.wait_empty() => DrainReport { cut: 0 },
             () = abort => DrainReport { cut: core.gate.in_flight() },
-            () = sleep(self.options.life.grace) => DrainReport { cut: core.gate.in_flight() },
+            () = sleep(self.options.runtime.grace) => DrainReport { cut: core.gate.in_flight() },
         };
         if ended.cut > 0 {
-            metrics::counter!(measures::CUT_REQUESTS).increment(ended.cut as u64);
+            metrics::counter!(measures::ABORTED_REQUESTS).increment(ended.cut as u64);
             log::error!(cut = ended.cut; "requests aborted during shutdown");
         }
         callers.stop().await;
@@ -351,7 +351,7 @@
         daemon: options.identity.vm.clone(),
         failure_domain: options.identity.failure_domain.clone(),
         seed: random_seed(),
-        disabled: options.life.disabled.clone(),
+        disabled: options.runtime.disabled.clone(),
     });
     PipelineCore::new(CoreParts {
         vm: options.identity.vm.clone(),
--- a/src/daemon/weight_orders/rollout_reporter.rs
+++ b/src/daemon/weight_orders/rollout_reporter.rs
@@ -38,13 +38,13 @@
         if term != self.term {
             let count: usize = pending.values().map(|pending| pending.servers).sum();
             if let Some(term) = self.term {
-                log::info!(term = term, pending = count; "{}", events::ORDERS_END);
+                log::info!(term = term, pending = count; "{}", events::WEIGHT_ORDERS_ENDED);
                 for model in pending.keys() {
                     metrics::gauge!(WEIGHTS_PENDING, "model" => model.clone()).set(0.0);
                 }
             }
             if let Some(term) = term {
-                log::info!(term = term, pending = count; "{}", events::ORDERS_BEGIN);
+                log::info!(term = term, pending = count; "{}", events::WEIGHT_ORDERS_STARTED);
             }
             self.term = term;
         }
@@ -62,7 +62,7 @@
             }
             let took_ms = now.saturating_duration_since(since).as_millis() as u64;
             log::info!(model = model.as_str(), weights = weights.as_str(), took_ms = took_ms;
-                "{}", events::WEIGHTS_IN_FORCE);
+                "{}", events::WEIGHTS_ACTIVE);
             self.in_force.insert(model, weights);
         }
     }
--- a/src/fleet/watch.rs
+++ b/src/fleet/watch.rs
@@ -213,13 +213,13 @@
         match (confirmed, self.unconfirmed_since) {
             (false, None) => {
                 self.unconfirmed_since = Some(Instant::now());
-                log::warn!(servers = servers; "{}", events::LIST_LOST);
+                log::warn!(servers = servers; "{}", events::LIST_UNCONFIRMED);
                 true
             }
             (true, Some(since)) => {
                 self.unconfirmed_since = None;
                 log::info!(servers = servers, away_ms = since.elapsed().as_millis() as u64;
-                    "{}", events::LIST_BACK);
+                    "{}", events::LIST_CONFIRMED);
                 true
             }
             (false, Some(_)) | (true, None) => false,
--- a/src/follow/task.rs
+++ b/src/follow/task.rs
@@ -175,7 +175,7 @@
             }
         }
         log::warn!(peer = peer.as_str(), followed_ms = since.elapsed().as_millis() as u64;
-            "{}", events::FOLLOWING_LOST);
+            "{}", events::CONTROL_UNRESPONSIVE);
     }
 
     fn record_confirmation(&mut self, confirmed: bool, peers: AskedPeers) {
--- a/src/gateway/caller.rs
+++ b/src/gateway/caller.rs
@@ -412,7 +412,7 @@
     call: ServiceCall,
     key: String,
     open: OpenRequest,
-) -> Result<crate::backend::ServiceAnswer, CallerRefusal> {
+) -> Result<crate::backend::ServiceResponse, CallerRefusal> {
     let deadline = call.caller.deadline;
     let fuse = Arc::new(SendState::default());
     let burning = Arc::clone(&fuse);
--- a/src/inventory/register.rs
+++ b/src/inventory/register.rs
@@ -55,11 +55,11 @@
     /// Where other daemons reach it over QUIC.
     pub peer_address: SocketAddr,
     /// Its size relative to the others; 1.0 is usual. Positive.
-    #[serde(default = "usual_capacity")]
+    #[serde(default = "default_capacity")]
     pub capacity: f64,
 }
 
-fn usual_capacity() -> f64 {
+fn default_capacity() -> f64 {
     1.0
 }
 
@@ -115,14 +115,14 @@
     #[serde(default)]
     pub service: Option<ServiceId>,
     /// Requests it runs at once without queueing inside; at least 1.
-    #[serde(default = "usual_slots")]
+    #[serde(default = "default_slots")]
     pub slots: u32,
     /// Whether it refuses orders with a lower fencing number than it has seen.
     #[serde(default)]
     pub checks_fencing: bool,
 }
 
-fn usual_slots() -> u32 {
+fn default_slots() -> u32 {
     8
 }
 
--- a/src/inventory/rules.rs
+++ b/src/inventory/rules.rs
@@ -106,14 +106,14 @@
     #[serde(default)]
     pub services: Vec<ServiceId>,
     /// Its share under contention relative to the others; positive.
-    #[serde(default = "usual_weight")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
     /// The class of its requests that name none.
     #[serde(default)]
     pub class: Option<RequestClass>,
 }
 
-fn usual_weight() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
--- a/src/inventory/validate.rs
+++ b/src/inventory/validate.rs
@@ -31,7 +31,7 @@
     let part = document.part(FilePart::Register);
     let register = records::read_register(&part, &mut faults);
     register_checks::check(&register, &mut faults);
-    document.finish(part, faults).map(|()| register.into_register())
+    document.resolve_faults(part, faults).map(|()| register.into_register())
 }
 
 /// Reads a rule set and checks all of it against `register`.
@@ -39,7 +39,7 @@
 /// # Errors
 /// Every fault that was found, in the order of the file.
 pub fn check_rules(text: &str, register: &AssetRegister) -> Result<RuleSet, Vec<InventoryFault>> {
-    check_rules_against(text, &KnownIds::of(register))
+    check_rules_with(text, &KnownIds::from_register(register))
 }
 
 /// Reads a rule set without holding it against a register.
@@ -51,7 +51,7 @@
     let mut faults = FaultList::default();
     let part = document.part(FilePart::Rules);
     let rules = records::read_rules(&part, &mut faults);
-    document.finish(part, faults).map(|()| rules.into_rules())
+    document.resolve_faults(part, faults).map(|()| rules.into_rules())
 }
 
 /// The faults of a register and of the rules beside it.
@@ -72,34 +72,34 @@
     text: &str,
     rules_text: Option<&str>,
 ) -> Result<(AssetRegister, Option<RuleSet>), PairFaults> {
-    let only_register = |register| PairFaults { register, rules: Vec::new() };
-    let document = SourceDocument::parse(text).map_err(only_register)?;
+    let register_only = |register| PairFaults { register, rules: Vec::new() };
+    let document = SourceDocument::parse(text).map_err(register_only)?;
     let mut faults = FaultList::default();
     let part = document.part(FilePart::Register);
     let records = records::read_register(&part, &mut faults);
     register_checks::check(&records, &mut faults);
-    let register_faults = document.finish(part, faults).err().unwrap_or_default();
+    let register_faults = document.resolve_faults(part, faults).err().unwrap_or_default();
 
-    let known = KnownIds::of_records(&records);
+    let known = KnownIds::from_records(&records);
     let rules = match rules_text {
-        Some(rules_text) => Some(check_rules_against(rules_text, &known)),
-        None if document.is_combined() => Some(check_rules_against(text, &known)),
+        Some(rules_text) => Some(check_rules_with(rules_text, &known)),
+        None if document.is_combined() => Some(check_rules_with(text, &known)),
         None => None,
     };
     match rules.transpose() {
         Ok(rules) if register_faults.is_empty() => Ok((records.into_register(), rules)),
-        Ok(_) => Err(only_register(register_faults)),
+        Ok(_) => Err(register_only(register_faults)),
         Err(rules) => Err(PairFaults { register: register_faults, rules }),
     }
 }
 
-fn check_rules_against(text: &str, known: &KnownIds) -> Result<RuleSet, Vec<InventoryFault>> {
+fn check_rules_with(text: &str, known: &KnownIds) -> Result<RuleSet, Vec<InventoryFault>> {
     let document = SourceDocument::parse(text)?;
     let mut faults = FaultList::default();
     let part = document.part(FilePart::Rules);
     let rules = records::read_rules(&part, &mut faults);
     rule_checks::check(&rules, known, &mut faults);
-    document.finish(part, faults).map(|()| rules.into_rules())
+    document.resolve_faults(part, faults).map(|()| rules.into_rules())
 }
 
 /// The one JSON form of a checked register or rule set: equal parts have equal text.
--- a/src/inventory/validate/document.rs
+++ b/src/inventory/validate/document.rs
@@ -34,7 +34,7 @@
     /// Its value.
     pub value: JsonValue,
     /// Faults outside the part, with paths from the root of the file.
-    outside: Vec<(KeyPath, FaultKind)>,
+    outside_faults: Vec<(KeyPath, FaultKind)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,20 +81,20 @@
     pub fn part(&self, wanted: FilePart) -> DocumentPart {
         if !self.is_combined() {
             let value = self.value.clone();
-            return DocumentPart { base: KeyPath::default(), value, outside: Vec::new() };
+            return DocumentPart { base: KeyPath::default(), value, outside_faults: Vec::new() };
         }
         let base = KeyPath::root(wanted.as_str());
         let value = self.value.get(wanted.as_str()).cloned();
-        let mut outside = self.stray_keys();
+        let mut outside_faults = self.unknown_keys();
         if value.is_none() {
             let part = wanted.as_str().to_owned();
-            outside.push((KeyPath::default(), FaultKind::NoPart { part }));
+            outside_faults.push((KeyPath::default(), FaultKind::MissingPart { part }));
         }
         let value = value.unwrap_or_else(|| JsonValue::Object(Map::new()));
-        DocumentPart { base, value, outside }
+        DocumentPart { base, value, outside_faults }
     }
 
-    fn stray_keys(&self) -> Vec<(KeyPath, FaultKind)> {
+    fn unknown_keys(&self) -> Vec<(KeyPath, FaultKind)> {
         let parts = [FilePart::Register, FilePart::Rules].map(FilePart::as_str);
         let detail = "beside register and rules a file holds nothing";
         self.value
@@ -102,7 +102,7 @@
             .into_iter()
             .flat_map(|object| object.keys())
             .filter(|key| !parts.contains(&key.as_str()))
-            .map(|key| (KeyPath::root(key), FaultKind::Value { detail: detail.to_owned() }))
+            .map(|key| (KeyPath::root(key), FaultKind::InvalidValue { detail: detail.to_owned() }))
             .collect()
     }
 
@@ -110,10 +110,14 @@
     ///
     /// # Errors
     /// The faults, in the order of the file, if there are any.
-    pub fn finish(&self, part: DocumentPart, faults: FaultList) -> Result<(), Vec<InventoryFault>> {
+    pub fn resolve_faults(
+        &self,
+        part: DocumentPart,
+        faults: FaultList,
+    ) -> Result<(), Vec<InventoryFault>> {
         let inside = faults.0.into_iter().map(|(path, kind)| (part.base.join(&path), kind));
         let mut found: Vec<InventoryFault> = inside
-            .chain(part.outside)
+            .chain(part.outside_faults)
             .map(|(path, kind)| {
                 let line = self.line_of(&path);
                 InventoryFault { line, key: path.to_string(), message: kind.to_string() }
--- a/src/inventory/validate/fault.rs
+++ b/src/inventory/validate/fault.rs
@@ -69,17 +69,17 @@
         detail: String,
     },
     /// the file has no {part}; add the part or give another file
-    NoPart {
+    MissingPart {
         /// `register` or `rules`.
         part: String,
     },
     /// the value does not fit: {detail}; correct it here
-    Value {
+    InvalidValue {
         /// What the reader found.
         detail: String,
     },
     /// "{id}" is no valid name; use 1 to 63 letters, digits, dots, dashes or underscores
-    Name {
+    InvalidName {
         /// The name.
         id: String,
     },
@@ -89,7 +89,7 @@
         id: String,
     },
     /// no failure domain is listed; add at least one to failure_domains
-    NoDomain,
+    MissingDomain,
     /// failure domain "{id}" is not listed; add it to failure_domains or correct the name
     UnknownDomain {
         /// The domain.
@@ -116,7 +116,7 @@
         address: String,
     },
     /// address {address} has no port; give the port it answers on
-    NoPort {
+    MissingPort {
         /// The address.
         address: String,
     },
@@ -141,12 +141,12 @@
         id: String,
     },
     /// only an engine has models; remove them from "{id}" or change its kind
-    ModelsOfOther {
+    UnexpectedModels {
         /// The server.
         id: String,
     },
     /// only a server of kind service has a service; remove it from "{id}" or change its kind
-    ServiceOfOther {
+    UnexpectedService {
         /// The server.
         id: String,
     },
@@ -158,7 +158,7 @@
         wanted: String,
     },
     /// "{digest}" is no SHA-256; give 64 lower-case hexadecimal digits, as `oleandermountctl keys organisation` prints them
-    BadDigest {
+    InvalidDigest {
         /// The text.
         digest: String,
     },
@@ -173,7 +173,7 @@
         method: String,
     },
     /// path "{path}" does not start with a slash; write it as callers send it after the service's name, such as /bookings
-    BadPath {
+    InvalidPath {
         /// The path.
         path: String,
     },
@@ -211,7 +211,7 @@
 
 impl FaultList {
     /// Notes one more fault.
-    pub fn note(&mut self, path: KeyPath, kind: FaultKind) {
+    pub fn push(&mut self, path: KeyPath, kind: FaultKind) {
         self.0.push((path, kind));
     }
 }
--- a/src/inventory/validate/records.rs
+++ b/src/inventory/validate/records.rs
@@ -113,7 +113,7 @@
 fn root_object(part: &DocumentPart, faults: &mut FaultList) -> Map<String, JsonValue> {
     part.value.as_object().cloned().unwrap_or_else(|| {
         let detail = "a table is wanted here".to_owned();
-        faults.note(KeyPath::default(), FaultKind::Value { detail });
+        faults.push(KeyPath::default(), FaultKind::InvalidValue { detail });
         Map::new()
     })
 }
@@ -129,7 +129,7 @@
         Some(JsonValue::Array(items)) => items,
         Some(_) => {
             let detail = format!("a list is wanted; write each record under [[{key}]]");
-            faults.note(path.clone(), FaultKind::Value { detail });
+            faults.push(path.clone(), FaultKind::InvalidValue { detail });
             Vec::new()
         }
     };
@@ -154,29 +154,29 @@
     faults: &mut FaultList,
 ) -> Option<T> {
     let mut rest = value;
-    let mut whole = true;
+    let mut complete = true;
     loop {
         let error = match T::deserialize(&rest) {
             Ok(record) => return Some(record),
             Err(error) => error.to_string(),
         };
         let missing = error.starts_with(MISSING);
-        let guilty = if missing { None } else { guilty_key::<T>(&rest, &error) };
-        let Some(key) = guilty else {
+        let invalid = if missing { None } else { invalid_key::<T>(&rest, &error) };
+        let Some(key) = invalid else {
             // A key that was taken out above is missing now; that is no new fault.
-            if whole || !missing {
-                faults.note(path.clone(), FaultKind::Value { detail: error });
+            if complete || !missing {
+                faults.push(path.clone(), FaultKind::InvalidValue { detail: error });
             }
             return None;
         };
-        faults.note(path.key(&key), FaultKind::Value { detail: error });
-        whole = false;
+        faults.push(path.key(&key), FaultKind::InvalidValue { detail: error });
+        complete = false;
         rest.as_object_mut()?.remove(&key);
     }
 }
 
 /// The key without which the reader no longer finds `error`.
-fn guilty_key<T: DeserializeOwned>(value: &JsonValue, error: &str) -> Option<String> {
+fn invalid_key<T: DeserializeOwned>(value: &JsonValue, error: &str) -> Option<String> {
     let object = value.as_object()?;
     object
         .keys()
--- a/src/inventory/validate/register_checks.rs
+++ b/src/inventory/validate/register_checks.rs
@@ -16,7 +16,7 @@
 };
 
 /// Length of a SHA-256 in hexadecimal digits.
-const DIGEST_DIGITS: usize = 64;
+const DIGEST_LENGTH: usize = 64;
 
 /// Notes every fault of the register.
 pub fn check(register: &RegisterRecords, faults: &mut FaultList) {
@@ -27,7 +27,7 @@
     check_ids(&register.servers, |record| &record.id, faults);
     check_ids(&register.organisations, |record| &record.id, faults);
     if register.failure_domains.ids.is_empty() {
-        faults.note(KeyPath::root("failure_domains"), FaultKind::NoDomain);
+        faults.push(KeyPath::root("failure_domains"), FaultKind::MissingDomain);
     }
     check_vms(register, faults);
     check_models(register, faults);
@@ -41,17 +41,17 @@
     for (path, record) in &list.records {
         let id = id(record);
         if !is_name(id) {
-            faults.note(path.key("id"), FaultKind::Name { id: id.clone() });
+            faults.push(path.key("id"), FaultKind::InvalidName { id: id.clone() });
         }
         if !seen.insert(id) {
-            faults.note(path.key("id"), FaultKind::DuplicateId { id: id.clone() });
+            faults.push(path.key("id"), FaultKind::DuplicateId { id: id.clone() });
         }
     }
 }
 
 fn check_domain(register: &RegisterRecords, path: &KeyPath, id: &str, faults: &mut FaultList) {
     if !register.failure_domains.ids.contains(id) {
-        faults.note(path.key("failure_domain"), FaultKind::UnknownDomain { id: id.to_owned() });
+        faults.push(path.key("failure_domain"), FaultKind::UnknownDomain { id: id.to_owned() });
     }
 }
 
@@ -62,9 +62,9 @@
     faults: &mut FaultList,
 ) {
     if address.port() == 0 {
-        faults.note(path, FaultKind::NoPort { address: address.to_string() });
+        faults.push(path, FaultKind::MissingPort { address: address.to_string() });
     } else if !seen.insert(address) {
-        faults.note(path, FaultKind::DuplicateAddress { address: address.to_string() });
+        faults.push(path, FaultKind::DuplicateAddress { address: address.to_string() });
     }
 }
 
@@ -76,7 +76,7 @@
         if !(record.capacity.is_finite() && record.capacity > 0.0) {
             let value = record.capacity.to_string();
             let wanted = "a positive number, 1.0 for the usual size".to_owned();
-            faults.note(path.key("capacity"), FaultKind::OutOfRange { value, wanted });
+            faults.push(path.key("capacity"), FaultKind::OutOfRange { value, wanted });
         }
     }
 }
@@ -87,19 +87,19 @@
             server.kind == ServerKind::Engine && server.models.contains(&record.id)
         });
         if !served {
-            faults.note(path.clone(), FaultKind::ModelWithoutServer { id: record.id.clone() });
+            faults.push(path.clone(), FaultKind::ModelWithoutServer { id: record.id.clone() });
         }
         if record.weights.is_empty() {
             let (value, wanted) = ("\"\"".to_owned(), "the version of the weights".to_owned());
-            faults.note(path.key("weights"), FaultKind::OutOfRange { value, wanted });
+            faults.push(path.key("weights"), FaultKind::OutOfRange { value, wanted });
         }
         let mut seen = BTreeSet::new();
         for (index, adapter) in record.adapters.iter().enumerate() {
             let path = path.key("adapters").item(index);
             if !is_name(adapter) {
-                faults.note(path, FaultKind::Name { id: adapter.clone() });
+                faults.push(path, FaultKind::InvalidName { id: adapter.clone() });
             } else if !seen.insert(adapter) {
-                faults.note(path, FaultKind::DuplicateId { id: adapter.clone() });
+                faults.push(path, FaultKind::DuplicateId { id: adapter.clone() });
             }
         }
     }
@@ -111,7 +111,7 @@
             server.kind == ServerKind::Service && server.service.as_ref() == Some(&record.id)
         });
         if !served {
-            faults.note(path.clone(), FaultKind::ServiceWithoutServer { id: record.id.clone() });
+            faults.push(path.clone(), FaultKind::ServiceWithoutServer { id: record.id.clone() });
         }
     }
 }
@@ -124,38 +124,38 @@
         if record.slots == 0 {
             let wanted = "the requests it runs at once, at least 1".to_owned();
             let fault = FaultKind::OutOfRange { value: "0".to_owned(), wanted };
-            faults.note(path.key("slots"), fault);
+            faults.push(path.key("slots"), fault);
         }
-        check_models_of(register, path, record, faults);
-        check_service_of(register, path, record, faults);
+        check_server_models(register, path, record, faults);
+        check_server_service(register, path, record, faults);
     }
 }
 
-fn check_models_of(
+fn check_server_models(
     register: &RegisterRecords,
     path: &KeyPath,
     record: &ServerRecord,
     faults: &mut FaultList,
 ) {
     let id = record.id.clone();
-    let path_of_models = path.key("models");
+    let models_path = path.key("models");
     match (record.kind, record.models.is_empty()) {
         (ServerKind::Engine, true) => {
-            faults.note(path.clone(), FaultKind::EngineWithoutModel { id })
+            faults.push(path.clone(), FaultKind::EngineWithoutModel { id })
         }
         (ServerKind::Service | ServerKind::PromptKeep, false) => {
-            faults.note(path_of_models.clone(), FaultKind::ModelsOfOther { id });
+            faults.push(models_path.clone(), FaultKind::UnexpectedModels { id });
         }
         (ServerKind::Engine, false) | (ServerKind::Service | ServerKind::PromptKeep, true) => {}
     }
     for (index, model) in record.models.iter().enumerate() {
         if !register.models.ids.contains(model) {
-            faults.note(path_of_models.item(index), FaultKind::UnknownModel { id: model.clone() });
+            faults.push(models_path.item(index), FaultKind::UnknownModel { id: model.clone() });
         }
     }
 }
 
-fn check_service_of(
+fn check_server_service(
     register: &RegisterRecords,
     path: &KeyPath,
     record: &ServerRecord,
@@ -164,16 +164,16 @@
     let id = record.id.clone();
     match (record.kind, &record.service) {
         (ServerKind::Service, None) => {
-            faults.note(path.clone(), FaultKind::ServerWithoutService { id })
+            faults.push(path.clone(), FaultKind::ServerWithoutService { id })
         }
         (ServerKind::Service, Some(service)) => {
             if !register.services.ids.contains(service) {
                 let fault = FaultKind::UnknownService { id: service.clone() };
-                faults.note(path.key("service"), fault);
+                faults.push(path.key("service"), fault);
             }
         }
         (ServerKind::Engine | ServerKind::PromptKeep, Some(_)) => {
-            faults.note(path.key("service"), FaultKind::ServiceOfOther { id });
+            faults.push(path.key("service"), FaultKind::UnexpectedService { id });
         }
         (ServerKind::Engine | ServerKind::PromptKeep, None) => {}
     }
@@ -186,15 +186,15 @@
         for (index, digest) in record.key_digests.iter().enumerate() {
             let path = path.key("key_digests").item(index);
             if !is_digest(digest) {
-                faults.note(path, FaultKind::BadDigest { digest: digest.clone() });
+                faults.push(path, FaultKind::InvalidDigest { digest: digest.clone() });
             } else if let Some(first) = owners.insert(digest, &record.id) {
-                faults.note(path, FaultKind::DuplicateDigest { first: first.to_owned() });
+                faults.push(path, FaultKind::DuplicateDigest { first: first.to_owned() });
             }
         }
     }
 }
 
 fn is_digest(text: &str) -> bool {
-    text.len() == DIGEST_DIGITS
+    text.len() == DIGEST_LENGTH
         && text.bytes().all(|byte| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte))
 }
--- a/src/inventory/validate/rule_checks.rs
+++ b/src/inventory/validate/rule_checks.rs
@@ -31,7 +31,7 @@
 
 impl KnownIds {
     /// The ids of a checked register.
-    pub fn of(register: &AssetRegister) -> Self {
+    pub fn from_register(register: &AssetRegister) -> Self {
         KnownIds {
             organisations: register.organisations.iter().map(|record| record.id.clone()).collect(),
             models: register.models.iter().map(|record| record.id.clone()).collect(),
@@ -40,7 +40,7 @@
     }
 
     /// The ids of all records, also of those with faults: a rule that names one is no fault.
-    pub fn of_records(records: &RegisterRecords) -> Self {
+    pub fn from_records(records: &RegisterRecords) -> Self {
         KnownIds {
             organisations: records.organisations.ids.clone(),
             models: records.models.ids.clone(),
@@ -61,7 +61,7 @@
 fn check_positive(path: KeyPath, value: u64, faults: &mut FaultList) {
     if value == 0 {
         let wanted = "a whole number from 1".to_owned();
-        faults.note(path, FaultKind::OutOfRange { value: value.to_string(), wanted });
+        faults.push(path, FaultKind::OutOfRange { value: value.to_string(), wanted });
     }
 }
 
@@ -71,26 +71,26 @@
         let id = &rule.organisation;
         if !known.organisations.contains(id) {
             let fault = FaultKind::UnknownOrganisation { id: id.clone() };
-            faults.note(path.key("organisation"), fault);
+            faults.push(path.key("organisation"), fault);
         }
         if !seen.insert(id) {
-            faults.note(path.key("organisation"), FaultKind::DuplicateId { id: id.clone() });
+            faults.push(path.key("organisation"), FaultKind::DuplicateId { id: id.clone() });
         }
         if !(rule.weight.is_finite() && rule.weight > 0.0) {
             let wanted = "a positive number, 1.0 for an equal share".to_owned();
             let fault = FaultKind::OutOfRange { value: rule.weight.to_string(), wanted };
-            faults.note(path.key("weight"), fault);
+            faults.push(path.key("weight"), fault);
         }
         for (index, model) in rule.models.iter().enumerate() {
             if model != ANY && !known.models.contains(model) {
                 let fault = FaultKind::UnknownModel { id: model.clone() };
-                faults.note(path.key("models").item(index), fault);
+                faults.push(path.key("models").item(index), fault);
             }
         }
         for (index, service) in rule.services.iter().enumerate() {
             if service != ANY && !known.services.contains(service) {
                 let fault = FaultKind::UnknownService { id: service.clone() };
-                faults.note(path.key("services").item(index), fault);
+                faults.push(path.key("services").item(index), fault);
             }
         }
     }
@@ -102,17 +102,17 @@
     for (path, rule) in &rules.calls.records {
         if !known.services.contains(&rule.service) {
             let fault = FaultKind::UnknownService { id: rule.service.clone() };
-            faults.note(path.key("service"), fault);
+            faults.push(path.key("service"), fault);
         }
         if !METHODS.contains(&rule.method.as_str()) {
             let fault = FaultKind::UnknownMethod { method: rule.method.clone() };
-            faults.note(path.key("method"), fault);
+            faults.push(path.key("method"), fault);
         }
         if !rule.path.starts_with('/') {
-            faults.note(path.key("path"), FaultKind::BadPath { path: rule.path.clone() });
+            faults.push(path.key("path"), FaultKind::InvalidPath { path: rule.path.clone() });
         }
         if !seen.insert((&rule.service, &rule.method, &rule.path)) {
-            faults.note(path.clone(), FaultKind::DuplicateCall);
+            faults.push(path.clone(), FaultKind::DuplicateCall);
         }
     }
 }
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -266,13 +266,13 @@
         if leader != known {
             let leads = |name: &Option<VmId>| name.as_ref() == Some(&vm);
             if leads(&known) {
-                log::warn!(term = term, commit = commit; "{}", events::LEADING_ENDED);
+                log::warn!(term = term, commit = commit; "{}", events::LEADERSHIP_ENDED);
             }
             match &leader {
                 None => log::warn!(term = term, commit = commit, peer = known.as_deref();
                     "{}", events::LEADER_LOST),
                 Some(_) if leads(&leader) => {
-                    log::info!(term = term, commit = commit; "{}", events::LEADING);
+                    log::info!(term = term, commit = commit; "{}", events::LEADERSHIP_STARTED);
                 }
                 Some(peer) => log::info!(peer = peer.as_str(), term = term, commit = commit;
                     "{}", events::LEADER_KNOWN),
@@ -298,7 +298,7 @@
                     replicas.keys().cloned().collect::<Vec<_>>().join(",")
                 };
                 log::info!(voters = names(&known.voters), learners = names(&known.learners);
-                    "{}", events::MEMBERS);
+                    "{}", events::MEMBERSHIP_CHANGED);
             }
         }
         if status.changed().await.is_err() {
@@ -371,7 +371,7 @@
         if let Some(search) = &search {
             let names = |vms: &BTreeSet<VmId>| vms.iter().cloned().collect::<Vec<_>>().join(",");
             log::info!(asked = names(&search.asked), heard = names(&search.heard);
-                "{}", events::PLACE_SOUGHT);
+                "{}", events::MEMBERSHIP_REQUESTED);
         }
         told = search;
     }
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -309,7 +309,7 @@
             match reader.read(body) {
                 Ok(table) => {
                     log::info!(document = number, routes = table.routes.len();
-                        "{}", events::ROUTES_IN_FORCE);
+                        "{}", events::ROUTES_ACTIVATED);
                     self.index = Some(Arc::new(RouteIndex::new(Arc::new(table))));
                 }
                 // It was checked before it was accepted: another release accepted it.
--- a/src/observe/bounded_log.rs
+++ b/src/observe/bounded_log.rs
@@ -59,72 +59,73 @@
     filter: env_logger::Logger,
     queue: SyncSender<String>,
     dropped: Arc<AtomicU64>,
-    allowances: Mutex<LogAllowances>,
+    rate_limits: Mutex<LogRateLimits>,
 }
 
-struct LogAllowances {
-    routine: RateAllowance,
-    failures: RateAllowance,
-    bytes: RateAllowance,
+struct LogRateLimits {
+    routine: TokenBucket,
+    failures: TokenBucket,
+    bytes: TokenBucket,
 }
 
-impl LogAllowances {
+impl LogRateLimits {
     /// Takes one record of `bytes` out of the budgets, if it fits into all that apply.
-    fn take(&mut self, now: Instant, is_routine: bool, bytes: usize) -> bool {
+    fn try_consume(&mut self, now: Instant, is_routine: bool, bytes: usize) -> bool {
         // The second half of the bytes is for what failed.
-        let (records, kept) = match is_routine {
+        let (records, reserved) = match is_routine {
             true => (&mut self.routine, self.bytes.per_second / 2.0),
             false => (&mut self.failures, 0.0),
         };
-        records.holds(now, 1.0) && self.bytes.holds(now, bytes as f64 + kept) && {
-            records.spend(1.0);
-            self.bytes.spend(bytes as f64);
+        records.has(now, 1.0) && self.bytes.has(now, bytes as f64 + reserved) && {
+            records.consume(1.0);
+            self.bytes.consume(bytes as f64);
             true
         }
     }
 }
 
-struct RateAllowance {
+struct TokenBucket {
     per_second: f64,
-    left: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl RateAllowance {
+impl TokenBucket {
     fn new(per_second: f64) -> Self {
-        RateAllowance { per_second, left: per_second, at: Instant::now() }
+        TokenBucket { per_second, tokens: per_second, refilled_at: Instant::now() }
     }
 
     /// Whether `amount` is left at `now`.
-    fn holds(&mut self, now: Instant, amount: f64) -> bool {
-        let gained = now.saturating_duration_since(self.at).as_secs_f64() * self.per_second;
-        self.left = (self.left + gained).min(self.per_second);
-        self.at = now;
-        self.left >= amount
+    fn has(&mut self, now: Instant, amount: f64) -> bool {
+        let refill =
+            now.saturating_duration_since(self.refilled_at).as_secs_f64() * self.per_second;
+        self.tokens = (self.tokens + refill).min(self.per_second);
+        self.refilled_at = now;
+        self.tokens >= amount
     }
 
-    fn spend(&mut self, amount: f64) {
-        self.left -= amount;
+    fn consume(&mut self, amount: f64) {
+        self.tokens -= amount;
     }
 }
 
 impl BoundedLog {
     /// A logger of records of `level` and more urgent, and the queue that its writer empties.
-    pub fn new(level: LevelFilter, budget: LogBudget) -> (Self, LogDrain) {
+    pub fn new(level: LevelFilter, budget: LogBudget) -> (Self, LogWriter) {
         let (queue, records) = sync_channel(budget.queue.max(1));
         let dropped = Arc::new(AtomicU64::new(0));
-        let allowances = LogAllowances {
-            routine: RateAllowance::new(budget.routine_per_second),
-            failures: RateAllowance::new(budget.failures_per_second),
-            bytes: RateAllowance::new(budget.bytes_per_second),
+        let rate_limits = LogRateLimits {
+            routine: TokenBucket::new(budget.routine_per_second),
+            failures: TokenBucket::new(budget.failures_per_second),
+            bytes: TokenBucket::new(budget.bytes_per_second),
         };
         let log = BoundedLog {
             filter: Builder::new().filter_level(level).build(),
             queue,
             dropped: Arc::clone(&dropped),
-            allowances: Mutex::new(allowances),
+            rate_limits: Mutex::new(rate_limits),
         };
-        (log, LogDrain { records, dropped })
+        (log, LogWriter { records, dropped })
     }
 
     fn drop_record(&self) {
@@ -144,9 +145,9 @@
         }
         let line = json_line(record, SystemTime::now());
         let is_routine = record.level() > Level::Warn;
-        let mut allowances = self.allowances.lock().unwrap_or_else(PoisonError::into_inner);
-        let granted = allowances.take(Instant::now(), is_routine, line.len());
-        drop(allowances);
+        let mut rate_limits = self.rate_limits.lock().unwrap_or_else(PoisonError::into_inner);
+        let granted = rate_limits.try_consume(Instant::now(), is_routine, line.len());
+        drop(rate_limits);
         if !granted || self.queue.try_send(line).is_err() {
             self.drop_record();
         }
@@ -156,19 +157,22 @@
 }
 
 /// The writer's end of the queue.
-pub struct LogDrain {
+pub struct LogWriter {
     records: Receiver<String>,
     dropped: Arc<AtomicU64>,
 }
 
-impl LogDrain {
+impl LogWriter {
     /// Writes records until the logger is gone or nobody reads any more.
     pub fn run(self, mut out: impl Write) {
         while let Ok(line) = self.records.recv() {
             let dropped = self.dropped.swap(0, Ordering::Relaxed);
-            let gap =
-                if dropped > 0 { gap_line(dropped, SystemTime::now()) } else { String::new() };
-            if out.write_all(gap.as_bytes()).and_then(|()| writeln!(out, "{line}")).is_err() {
+            let notice = if dropped > 0 {
+                dropped_records_line(dropped, SystemTime::now())
+            } else {
+                String::new()
+            };
+            if out.write_all(notice.as_bytes()).and_then(|()| writeln!(out, "{line}")).is_err() {
                 return;
             }
         }
@@ -176,9 +180,9 @@
 }
 
 /// What stands in the log in place of `count` records.
-fn gap_line(count: u64, time: SystemTime) -> String {
+fn dropped_records_line(count: u64, time: SystemTime) -> String {
     let time = humantime::format_rfc3339_millis(time).to_string();
-    let message = events::RECORDS_LEFT_OUT;
+    let message = events::RECORDS_DROPPED;
     let line = json!({ "time": time, "level": "WARN", "message": message, "count": count });
     format!("{line}\n")
 }
@@ -190,13 +194,13 @@
 
 /// The same to `out`.
 pub fn install_on(level: LevelFilter, budget: LogBudget, out: impl Write + Send + 'static) {
-    let (log, drain) = BoundedLog::new(level, budget);
+    let (log, writer) = BoundedLog::new(level, budget);
     if log::set_boxed_logger(Box::new(log)).is_err() {
         return;
     }
     log::set_max_level(level);
-    let writer = thread::Builder::new().name("log-writer".to_owned());
-    if let Err(error) = writer.spawn(move || drain.run(out)) {
+    let builder = thread::Builder::new().name("log-writer".to_owned());
+    if let Err(error) = builder.spawn(move || writer.run(out)) {
         eprintln!("the log cannot be written: {error}; allow the process more threads");
     }
 }
--- a/src/observe/events.rs
+++ b/src/observe/events.rs
@@ -13,41 +13,41 @@
 /// One sending of a request failed; `failure` says what is known of it.
 pub const ATTEMPT_FAILED: &str = "attempt failed";
 /// A whole answer was passed on.
-pub const ANSWERED_WHOLE: &str = "answered whole";
+pub const ANSWER_COMPLETED: &str = "answered whole";
 /// A stream was passed on to its end.
-pub const STREAM_WHOLE: &str = "stream answered whole";
+pub const STREAM_COMPLETED: &str = "stream answered whole";
 /// Another server goes on with a stream.
 pub const STREAM_RESUMED: &str = "stream resumed";
 /// A stream ended before its end; the caller was told nothing false.
-pub const STREAM_CUT: &str = "stream cut";
+pub const STREAM_INTERRUPTED: &str = "stream cut";
 /// A server's own failure was passed on, since no other server may be tried or did better.
-pub const FAILURE_PASSED_ON: &str = "failure passed on";
+pub const FAILURE_FORWARDED: &str = "failure passed on";
 /// The caller closed its connection before it had its answer.
-pub const CALLER_LEFT: &str = "caller left";
+pub const CALLER_DISCONNECTED: &str = "caller left";
 
 /// A non-repeatable call waits for the answer of its other run; `call` begins its digest, `holder` and
 /// `incarnation` name the daemon that holds its claim.
-pub const CALL_WAITS: &str = "call waits for its other run";
+pub const CALL_WAITING: &str = "call waits for its other run";
 
 /// A server gets nothing until it shows a sign of life.
-pub const SERVER_LOST: &str = "backend server lost";
+pub const SERVER_UNAVAILABLE: &str = "backend server lost";
 /// It showed one.
-pub const SERVER_BACK: &str = "backend server back";
+pub const SERVER_RECOVERED: &str = "backend server back";
 /// A server contradicts the list.
-pub const SERVER_MISLISTED: &str = "backend server is not as listed";
+pub const SERVER_MISMATCHED: &str = "backend server is not as listed";
 /// The engines' common store of KV cache cannot be reached; prompts do without it.
-pub const KEEP_LOST: &str = "KV cache store lost";
+pub const CACHE_STORE_UNAVAILABLE: &str = "KV cache store lost";
 /// It can again; it may be empty.
-pub const KEEP_BACK: &str = "KV cache store back";
+pub const CACHE_STORE_RECOVERED: &str = "KV cache store back";
 /// An order to load weights was sent, with the version that the server had, how long the ordered one
 /// has been wanted, and how often the server was given it before.
 pub const WEIGHTS_ORDERED: &str = "weight order sent";
 /// This replica holds a lease and orders weights.
-pub const ORDERS_BEGIN: &str = "weight orders begin";
+pub const WEIGHT_ORDERS_STARTED: &str = "weight orders begin";
 /// Its lease is over; `pending` servers do not have their weights yet.
-pub const ORDERS_END: &str = "weight orders end";
+pub const WEIGHT_ORDERS_ENDED: &str = "weight orders end";
 /// All servers that answer have a version; `took_ms` since it was wanted here.
-pub const WEIGHTS_IN_FORCE: &str = "weights in force";
+pub const WEIGHTS_ACTIVE: &str = "weights in force";
 
 /// The daemon follows a control VM.
 pub const FOLLOWING: &str = "following a control VM";
@@ -56,37 +56,37 @@
 /// One of them is.
 pub const CONFIG_CONFIRMED: &str = "configuration confirmed";
 /// That VM does not answer.
-pub const FOLLOWING_LOST: &str = "a control VM does not answer its follower";
+pub const CONTROL_UNRESPONSIVE: &str = "a control VM does not answer its follower";
 /// The list of backend servers is no longer confirmed; the last one stays in use.
-pub const LIST_LOST: &str = "server list lost";
+pub const LIST_UNCONFIRMED: &str = "server list lost";
 /// It is again.
-pub const LIST_BACK: &str = "server list back";
+pub const LIST_CONFIRMED: &str = "server list back";
 /// No leader is known to this replica.
 pub const LEADER_LOST: &str = "control leader lost";
 /// One is.
 pub const LEADER_KNOWN: &str = "control leader known";
 /// The members of the control group changed.
-pub const MEMBERS: &str = "control replicas changed";
+pub const MEMBERSHIP_CHANGED: &str = "control replicas changed";
 /// The leader misses voters; `standing_by` are the VMs that it could take in.
 pub const REPAIR_NEEDED: &str = "control replicas need repair";
 /// It misses none any more.
 pub const REPAIR_DONE: &str = "control replicas need no repair";
 /// A replica without a leader asks for a place in the group; `heard` are the VMs that it hears.
-pub const PLACE_SOUGHT: &str = "looking for the control group";
+pub const MEMBERSHIP_REQUESTED: &str = "looking for the control group";
 /// This replica leads, with the consent of a quorum.
-pub const LEADING: &str = "leading the control replicas";
+pub const LEADERSHIP_STARTED: &str = "leading the control replicas";
 /// It does no longer: it hears from no quorum, or of a later term.
-pub const LEADING_ENDED: &str = "no longer leading the control replicas";
+pub const LEADERSHIP_ENDED: &str = "no longer leading the control replicas";
 /// The replica cannot write its disk and takes part in nothing.
-pub const DISK_LOST: &str = "control replica stopped";
+pub const REPLICA_STOPPED: &str = "control replica stopped";
 /// It runs again on what its disk holds.
-pub const DISK_BACK: &str = "control replica runs again";
+pub const REPLICA_RESUMED: &str = "control replica runs again";
 
 /// A configuration is in force here.
-pub const ROUTES_IN_FORCE: &str = "routes in force";
+pub const ROUTES_ACTIVATED: &str = "routes in force";
 
 /// Records were dropped before this one because the log was over its budget; `count` of them.
-pub const RECORDS_LEFT_OUT: &str = "log records left out";
+pub const RECORDS_DROPPED: &str = "log records left out";
 
 /// The key of an event's name in a record.
 pub const MESSAGE: &str = "message";
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -33,7 +33,7 @@
 /// Prompt tokens sent to engines, by `model`.
 pub const PROMPT_TOKENS: &str = "oleandermount_prompt_tokens_total";
 /// Prompt tokens that engines took from their caches, by `model`.
-pub const HIT_TOKENS: &str = "oleandermount_hit_tokens_total";
+pub const CACHE_HIT_TOKENS: &str = "oleandermount_hit_tokens_total";
 /// Prompt tokens computed although they had been computed before, by `model`.
 pub const RECOMPUTED_TOKENS: &str = "oleandermount_recomputed_tokens_total";
 /// Requests that wait in this daemon for a backend server, by `server` of the last decision or
@@ -60,13 +60,13 @@
 /// 1 while this daemon drains.
 pub const DRAINING: &str = "oleandermount_draining";
 /// Answers of backend servers that belonged to another attempt and were dropped.
-pub const CROSSED_ANSWERS: &str = "oleandermount_crossed_answers_total";
+pub const MISMATCHED_RESPONSES: &str = "oleandermount_crossed_answers_total";
 /// Cancel calls, probes and digests that were dropped because too many waited.
-pub const DUTIES_DROPPED: &str = "oleandermount_duties_dropped_total";
+pub const BACKGROUND_CALLS_DROPPED: &str = "oleandermount_duties_dropped_total";
 /// Claims of non-repeatable calls that were given back with nothing sent.
-pub const CLAIMS_RETURNED: &str = "oleandermount_claims_returned_total";
+pub const CLAIMS_RELEASED: &str = "oleandermount_claims_returned_total";
 /// Requests cut off when the grace of a shutdown ended.
-pub const CUT_REQUESTS: &str = "oleandermount_cut_requests_total";
+pub const ABORTED_REQUESTS: &str = "oleandermount_cut_requests_total";
 
 /// Refusal reasons of the filters that stand before the policy; the policy's own are
 /// [`RefusalReason`]. They are also the `code` in the answer to the caller.
@@ -142,7 +142,7 @@
     [0.002, 0.005, 0.01, 0.015, 0.02, 0.025, 0.031, 0.04, 0.06, 0.1, 0.25, 1.0];
 /// Samples wait in memory until they are sorted into buckets; at 12,000 tokens a second and
 /// daemon this keeps under 100,000 of them.
-const UPKEEP_EVERY: Duration = Duration::from_secs(5);
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why metrics cannot be recorded.
 #[derive(Debug, Display)]
@@ -180,14 +180,14 @@
         .and_then(PrometheusBuilder::install_recorder)
         .map_err(MetricsError::Recorder)?;
     describe();
-    start_at_zero();
+    initialise_counters();
     *installed = Some(handle.clone());
     Ok(handle)
 }
 
 /// Sorts waiting samples into buckets for ever; run it as a task beside the daemon.
 pub async fn upkeep(handle: PrometheusHandle) {
-    let mut ticks = tokio::time::interval(UPKEEP_EVERY);
+    let mut ticks = tokio::time::interval(UPKEEP_INTERVAL);
     loop {
         ticks.tick().await;
         handle.run_upkeep();
@@ -204,7 +204,7 @@
     describe_histogram!(ANSWER_TIME, "Seconds from arrival to the end of the answer.");
     describe_histogram!(INTER_TOKEN, "Seconds between tokens of one answer.");
     describe_counter!(PROMPT_TOKENS, "Prompt tokens sent to engines.");
-    describe_counter!(HIT_TOKENS, "Prompt tokens that engines took from their caches.");
+    describe_counter!(CACHE_HIT_TOKENS, "Prompt tokens that engines took from their caches.");
     describe_counter!(RECOMPUTED_TOKENS, "Prompt tokens computed again.");
     describe_gauge!(QUEUE, "Requests that wait in this daemon.");
     describe_gauge!(IN_FLIGHT, "Requests in flight from this daemon, by server.");
@@ -214,17 +214,20 @@
     describe_counter!(FOLLOW_LISTS, "Server lists handed to followers, by kind.");
     describe_gauge!(FOLLOWERS, "Daemons that follow this control VM.");
     describe_gauge!(WEIGHTS_PENDING, "Backend servers without the wanted weights, on the leader.");
-    describe_counter!(DUTIES_DROPPED, "Cancel calls, probes and digests that were dropped.");
-    describe_counter!(CROSSED_ANSWERS, "Answers that belonged to another attempt.");
+    describe_counter!(
+        BACKGROUND_CALLS_DROPPED,
+        "Cancel calls, probes and digests that were dropped."
+    );
+    describe_counter!(MISMATCHED_RESPONSES, "Answers that belonged to another attempt.");
     describe_counter!(PEERS_REFUSED, "Daemons refused for their keys.");
     describe_gauge!(CONNECTIONS, "Open connections of callers and operators.");
     describe_gauge!(DRAINING, "1 while this daemon drains.");
-    describe_counter!(CLAIMS_RETURNED, "Claims given back with nothing sent.");
-    describe_counter!(CUT_REQUESTS, "Requests cut off at the end of a shutdown's grace.");
+    describe_counter!(CLAIMS_RELEASED, "Claims given back with nothing sent.");
+    describe_counter!(ABORTED_REQUESTS, "Requests cut off at the end of a shutdown's grace.");
 }
 
 /// A counter that appears only with its first event hides that event from rates and alerts.
-fn start_at_zero() {
+fn initialise_counters() {
     for reason in RefusalReason::ALL.map(RefusalReason::as_str).into_iter().chain(refusal::ALL) {
         counter!(REFUSALS, "reason" => reason).increment(0);
     }
@@ -239,11 +242,11 @@
         counter!(FOLLOW_DOCUMENTS, "kind" => kind).increment(0);
         counter!(FOLLOW_LISTS, "kind" => kind).increment(0);
     }
-    counter!(CROSSED_ANSWERS).increment(0);
-    counter!(DUTIES_DROPPED).increment(0);
+    counter!(MISMATCHED_RESPONSES).increment(0);
+    counter!(BACKGROUND_CALLS_DROPPED).increment(0);
     counter!(PEERS_REFUSED).increment(0);
-    counter!(CLAIMS_RETURNED).increment(0);
-    counter!(CUT_REQUESTS).increment(0);
+    counter!(CLAIMS_RELEASED).increment(0);
+    counter!(ABORTED_REQUESTS).increment(0);
     gauge!(CONFIG_REVISION).set(0.0);
     gauge!(CONFIG_UNCONFIRMED).set(0.0);
     gauge!(DRAINING).set(0.0);
--- a/src/operator_client.rs
+++ b/src/operator_client.rs
@@ -6,7 +6,7 @@
 pub mod error;
 pub mod explain_log;
 pub mod local;
-pub mod questions;
+pub mod queries;
 pub mod report;
 pub mod table;
 
@@ -82,25 +82,27 @@
     connection: &AdminConnection,
 ) -> Result<ClientReport, ClientError> {
     match command {
-        ClientCommand::InventoryApply(order) => changes::apply_register(connection, order).await,
-        ClientCommand::RulesApply(order) => changes::apply_rules(connection, order).await,
+        ClientCommand::InventoryApply(options) => {
+            changes::apply_register(connection, options).await
+        }
+        ClientCommand::RulesApply(options) => changes::apply_rules(connection, options).await,
         ClientCommand::ReplicaReplace { vm } => {
-            changes::order(connection, "/v1/replicas/replace", vm).await
+            changes::post_order(connection, "/v1/replicas/replace", vm).await
         }
         ClientCommand::ReplicaRemove { vm } => {
-            changes::order(connection, "/v1/replicas/remove", vm).await
+            changes::post_order(connection, "/v1/replicas/remove", vm).await
         }
-        ClientCommand::Drain { vm } => changes::order(connection, "/v1/drain", vm).await,
-        ClientCommand::ConfigShow => questions::config(connection).await,
-        ClientCommand::ConfigHistory => questions::history(connection).await,
+        ClientCommand::Drain { vm } => changes::post_order(connection, "/v1/drain", vm).await,
+        ClientCommand::ConfigShow => queries::config(connection).await,
+        ClientCommand::ConfigHistory => queries::history(connection).await,
         ClientCommand::ConfigWait { revision, timeout } => {
-            questions::wait(connection, revision, timeout).await
+            queries::wait(connection, revision, timeout).await
         }
-        ClientCommand::Status => questions::status(connection).await,
-        ClientCommand::Servers => questions::servers(connection).await,
-        ClientCommand::Organisations { limit } => questions::organisations(connection, limit).await,
-        ClientCommand::ReplicaList => questions::replicas(connection).await,
-        ClientCommand::Explain { request, .. } => questions::explain(connection, request).await,
+        ClientCommand::Status => queries::status(connection).await,
+        ClientCommand::Servers => queries::servers(connection).await,
+        ClientCommand::Organisations { limit } => queries::organisations(connection, limit).await,
+        ClientCommand::ReplicaList => queries::replicas(connection).await,
+        ClientCommand::Explain { request, .. } => queries::explain(connection, request).await,
         ClientCommand::KeysCreate { .. }
         | ClientCommand::KeysOrganisation
         | ClientCommand::Check { .. } => unreachable!("local commands are run without a daemon"),
--- a/src/operator_client/changes.rs
+++ b/src/operator_client/changes.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        commands::ApplyOrder,
+        commands::ApplyOptions,
         connection::AdminConnection,
         error::ClientError,
-        local::{faulty, random_hex, read_file},
+        local::{invalid_file, random_hex, read_file},
         report::ClientReport,
     },
     crate::{
@@ -27,49 +27,49 @@
 /// `inventory apply`.
 pub async fn apply_register(
     connection: &AdminConnection,
-    order: ApplyOrder,
+    options: ApplyOptions,
 ) -> Result<ClientReport, ClientError> {
-    let text = read_file(&order.file)?;
-    let register = check_register(&text).map_err(|faults| faulty(&order.file, faults))?;
-    let operation = operation_of(&order)?;
-    let (expected, kept) = (order.expect_revision, operation.clone());
+    let text = read_file(&options.file)?;
+    let register = check_register(&text).map_err(|faults| invalid_file(&options.file, faults))?;
+    let operation = operation_of(&options)?;
+    let (expected, resend_id) = (options.expect_revision, operation.clone());
     let change = RegisterChange { operation, expected, register };
     let result = connection.change(Method::PUT, "/v1/register", &change).await;
-    report_change(result, kept)
+    report_change(result, resend_id)
 }
 
 /// `rules apply`.
 pub async fn apply_rules(
     connection: &AdminConnection,
-    order: ApplyOrder,
+    options: ApplyOptions,
 ) -> Result<ClientReport, ClientError> {
-    let rules = read_rules(connection, &order).await?;
-    let operation = operation_of(&order)?;
-    let (expected, kept) = (order.expect_revision, operation.clone());
+    let rules = read_rules(connection, &options).await?;
+    let operation = operation_of(&options)?;
+    let (expected, resend_id) = (options.expect_revision, operation.clone());
     let change = RulesChange { operation, expected, rules };
     let result = connection.change(Method::PUT, "/v1/rules", &change).await;
-    report_change(result, kept)
+    report_change(result, resend_id)
 }
 
 /// Checks the rules here, where faults have lines, if the register in force is the one that they
 /// were made for. A resend is not checked against a later register: the daemon tells its result.
 async fn read_rules(
     connection: &AdminConnection,
-    order: &ApplyOrder,
+    options: &ApplyOptions,
 ) -> Result<RuleSet, ClientError> {
-    let text = read_file(&order.file)?;
-    let config: ConfigReport = connection.ask("/v1/config").await?;
-    let rules = if config.revision == order.expect_revision {
+    let text = read_file(&options.file)?;
+    let config: ConfigReport = connection.query("/v1/config").await?;
+    let rules = if config.revision == options.expect_revision {
         check_rules(&text, &config.register)
     } else {
         read_rules_unchecked(&text)
     };
-    rules.map_err(|faults| faulty(&order.file, faults))
+    rules.map_err(|faults| invalid_file(&options.file, faults))
 }
 
 /// Says the id before anything is sent, so that it is known whatever happens to this process.
-fn operation_of(order: &ApplyOrder) -> Result<OperationId, ClientError> {
-    let operation = match &order.operation_id {
+fn operation_of(options: &ApplyOptions) -> Result<OperationId, ClientError> {
+    let operation = match &options.operation_id {
         Some(operation) => operation.clone(),
         None => random_hex(OPERATION_BYTES)?,
     };
@@ -82,8 +82,8 @@
     operation: OperationId,
 ) -> Result<ClientReport, ClientError> {
     let done = result.map_err(|error| match error {
-        ClientError::OutcomeUnknown { seen, .. } => {
-            ClientError::OutcomeUnknown { operation: Some(operation), seen }
+        ClientError::OutcomeUnknown { failures, .. } => {
+            ClientError::OutcomeUnknown { operation: Some(operation), failures }
         }
         other => other,
     })?;
@@ -92,7 +92,7 @@
 }
 
 /// `replica replace`, `replica remove` and `drain`.
-pub async fn order(
+pub async fn post_order(
     connection: &AdminConnection,
     path: &str,
     vm: VmId,
--- a/src/operator_client/commands.rs
+++ b/src/operator_client/commands.rs
@@ -7,11 +7,11 @@
 };
 
 /// Where a daemon's operators' address is unless options say otherwise.
-const USUAL_ADMIN: &str = "http://127.0.0.1:8081";
+const DEFAULT_ADMIN: &str = "http://127.0.0.1:8081";
 /// Configuration is in force everywhere within seconds; a minute leaves room for restarts.
-const USUAL_WAIT: Duration = Duration::from_secs(60);
+const DEFAULT_WAIT: Duration = Duration::from_secs(60);
 /// Rows that fit on a screen.
-const USUAL_ROWS: usize = 50;
+const DEFAULT_ROWS: usize = 50;
 
 /// What every command takes.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
 
 /// A register or a rule set to put in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ApplyOrder {
+pub struct ApplyOptions {
     /// The file.
     pub file: PathBuf,
     /// The revision the operator saw.
@@ -46,9 +46,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientCommand {
     /// Put a register in force.
-    InventoryApply(ApplyOrder),
+    InventoryApply(ApplyOptions),
     /// Put a rule set in force.
-    RulesApply(ApplyOrder),
+    RulesApply(ApplyOptions),
     /// Show the configuration in force.
     ConfigShow,
     /// Show the latest changes.
@@ -126,7 +126,7 @@
         )
 }
 
-fn connection() -> impl Parser<ConnectionOptions> {
+fn connection_options() -> impl Parser<ConnectionOptions> {
     let admin = long("admin")
         .env("OLEANDERMOUNT_ADMIN_URLS")
         .help(
@@ -134,7 +134,7 @@
              spaces and tried in turn (default http://127.0.0.1:8081)",
         )
         .argument::<String>("URLS")
-        .fallback(USUAL_ADMIN.to_owned())
+        .fallback(DEFAULT_ADMIN.to_owned())
         .map(|list| {
             list.split([',', ' ']).filter(|url| !url.is_empty()).map(str::to_owned).collect()
         });
@@ -147,7 +147,7 @@
 }
 
 /// Makes a command that asks no daemon.
-fn finish_local(
+fn local_command(
     name: &'static str,
     help: &'static str,
     command: impl Parser<ClientCommand> + 'static,
@@ -157,16 +157,16 @@
 }
 
 /// Makes a command of its own options and those that every command takes.
-fn finish(
+fn remote_command(
     name: &'static str,
     help: &'static str,
     command: impl Parser<ClientCommand> + 'static,
 ) -> impl Parser<ClientInvocation> {
-    let connection = connection();
+    let connection = connection_options();
     construct!(ClientInvocation { connection, command }).to_options().descr(help).command(name)
 }
 
-fn group(
+fn command_group(
     name: &'static str,
     help: &'static str,
     commands: impl Parser<ClientInvocation> + 'static,
@@ -174,7 +174,7 @@
     commands.to_options().descr(help).command(name)
 }
 
-fn apply_order() -> impl Parser<ApplyOrder> {
+fn apply_options() -> impl Parser<ApplyOptions> {
     let expect_revision = long("expect-revision")
         .help("The revision in force that the change was made from; 0 before the first")
         .argument("N");
@@ -183,51 +183,61 @@
         .argument("ID")
         .optional();
     let file = positional("FILE").help("TOML or JSON");
-    construct!(ApplyOrder { expect_revision, operation_id, file })
+    construct!(ApplyOptions { expect_revision, operation_id, file })
 }
 
 fn configuration_commands() -> impl Parser<ClientInvocation> {
-    let inventory = group(
+    let inventory = command_group(
         "inventory",
         "Changes the asset register",
-        finish(
+        remote_command(
             "apply",
             "Put the register of a file in force",
-            apply_order().map(ClientCommand::InventoryApply),
+            apply_options().map(ClientCommand::InventoryApply),
         ),
     );
-    let rules = group(
+    let rules = command_group(
         "rules",
         "Changes the rules",
-        finish(
+        remote_command(
             "apply",
             "Put the rules of a file in force",
-            apply_order().map(ClientCommand::RulesApply),
+            apply_options().map(ClientCommand::RulesApply),
         ),
     );
-    let show =
-        finish("show", "Show the configuration in force", bpaf::pure(ClientCommand::ConfigShow));
-    let history =
-        finish("history", "Show the latest changes", bpaf::pure(ClientCommand::ConfigHistory));
+    let show = remote_command(
+        "show",
+        "Show the configuration in force",
+        bpaf::pure(ClientCommand::ConfigShow),
+    );
+    let history = remote_command(
+        "history",
+        "Show the latest changes",
+        bpaf::pure(ClientCommand::ConfigHistory),
+    );
     let revision = long("revision").help("The revision to wait for").argument("N");
     let timeout = long("timeout")
         .help("How long to wait (default 1m)")
         .argument::<String>("DURATION")
         .parse(|text| humantime::parse_duration(&text))
-        .fallback(USUAL_WAIT);
-    let wait = finish(
+        .fallback(DEFAULT_WAIT);
+    let wait = remote_command(
         "wait",
         "Wait until a revision is in force everywhere, and say where it is not",
         construct!(ClientCommand::ConfigWait { revision, timeout }),
     );
-    let config =
-        group("config", "Shows and follows the configuration", construct!([show, history, wait]));
+    let config = command_group(
+        "config",
+        "Shows and follows the configuration",
+        construct!([show, history, wait]),
+    );
     construct!([inventory, rules, config])
 }
 
 fn daemon_commands() -> impl Parser<ClientInvocation> {
-    let status = finish("status", "Show each daemon's state", bpaf::pure(ClientCommand::Status));
-    let servers = finish(
+    let status =
+        remote_command("status", "Show each daemon's state", bpaf::pure(ClientCommand::Status));
+    let servers = remote_command(
         "servers",
         "Show the backend servers as one daemon sees them",
         bpaf::pure(ClientCommand::Servers),
@@ -235,13 +245,13 @@
     let limit = long("limit")
         .help("How many rows (default 50, at most 1000)")
         .argument("N")
-        .fallback(USUAL_ROWS);
-    let organisations = finish(
+        .fallback(DEFAULT_ROWS);
+    let organisations = remote_command(
         "organisations",
         "Show the organisations that use one daemon most",
         construct!(ClientCommand::Organisations { limit }),
     );
-    let drain = finish(
+    let drain = remote_command(
         "drain",
         "Make a daemon take nothing new and finish what it has; SIGTERM then ends it",
         vm_argument().map(|vm| ClientCommand::Drain { vm }),
@@ -252,7 +262,7 @@
         .help("A file with a daemon's log, read in place of asking daemons; may be repeated")
         .argument("FILE")
         .many();
-    let explain = finish(
+    let explain = remote_command(
         "explain",
         "Tell where a request went and why",
         construct!(ClientCommand::Explain { logs, request }),
@@ -262,18 +272,23 @@
 }
 
 fn replica_commands() -> impl Parser<ClientInvocation> {
-    let list = finish("list", "Show the control replicas", bpaf::pure(ClientCommand::ReplicaList));
-    let replace = finish(
+    let list =
+        remote_command("list", "Show the control replicas", bpaf::pure(ClientCommand::ReplicaList));
+    let replace = remote_command(
         "replace",
         "Take in the present disk of a VM in place of any earlier one",
         vm_argument().map(|vm| ClientCommand::ReplicaReplace { vm }),
     );
-    let remove = finish(
+    let remove = remote_command(
         "remove",
         "Take a VM out of the control replicas",
         vm_argument().map(|vm| ClientCommand::ReplicaRemove { vm }),
     );
-    group("replica", "Shows and changes the control replicas", construct!([list, replace, remove]))
+    command_group(
+        "replica",
+        "Shows and changes the control replicas",
+        construct!([list, replace, remove]),
+    )
 }
 
 fn vm_argument() -> impl Parser<VmId> {
@@ -283,7 +298,7 @@
 fn offline_commands() -> impl Parser<ClientInvocation> {
     let rules = long("rules").help("Rules in a file of their own").argument("FILE").optional();
     let file = positional("FILE").help("A register, or a register with rules; TOML or JSON");
-    let check = finish_local(
+    let check = local_command(
         "check",
         "Check a register and rules without a daemon, and name all faults",
         construct!(ClientCommand::Check { rules, file }),
@@ -291,16 +306,16 @@
     let out = long("out").help("The folder; an authority in it is used again").argument("DIR");
     let vms =
         long("vm").help("A VM to make a certificate for; may be repeated").argument("ID").many();
-    let create = finish_local(
+    let create = local_command(
         "create",
         "Make the daemons' authority, or use the one in the folder, and VMs' certificates",
         construct!(ClientCommand::KeysCreate { out, vms }),
     );
-    let organisation = finish_local(
+    let organisation = local_command(
         "organisation",
         "Make a key for an organisation's callers, and its digest for the register",
         bpaf::pure(ClientCommand::KeysOrganisation),
     );
-    let keys = group("keys", "Makes keys", construct!([create, organisation]));
+    let keys = command_group("keys", "Makes keys", construct!([create, organisation]));
     construct!([check, keys])
 }
--- a/src/operator_client/connection.rs
+++ b/src/operator_client/connection.rs
@@ -17,13 +17,13 @@
 /// A daemon that does not take a connection by then is down or cut off.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 /// A change waits for a quorum, which may just be electing a leader.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The largest register with its rules stays well below this.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// What one daemon made of one request.
 #[derive(Clone, Debug)]
-pub enum TryResult {
+pub enum RequestOutcome {
     /// The body of a 200.
     Answered(Bytes),
     /// The daemon refused.
@@ -31,7 +31,7 @@
     /// Nothing reached a daemon.
     NotSent(String),
     /// The request was sent and its answer lost.
-    Lost(String),
+    ResponseLost(String),
 }
 
 /// The operators' addresses that a command may use.
@@ -78,32 +78,34 @@
     ///
     /// # Errors
     /// The last refusal, or `Unreachable` when there was none.
-    pub async fn ask<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
+    pub async fn query<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
         let mut refused = None;
-        let mut seen = Vec::new();
+        let mut failures = Vec::new();
         for address in &self.addresses {
             match self.send(address, Method::GET, path, Bytes::new()).await {
-                TryResult::Answered(body) => return read_answer(&body),
-                TryResult::Refused(fault) => refused = Some(ClientError::Refused(fault)),
-                TryResult::NotSent(text) | TryResult::Lost(text) => seen.push(text),
+                RequestOutcome::Answered(body) => return parse_response(&body),
+                RequestOutcome::Refused(fault) => refused = Some(ClientError::Refused(fault)),
+                RequestOutcome::NotSent(text) | RequestOutcome::ResponseLost(text) => {
+                    failures.push(text)
+                }
             }
         }
-        Err(refused.unwrap_or(ClientError::Unreachable(seen)))
+        Err(refused.unwrap_or(ClientError::Unreachable(failures)))
     }
 
     /// Asks the daemon at one address.
     ///
     /// # Errors
     /// Its refusal, or `Unreachable`.
-    pub async fn ask_one<T: DeserializeOwned>(
+    pub async fn query_one<T: DeserializeOwned>(
         &self,
         address: &Uri,
         path: &str,
     ) -> Result<T, ClientError> {
         match self.send(address, Method::GET, path, Bytes::new()).await {
-            TryResult::Answered(body) => read_answer(&body),
-            TryResult::Refused(fault) => Err(ClientError::Refused(fault)),
-            TryResult::NotSent(text) | TryResult::Lost(text) => {
+            RequestOutcome::Answered(body) => parse_response(&body),
+            RequestOutcome::Refused(fault) => Err(ClientError::Refused(fault)),
+            RequestOutcome::NotSent(text) | RequestOutcome::ResponseLost(text) => {
                 Err(ClientError::Unreachable(vec![text]))
             }
         }
@@ -124,34 +126,34 @@
         let body = serde_json::to_vec(body).expect("changes have string keys only");
         let body = Bytes::from(body);
         let mut refused = None;
-        let mut seen = Vec::new();
+        let mut failures = Vec::new();
         let mut lost = false;
         for address in &self.addresses {
             match self.send(address, method.clone(), path, body.clone()).await {
-                TryResult::Answered(body) => return read_answer(&body),
+                RequestOutcome::Answered(body) => return parse_response(&body),
                 // A conflict is what the log itself decided, so earlier tries lost as well.
-                TryResult::Refused(fault) if fault.code == "conflict" => {
+                RequestOutcome::Refused(fault) if fault.code == "conflict" => {
                     return Err(ClientError::Refused(fault));
                 }
-                TryResult::Refused(fault) => {
+                RequestOutcome::Refused(fault) => {
                     lost |= fault.did_happen == DidHappen::Unknown;
-                    seen.push(format!("{address}: {}", fault.message));
+                    failures.push(format!("{address}: {}", fault.message));
                     refused = Some(ClientError::Refused(fault));
                 }
-                TryResult::NotSent(text) => seen.push(text),
-                TryResult::Lost(text) => {
+                RequestOutcome::NotSent(text) => failures.push(text),
+                RequestOutcome::ResponseLost(text) => {
                     lost = true;
-                    seen.push(text);
+                    failures.push(text);
                 }
             }
         }
         if lost {
-            return Err(ClientError::OutcomeUnknown { operation: None, seen });
+            return Err(ClientError::OutcomeUnknown { operation: None, failures });
         }
-        Err(refused.unwrap_or(ClientError::Unreachable(seen)))
+        Err(refused.unwrap_or(ClientError::Unreachable(failures)))
     }
 
-    async fn send(&self, address: &Uri, method: Method, path: &str, body: Bytes) -> TryResult {
+    async fn send(&self, address: &Uri, method: Method, path: &str, body: Bytes) -> RequestOutcome {
         let base = address.to_string();
         let request = Request::builder()
             .method(method)
@@ -160,14 +162,14 @@
             .body(Full::from(body));
         let request = match request {
             Ok(request) => request,
-            Err(error) => return TryResult::NotSent(format!("{address}: {error}")),
+            Err(error) => return RequestOutcome::NotSent(format!("{address}: {error}")),
         };
-        match tokio::time::timeout(ANSWER_TIMEOUT, self.client.request(request)).await {
-            Err(_) => TryResult::Lost(format!("{address}: no answer in time")),
+        match tokio::time::timeout(RESPONSE_TIMEOUT, self.client.request(request)).await {
+            Err(_) => RequestOutcome::ResponseLost(format!("{address}: no answer in time")),
             Ok(Err(error)) if error.is_connect() => {
-                TryResult::NotSent(format!("{address}: cannot connect"))
+                RequestOutcome::NotSent(format!("{address}: cannot connect"))
             }
-            Ok(Err(error)) => TryResult::Lost(format!("{address}: {error}")),
+            Ok(Err(error)) => RequestOutcome::ResponseLost(format!("{address}: {error}")),
             Ok(Ok(response)) => read_response(address, response).await,
         }
     }
@@ -176,27 +178,27 @@
 async fn read_response(
     address: &Uri,
     response: http::Response<hyper::body::Incoming>,
-) -> TryResult {
+) -> RequestOutcome {
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_ANSWER).collect();
-    let body = match tokio::time::timeout(ANSWER_TIMEOUT, body).await {
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect();
+    let body = match tokio::time::timeout(RESPONSE_TIMEOUT, body).await {
         Ok(Ok(collected)) => collected.to_bytes(),
-        Ok(Err(error)) => return TryResult::Lost(format!("{address}: {error}")),
-        Err(_) => return TryResult::Lost(format!("{address}: the answer broke off")),
+        Ok(Err(error)) => return RequestOutcome::ResponseLost(format!("{address}: {error}")),
+        Err(_) => return RequestOutcome::ResponseLost(format!("{address}: the answer broke off")),
     };
     if status == StatusCode::OK {
-        return TryResult::Answered(body);
+        return RequestOutcome::Answered(body);
     }
     match serde_json::from_slice::<FaultBody>(&body) {
-        Ok(body) => TryResult::Refused(Box::new(body.error)),
+        Ok(body) => RequestOutcome::Refused(Box::new(body.error)),
         Err(_) => {
             let message = format!("{address} answered {status}; is it an operators' address?");
-            TryResult::Refused(Box::new(OperatorFault::unknown("not_understood", message)))
+            RequestOutcome::Refused(Box::new(OperatorFault::unknown("not_understood", message)))
         }
     }
 }
 
-fn read_answer<T: DeserializeOwned>(body: &Bytes) -> Result<T, ClientError> {
+fn parse_response<T: DeserializeOwned>(body: &Bytes) -> Result<T, ClientError> {
     serde_json::from_slice(body).map_err(|error| {
         let message =
             format!("the answer is not understood ({error}); use a client of the daemon's version");
--- a/src/operator_client/error.rs
+++ b/src/operator_client/error.rs
@@ -23,7 +23,7 @@
     /// Something on this machine failed; the text names the remedy.
     Local(String),
     /// Files have faults, each listed with its file.
-    Faulty(Vec<(String, InventoryFault)>),
+    InvalidFiles(Vec<(String, InventoryFault)>),
     /// A daemon refused.
     Refused(Box<OperatorFault>),
     /// No daemon could be asked; the texts say why for each address.
@@ -33,10 +33,10 @@
         /// The id to send again with, if it was a change.
         operation: Option<OperationId>,
         /// What was seen at each address.
-        seen: Vec<String>,
+        failures: Vec<String>,
     },
     /// A revision is not in force everywhere after the time given.
-    StillBehind(String),
+    RevisionPending(String),
 }
 
 impl ClientError {
@@ -44,14 +44,14 @@
     pub fn exit_code(&self) -> i32 {
         match self {
             ClientError::Usage(_) => USAGE_EXIT,
-            ClientError::Local(_) | ClientError::Faulty(_) => REFUSED_EXIT,
+            ClientError::Local(_) | ClientError::InvalidFiles(_) => REFUSED_EXIT,
             ClientError::Refused(fault) => match fault.did_happen {
                 DidHappen::No => REFUSED_EXIT,
                 DidHappen::Unknown => UNKNOWN_EXIT,
             },
             ClientError::Unreachable(_)
             | ClientError::OutcomeUnknown { .. }
-            | ClientError::StillBehind(_) => UNKNOWN_EXIT,
+            | ClientError::RevisionPending(_) => UNKNOWN_EXIT,
         }
     }
 
@@ -61,13 +61,13 @@
             ClientError::Refused(fault) => (**fault).clone(),
             ClientError::Usage(text) => OperatorFault::did_not_happen("usage", text),
             ClientError::Local(text) => OperatorFault::did_not_happen("local", text),
-            ClientError::Faulty(faults) => OperatorFault {
+            ClientError::InvalidFiles(faults) => OperatorFault {
                 faults: faults.iter().map(|(_, fault)| fault.clone()).collect(),
                 ..OperatorFault::did_not_happen("faulty", self)
             },
             ClientError::Unreachable(_) => OperatorFault::did_not_happen("unreachable", self),
             ClientError::OutcomeUnknown { .. } => OperatorFault::unknown("outcome_unknown", self),
-            ClientError::StillBehind(_) => OperatorFault::unknown("still_behind", self),
+            ClientError::RevisionPending(_) => OperatorFault::unknown("still_behind", self),
         };
         serde_json::to_string(&FaultBody { error: fault }).expect("faults have string keys only")
     }
@@ -77,7 +77,7 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ClientError::Usage(text) | ClientError::Local(text) => out.write_str(text),
-            ClientError::Faulty(faults) => {
+            ClientError::InvalidFiles(faults) => {
                 for (file, fault) in faults {
                     writeln!(out, "{file}: {fault}")?;
                 }
@@ -93,24 +93,24 @@
                     DidHappen::Unknown => out.write_str("whether it happened is not known"),
                 }
             }
-            ClientError::Unreachable(seen) => write!(
+            ClientError::Unreachable(failures) => write!(
                 out,
                 "no daemon answered; correct --admin or OLEANDERMOUNT_ADMIN_URLS, or look at the \
                  daemons:\n  {}",
-                seen.join("\n  ")
+                failures.join("\n  ")
             ),
-            ClientError::OutcomeUnknown { operation: Some(operation), seen } => write!(
+            ClientError::OutcomeUnknown { operation: Some(operation), failures } => write!(
                 out,
                 "whether the change happened is not known; send it again with --operation-id \
                  {operation}, which gets the first result:\n  {}",
-                seen.join("\n  ")
+                failures.join("\n  ")
             ),
-            ClientError::OutcomeUnknown { operation: None, seen } => write!(
+            ClientError::OutcomeUnknown { operation: None, failures } => write!(
                 out,
                 "whether it happened is not known; give the order again:\n  {}",
-                seen.join("\n  ")
+                failures.join("\n  ")
             ),
-            ClientError::StillBehind(text) => out.write_str(text),
+            ClientError::RevisionPending(text) => out.write_str(text),
         }
     }
 }
--- a/src/operator_client/explain_log.rs
+++ b/src/operator_client/explain_log.rs
@@ -26,21 +26,21 @@
 /// How long before a request's first record and after its last one others may tell its cause: a
 /// server's failure is found by its other requests within a second, and the control VMs' silence
 /// after 1.4 s.
-const AROUND: Duration = Duration::from_millis(1_500);
+const CONTEXT_MARGIN: Duration = Duration::from_millis(1_500);
 /// Records shown of one request, and beside it; further ones are counted.
 const SHOWN_RECORDS: usize = 50;
 
 /// Changes of belief that can explain a request's failure at the process that logs them.
-const BELIEFS: [&str; 9] = [
-    events::SERVER_LOST,
-    events::SERVER_BACK,
-    events::SERVER_MISLISTED,
+const RELATED_EVENTS: [&str; 9] = [
+    events::SERVER_UNAVAILABLE,
+    events::SERVER_RECOVERED,
+    events::SERVER_MISMATCHED,
     events::FOLLOWING,
-    events::FOLLOWING_LOST,
-    events::LIST_LOST,
-    events::LIST_BACK,
-    events::ROUTES_IN_FORCE,
-    events::RECORDS_LEFT_OUT,
+    events::CONTROL_UNRESPONSIVE,
+    events::LIST_UNCONFIRMED,
+    events::LIST_CONFIRMED,
+    events::ROUTES_ACTIVATED,
+    events::RECORDS_DROPPED,
 ];
 
 /// What the logs say of one request.
@@ -78,8 +78,8 @@
         return Err(ClientError::Usage(format!("no record of request {request}; {remedy}")));
     };
     let span = RequestSpan {
-        from: first.time - AROUND - Duration::from_millis(first.number("waited_ms")),
-        until: last.time + AROUND,
+        from: first.time - CONTEXT_MARGIN - Duration::from_millis(first.number("waited_ms")),
+        until: last.time + CONTEXT_MARGIN,
         sources: own.iter().map(|record| record.source.clone()).collect(),
         servers: own.iter().map(|record| record.text(events::SERVER).to_owned()).collect(),
     };
@@ -87,7 +87,7 @@
     let mut around = Vec::new();
     for path in logs {
         for record in records(path)?.filter(|record| record.request() != request) {
-            span.take(record, &mut explanation, &mut around);
+            span.collect(record, &mut explanation, &mut around);
         }
     }
     around.sort_by_key(|record: &LogRecord| record.time);
@@ -111,7 +111,7 @@
 }
 
 impl RequestSpan {
-    fn take(
+    fn collect(
         &self,
         record: LogRecord,
         explanation: &mut LogExplanation,
@@ -132,7 +132,7 @@
                 *explanation.refusals_around.entry(reason).or_default() += 1;
             }
             events::WEIGHTS_ORDERED if at_server => around.push(record),
-            event if BELIEFS.contains(&event) => {
+            event if RELATED_EVENTS.contains(&event) => {
                 let own_process = self.sources.contains(&record.source);
                 if own_process && (server.is_empty() || at_server) {
                     around.push(record);
@@ -152,22 +152,22 @@
             .to_owned();
     };
     let mut cause = match last.event() {
-        events::REQUEST_REFUSED => refused(last),
-        events::STREAM_CUT => format!(
+        events::REQUEST_REFUSED => refusal_text(last),
+        events::STREAM_INTERRUPTED => format!(
             "The stream broke off after {} events at {}: {}.",
             last.number("relayed_events"),
             last.text(events::SERVER),
             reason_text(last.text("reason"))
         ),
-        events::FAILURE_PASSED_ON => format!(
+        events::FAILURE_FORWARDED => format!(
             "A server answered {}, and no other did better; that answer was passed on.",
             last.number("status")
         ),
-        events::CALLER_LEFT => format!(
+        events::CALLER_DISCONNECTED => format!(
             "The caller closed its connection after {} ms, before it had its answer.",
             last.number("waited_ms")
         ),
-        events::ANSWERED_WHOLE | events::STREAM_WHOLE => answered(last),
+        events::ANSWER_COMPLETED | events::STREAM_COMPLETED => completion_text(last),
         event => format!("Its last record is \"{event}\"."),
     };
     if let Some(failed) = failed {
@@ -181,7 +181,7 @@
     cause
 }
 
-fn refused(last: &LogRecord) -> String {
+fn refusal_text(last: &LogRecord) -> String {
     let reason = last.text("reason");
     let ran = match last.number("sent_to") {
         0 => "no server began it".to_owned(),
@@ -194,9 +194,9 @@
     )
 }
 
-fn answered(last: &LogRecord) -> String {
+fn completion_text(last: &LogRecord) -> String {
     let mut text = format!("It was answered whole after {} ms", last.number("total_ms"));
-    if last.event() == events::STREAM_WHOLE {
+    if last.event() == events::STREAM_COMPLETED {
         let _ = write!(
             text,
             ", its first event after {} ms and with a longest pause of {} ms",
@@ -261,8 +261,8 @@
 }
 
 fn line(record: &LogRecord) -> String {
-    const LEFT_OUT: [&str; 5] = [events::MESSAGE, "time", "target", "level", "request_id"];
-    let fields = record.fields.iter().filter(|(key, _)| !LEFT_OUT.contains(&key.as_str()));
+    const OMITTED_KEYS: [&str; 5] = [events::MESSAGE, "time", "target", "level", "request_id"];
+    let fields = record.fields.iter().filter(|(key, _)| !OMITTED_KEYS.contains(&key.as_str()));
     let fields: Vec<String> = fields.map(|(key, value)| format!("{key}={value}")).collect();
     let time = humantime::format_rfc3339_millis(record.time);
     format!("{time} {} {}: {}", record.source, record.event(), fields.join(" "))
--- a/src/operator_client/local.rs
+++ b/src/operator_client/local.rs
@@ -36,9 +36,9 @@
 }
 
 /// Faults of one file.
-pub fn faulty(path: &Path, faults: Vec<InventoryFault>) -> ClientError {
+pub fn invalid_file(path: &Path, faults: Vec<InventoryFault>) -> ClientError {
     let file = path.display().to_string();
-    ClientError::Faulty(faults.into_iter().map(|fault| (file.clone(), fault)).collect())
+    ClientError::InvalidFiles(faults.into_iter().map(|fault| (file.clone(), fault)).collect())
 }
 
 /// Random bytes of the system's generator as hexadecimal digits.
@@ -76,7 +76,7 @@
         let in_register = faults.register.into_iter().map(|fault| (file, fault));
         let in_rules = faults.rules.into_iter().map(|fault| (rules.unwrap_or(file), fault));
         let named = in_register.chain(in_rules);
-        ClientError::Faulty(
+        ClientError::InvalidFiles(
             named.map(|(path, fault)| (path.display().to_string(), fault)).collect(),
         )
     })?;
@@ -113,7 +113,7 @@
         let text = "no VM may be named authority, its files would be the authority's; rename it";
         return Err(ClientError::Usage(text.to_owned()));
     }
-    fs::create_dir_all(out).map_err(|error| unwritable(out, &error))?;
+    fs::create_dir_all(out).map_err(|error| write_error(out, &error))?;
     let authority = open_authority(out)?;
     let mut rows = Vec::new();
     for vm in vms {
@@ -161,13 +161,13 @@
 ) -> Result<(PathBuf, PathBuf), ClientError> {
     let certificate = out.join(format!("{name}.pem"));
     let key = out.join(format!("{name}.key"));
-    write_whole(&key, &pair.key, KEY_MODE)?;
-    write_whole(&certificate, &pair.certificate, CERTIFICATE_MODE)?;
+    write_atomically(&key, &pair.key, KEY_MODE)?;
+    write_atomically(&certificate, &pair.certificate, CERTIFICATE_MODE)?;
     Ok((certificate, key))
 }
 
 /// Renames a finished file into place, so that no reader sees half of one.
-fn write_whole(path: &Path, text: &str, mode: u32) -> Result<(), ClientError> {
+fn write_atomically(path: &Path, text: &str, mode: u32) -> Result<(), ClientError> {
     let partial = path.with_extension("partial");
     let written = fs::remove_file(&partial)
         .or_else(|error| match error.kind() {
@@ -181,10 +181,10 @@
             file.sync_all()?;
             fs::rename(&partial, path)
         });
-    written.map_err(|error| unwritable(path, &error))
+    written.map_err(|error| write_error(path, &error))
 }
 
-fn unwritable(path: &Path, error: &std::io::Error) -> ClientError {
+fn write_error(path: &Path, error: &std::io::Error) -> ClientError {
     ClientError::Local(format!(
         "{} cannot be written ({error}); give a folder that you may write to",
         path.display()
--- a/src/operator_client/questions.rs
+++ b/src/operator_client/queries.rs
@@ -19,7 +19,7 @@
 };
 
 /// Short beside the seconds that a change takes, long beside the answers of a few hundred daemons.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Serialize)]
 struct StatusRow {
@@ -31,24 +31,24 @@
 /// `status`: every address is asked, since each daemon knows only itself.
 pub async fn status(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let mut rows = Vec::new();
-    let mut seen = Vec::new();
+    let mut failures = Vec::new();
     for address in connection.addresses() {
-        let answer = connection.ask_one::<DaemonStatus>(address, "/v1/status").await;
+        let answer = connection.query_one::<DaemonStatus>(address, "/v1/status").await;
         let status = match answer {
             Ok(status) => Some(status),
             Err(ClientError::Unreachable(texts)) => {
-                seen.extend(texts);
+                failures.extend(texts);
                 None
             }
             Err(error) => {
-                seen.push(error.to_string());
+                failures.push(error.to_string());
                 None
             }
         };
         rows.push(StatusRow { admin: address.to_string(), status });
     }
     if rows.iter().all(|row| row.status.is_none()) {
-        return Err(ClientError::Unreachable(seen));
+        return Err(ClientError::Unreachable(failures));
     }
     let head = [
         "vm",
@@ -90,7 +90,7 @@
 
 /// `servers`.
 pub async fn servers(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
-    let servers: Vec<ServerStatus> = connection.ask("/v1/servers").await?;
+    let servers: Vec<ServerStatus> = connection.query("/v1/servers").await?;
     let mut table = TextTable::new(&[
         "server",
         "domain",
@@ -127,7 +127,7 @@
     limit: usize,
 ) -> Result<ClientReport, ClientError> {
     let path = format!("/v1/organisations?limit={limit}");
-    let organisations: Vec<OrganisationStatus> = connection.ask(&path).await?;
+    let organisations: Vec<OrganisationStatus> = connection.query(&path).await?;
     let mut table =
         TextTable::new(&["organisation", "requests", "answered", "refused", "tokens", "in flight"]);
     for organisation in &organisations {
@@ -145,7 +145,7 @@
 
 /// `replica list`.
 pub async fn replicas(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
-    let replicas: Vec<ReplicaEntry> = connection.ask("/v1/replicas").await?;
+    let replicas: Vec<ReplicaEntry> = connection.query("/v1/replicas").await?;
     let mut table = TextTable::new(&["vm", "role", "incarnation", "applied"]);
     for replica in &replicas {
         let role = match (replica.leader, replica.voter) {
@@ -165,7 +165,7 @@
 
 /// `config show`.
 pub async fn config(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
-    let config: ConfigReport = connection.ask("/v1/config").await?;
+    let config: ConfigReport = connection.query("/v1/config").await?;
     let register = &config.register;
     let mut table = TextTable::new(&["what", "value"]);
     let rows = [
@@ -189,7 +189,7 @@
 
 /// `config history`.
 pub async fn history(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
-    let changes: Vec<ConfigChange> = connection.ask("/v1/config/history").await?;
+    let changes: Vec<ConfigChange> = connection.query("/v1/config/history").await?;
     let mut table = TextTable::new(&["revision", "part", "operation", "digest"]);
     for change in &changes {
         table.row([
@@ -211,7 +211,7 @@
     let until = Instant::now() + timeout;
     let path = format!("/v1/config/where?revision={revision}");
     loop {
-        let report = connection.ask::<WhereReport>(&path).await;
+        let report = connection.query::<WhereReport>(&path).await;
         if let Ok(report) = &report
             && report.behind().next().is_none()
         {
@@ -219,13 +219,15 @@
             return Ok(ClientReport::text(report, text));
         }
         if Instant::now() >= until {
-            return Err(report.map_or_else(|error| error, |report| still_behind(&report, timeout)));
+            return Err(
+                report.map_or_else(|error| error, |report| revision_pending(&report, timeout))
+            );
         }
-        tokio::time::sleep(ASK_AGAIN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn still_behind(report: &WhereReport, timeout: Duration) -> ClientError {
+fn revision_pending(report: &WhereReport, timeout: Duration) -> ClientError {
     let rows: Vec<String> = report
         .behind()
         .map(|vm| match vm.revision {
@@ -233,7 +235,7 @@
             None => format!("{} ({}): does not answer", vm.vm, vm.failure_domain),
         })
         .collect();
-    ClientError::StillBehind(format!(
+    ClientError::RevisionPending(format!(
         "revision {} is not in force everywhere after {}; look at these VMs, or wait again:\n  {}",
         report.revision,
         humantime::format_duration(timeout),
@@ -252,7 +254,7 @@
         let remedy = "give the answer's X-Oleandermount-Request-Id as it stands there";
         return Err(ClientError::Usage(format!("\"{request}\" is no request id: {remedy}")));
     }
-    let report: ExplainReport = connection.ask(&format!("/v1/explain/{request}")).await?;
+    let report: ExplainReport = connection.query(&format!("/v1/explain/{request}")).await?;
     let text = report
         .traces
         .iter()
--- a/src/options.rs
+++ b/src/options.rs
@@ -7,18 +7,18 @@
 pub mod group;
 pub mod identity;
 pub mod keys;
-pub mod life;
 pub mod limits;
 pub mod network;
+pub mod runtime;
 pub mod values;
 
 pub use self::{
     fault::{OptionFault, OptionsError},
     group::GroupOptions,
     identity::{DaemonRole, IdentityOptions},
-    life::LifeOptions,
     limits::RequestLimits,
     network::NetworkOptions,
+    runtime::RuntimeOptions,
 };
 
 use {
@@ -44,7 +44,7 @@
     /// What a caller may send.
     pub limits: RequestLimits,
     /// How it logs and stops.
-    pub life: LifeOptions,
+    pub runtime: RuntimeOptions,
 }
 
 /// The options as text, before any check.
@@ -55,7 +55,7 @@
     group: group::RawGroup,
     keys: keys::RawKeys,
     limits: limits::RawLimits,
-    life: life::RawLife,
+    runtime: runtime::RawRuntime,
 }
 
 impl DaemonOptions {
@@ -84,8 +84,8 @@
     let group = group::parser().group_help("The daemons it starts from and the state it keeps");
     let keys = keys::parser().group_help("Keys between daemons");
     let limits = limits::parser().group_help("What a caller may send");
-    let life = life::parser().group_help("How it logs and stops");
-    construct!(RawOptions { identity, network, group, keys, limits, life })
+    let runtime = runtime::parser().group_help("How it logs and stops");
+    construct!(RawOptions { identity, network, group, keys, limits, runtime })
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
         .descr("Routes language-model traffic with long shared prompts.")
@@ -101,10 +101,10 @@
     let group = group::check(raw.group, &identity, &mut faults);
     let keys = keys::check(raw.keys, &identity, &mut faults);
     let limits = limits::check(raw.limits, &mut faults);
-    let life = life::check(raw.life, &mut faults);
+    let runtime = runtime::check(raw.runtime, &mut faults);
     if faults.is_empty() {
-        Ok(DaemonOptions { identity, network, group, keys, limits, life })
+        Ok(DaemonOptions { identity, network, group, keys, limits, runtime })
     } else {
-        Err(OptionsError::Wrong(faults))
+        Err(OptionsError::Invalid(faults))
     }
 }
--- a/src/options/fault.rs
+++ b/src/options/fault.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum OptionFault {
     /// {option} has the value "{value}": {remedy}
-    Wrong {
+    Invalid {
         /// The flag, with its dashes.
         option: String,
         /// What was given.
@@ -34,7 +34,7 @@
     /// The flag at fault, with its dashes.
     pub fn option(&self) -> &str {
         match self {
-            OptionFault::Wrong { option, .. } | OptionFault::Missing { option, .. } => option,
+            OptionFault::Invalid { option, .. } | OptionFault::Missing { option, .. } => option,
         }
     }
 }
@@ -45,7 +45,7 @@
     /// The command line has an unknown form, or asks for help or the version.
     Usage(ParseFailure),
     /// Values are wrong; all of them are listed.
-    Wrong(Vec<OptionFault>),
+    Invalid(Vec<OptionFault>),
 }
 
 impl OptionsError {
@@ -57,7 +57,7 @@
                 failure.print_message(HELP_WIDTH);
                 if failure.clone().exit_code() == 0 { 0 } else { USAGE_EXIT }
             }
-            OptionsError::Wrong(_) => {
+            OptionsError::Invalid(_) => {
                 eprintln!("{self}");
                 USAGE_EXIT
             }
@@ -75,7 +75,7 @@
                 out.write_str(&text.monochrome(true))
             }
             OptionsError::Usage(ParseFailure::Completion(text)) => out.write_str(text),
-            OptionsError::Wrong(faults) => {
+            OptionsError::Invalid(faults) => {
                 let lines: Vec<String> = faults.iter().map(OptionFault::to_string).collect();
                 out.write_str(&lines.join("\n"))
             }
--- a/src/options/group.rs
+++ b/src/options/group.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         DaemonRole, IdentityOptions, OptionFault,
-        values::{NAME_REMEDY, is_name, text, wrong},
+        values::{NAME_REMEDY, is_name, report_invalid, text},
     },
     crate::ids::VmId,
     bpaf::{Parser, construct},
@@ -71,12 +71,12 @@
     for founder in &founders {
         if *founder != identity.vm && !peers.contains_key(founder) {
             let remedy = "name its address in --peers, or correct the name";
-            wrong(faults, "--founders", founder, remedy);
+            report_invalid(faults, "--founders", founder, remedy);
         }
     }
     let data_dir = raw.data_dir.map(PathBuf::from);
     if let Some(path) = data_dir.as_ref().filter(|path| path.exists() && !path.is_dir()) {
-        wrong(faults, "--data-dir", path.display(), "this is a file; give a folder");
+        report_invalid(faults, "--data-dir", path.display(), "this is a file; give a folder");
     }
     if data_dir.is_none() {
         require_data_dir(identity, &founders, faults);
@@ -100,7 +100,7 @@
         .push(OptionFault::Missing { option: "--data-dir".to_owned(), remedy: remedy.to_owned() });
 }
 
-fn items(given: Option<String>) -> Vec<String> {
+fn list_items(given: Option<String>) -> Vec<String> {
     given
         .iter()
         .flat_map(|list| list.split(','))
@@ -112,18 +112,18 @@
 
 fn peer_map(given: Option<String>, faults: &mut Vec<OptionFault>) -> BTreeMap<VmId, SocketAddr> {
     let mut peers = BTreeMap::new();
-    for item in items(given) {
+    for item in list_items(given) {
         let parts = item.split_once('=');
         let address = parts.and_then(|(_, address)| address.parse::<SocketAddr>().ok());
         match (parts, address) {
             (Some((vm, _)), Some(address)) if is_name(vm) => {
                 if peers.insert(vm.to_owned(), address).is_some() {
-                    wrong(faults, "--peers", vm, "it is named twice; keep one address");
+                    report_invalid(faults, "--peers", vm, "it is named twice; keep one address");
                 }
             }
             _ => {
                 let remedy = "give each daemon as VM=IP:PORT, such as ub-north-1=10.0.0.7:8082";
-                wrong(faults, "--peers", item, remedy);
+                report_invalid(faults, "--peers", item, remedy);
             }
         }
     }
@@ -132,17 +132,17 @@
 
 fn founder_set(given: Option<String>, faults: &mut Vec<OptionFault>) -> BTreeSet<VmId> {
     let mut founders = BTreeSet::new();
-    for item in items(given) {
+    for item in list_items(given) {
         if !is_name(&item) {
-            wrong(faults, "--founders", &item, NAME_REMEDY);
+            report_invalid(faults, "--founders", &item, NAME_REMEDY);
         }
         if !founders.insert(item.clone()) {
-            wrong(faults, "--founders", item, "it is named twice; name each voter once");
+            report_invalid(faults, "--founders", item, "it is named twice; name each voter once");
         }
     }
     if founders.len() > MAX_FOUNDERS {
         let remedy = format!("name at most {MAX_FOUNDERS} voters, spread over failure domains");
-        wrong(faults, "--founders", founders.len(), remedy);
+        report_invalid(faults, "--founders", founders.len(), remedy);
     }
     founders
 }
--- a/src/options/identity.rs
+++ b/src/options/identity.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         OptionFault,
-        values::{name, text, wrong},
+        values::{report_invalid, required_name, text},
     },
     crate::ids::{FailureDomainId, VmId},
     bpaf::{Parser, construct},
@@ -54,13 +54,13 @@
 }
 
 pub(super) fn check(raw: RawIdentity, faults: &mut Vec<OptionFault>) -> IdentityOptions {
-    let vm = name(faults, "--vm", raw.vm);
-    let failure_domain = name(faults, "--failure-domain", raw.failure_domain);
+    let vm = required_name(faults, "--vm", raw.vm);
+    let failure_domain = required_name(faults, "--failure-domain", raw.failure_domain);
     let role = match raw.role.as_deref() {
         None | Some("entry") => DaemonRole::Entry,
         Some("control") => DaemonRole::Control,
         Some(other) => {
-            wrong(faults, "--role", other, "give entry or control");
+            report_invalid(faults, "--role", other, "give entry or control");
             DaemonRole::Entry
         }
     };
--- a/src/options/keys.rs
+++ b/src/options/keys.rs
@@ -39,15 +39,15 @@
          --out DIR --vm {}` and give all three files",
         identity.vm
     );
-    let mut take = |option: &str, given: Option<String>| {
+    let mut required_file = |option: &str, given: Option<String>| {
         if given.is_none() {
             let option = option.to_owned();
             faults.push(OptionFault::Missing { option, remedy: remedy.clone() });
         }
         given.map(|given| file(faults, option, given))
     };
-    let authority = take("--authority", raw.authority);
-    let certificate = take("--certificate", raw.certificate);
-    let key = take("--key", raw.key);
+    let authority = required_file("--authority", raw.authority);
+    let certificate = required_file("--certificate", raw.certificate);
+    let key = required_file("--key", raw.key);
     Some(KeyFiles { authority: authority?, certificate: certificate?, key: key? })
 }
--- a/src/options/limits.rs
+++ b/src/options/limits.rs
@@ -10,17 +10,17 @@
 };
 
 /// Usual request heads are under 2 KB; 32 KB leaves room for long cookies of the balancer.
-const HEAD_BYTES: usize = 32 * 1024;
+const DEFAULT_HEAD_BYTES: usize = 32 * 1024;
 /// hyper's parser needs at least this much to take a request at all.
-const LEAST_HEAD_BYTES: usize = 8 * 1024;
+const MIN_HEAD_BYTES: usize = 8 * 1024;
 /// A prompt of a million tokens has about 4 MB; JSON escapes can double it.
-const BODY_BYTES: usize = 8 * 1024 * 1024;
+const DEFAULT_BODY_BYTES: usize = 8 * 1024 * 1024;
 /// Requests of common clients carry under 30 headers.
-const HEADERS: usize = 100;
+const DEFAULT_HEADERS: usize = 100;
 /// A head fits in a few packets, so slower senders hold a connection for nothing.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// The largest body at 2 Mbit a second takes about half a minute.
-const BODY_TIMEOUT: Duration = Duration::from_secs(30);
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a caller may send. Each limit is positive.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,11 +40,11 @@
 impl Default for RequestLimits {
     fn default() -> Self {
         RequestLimits {
-            max_head_bytes: HEAD_BYTES,
-            max_body_bytes: BODY_BYTES,
-            max_headers: HEADERS,
-            head_timeout: HEAD_TIMEOUT,
-            body_timeout: BODY_TIMEOUT,
+            max_head_bytes: DEFAULT_HEAD_BYTES,
+            max_body_bytes: DEFAULT_BODY_BYTES,
+            max_headers: DEFAULT_HEADERS,
+            head_timeout: DEFAULT_HEAD_TIMEOUT,
+            body_timeout: DEFAULT_BODY_TIMEOUT,
         }
     }
 }
@@ -99,37 +99,37 @@
 }
 
 pub(super) fn check(raw: RawLimits, faults: &mut Vec<OptionFault>) -> RequestLimits {
-    let usual = RequestLimits::default();
-    let times = Duration::from_millis(100)..=Duration::from_secs(600);
+    let default = RequestLimits::default();
+    let range = Duration::from_millis(100)..=Duration::from_secs(600);
     RequestLimits {
         max_head_bytes: count(
             faults,
             "--max-head-bytes",
             raw.max_head_bytes,
-            usual.max_head_bytes,
-            LEAST_HEAD_BYTES..=1 << 20,
+            default.max_head_bytes,
+            MIN_HEAD_BYTES..=1 << 20,
         ),
         max_body_bytes: count(
             faults,
             "--max-body-bytes",
             raw.max_body_bytes,
-            usual.max_body_bytes,
+            default.max_body_bytes,
             1024..=1 << 30,
         ),
-        max_headers: count(faults, "--max-headers", raw.max_headers, usual.max_headers, 8..=1000),
+        max_headers: count(faults, "--max-headers", raw.max_headers, default.max_headers, 8..=1000),
         head_timeout: duration(
             faults,
             "--head-timeout",
             raw.head_timeout,
-            usual.head_timeout,
-            times.clone(),
+            default.head_timeout,
+            range.clone(),
         ),
         body_timeout: duration(
             faults,
             "--body-timeout",
             raw.body_timeout,
-            usual.body_timeout,
-            times,
+            default.body_timeout,
+            range,
         ),
     }
 }
--- a/src/options/network.rs
+++ b/src/options/network.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         OptionFault,
-        values::{address, text, wrong},
+        values::{address, report_invalid, text},
     },
     bpaf::{Parser, construct},
     std::net::{Ipv4Addr, SocketAddr},
@@ -11,7 +11,7 @@
 
 /// Without an option a daemon is reachable from its own VM only, so that nothing is exposed by
 /// leaving an option out.
-const USUAL_PORTS: [u16; 3] = [8080, 8081, 8082];
+const DEFAULT_PORTS: [u16; 3] = [8080, 8081, 8082];
 
 /// Where a daemon listens. The two HTTP addresses differ unless the port is 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -56,13 +56,13 @@
 
 pub(super) fn check(raw: RawNetwork, faults: &mut Vec<OptionFault>) -> NetworkOptions {
     let [listen, admin_listen, peer_listen] =
-        USUAL_PORTS.map(|port| SocketAddr::from((Ipv4Addr::LOCALHOST, port)));
+        DEFAULT_PORTS.map(|port| SocketAddr::from((Ipv4Addr::LOCALHOST, port)));
     let listen = address(faults, "--listen", raw.listen, listen);
     let admin_listen = address(faults, "--admin-listen", raw.admin_listen, admin_listen);
     let peer_listen = address(faults, "--peer-listen", raw.peer_listen, peer_listen);
     if listen == admin_listen && listen.port() != 0 {
         let remedy = "callers and operators need different addresses; change the port";
-        wrong(faults, "--admin-listen", admin_listen, remedy);
+        report_invalid(faults, "--admin-listen", admin_listen, remedy);
     }
     NetworkOptions { listen, admin_listen, peer_listen }
 }
--- a/src/options/life.rs
+++ b/src/options/runtime.rs
@@ -4,7 +4,7 @@
 use {
     super::{
         OptionFault,
-        values::{duration, text, wrong},
+        values::{duration, report_invalid, text},
     },
     crate::policy::SafeguardSet,
     bpaf::{Parser, construct},
@@ -13,11 +13,11 @@
 };
 
 /// A long answer at a slow engine takes some minutes; a stop should cut none.
-const GRACE: Duration = Duration::from_secs(300);
+const DEFAULT_GRACE: Duration = Duration::from_secs(300);
 
 /// How a daemon logs and stops.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LifeOptions {
+pub struct RuntimeOptions {
     /// How long a stopping daemon waits for requests in flight before it cuts them.
     pub grace: Duration,
     /// The least urgent level that is logged.
@@ -27,13 +27,13 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct RawLife {
+pub(super) struct RawRuntime {
     grace: Option<String>,
     log_level: Option<String>,
     without: Option<String>,
 }
 
-pub(super) fn parser() -> impl Parser<RawLife> {
+pub(super) fn parser() -> impl Parser<RawRuntime> {
     let grace = text(
         "grace",
         "OLEANDERMOUNT_GRACE",
@@ -52,23 +52,28 @@
         "NAMES",
         "Mechanisms of the policy to switch off while looking for a cause (default none)",
     );
-    construct!(RawLife { grace, log_level, without })
+    construct!(RawRuntime { grace, log_level, without })
 }
 
-pub(super) fn check(raw: RawLife, faults: &mut Vec<OptionFault>) -> LifeOptions {
+pub(super) fn check(raw: RawRuntime, faults: &mut Vec<OptionFault>) -> RuntimeOptions {
     let range = Duration::ZERO..=Duration::from_secs(24 * 3600);
-    let grace = duration(faults, "--grace", raw.grace, GRACE, range);
+    let grace = duration(faults, "--grace", raw.grace, DEFAULT_GRACE, range);
     let log_level = raw.log_level.map_or(LevelFilter::Info, |given| {
         given.parse().unwrap_or_else(|_| {
-            wrong(faults, "--log-level", given, "give off, error, warn, info, debug or trace");
+            report_invalid(
+                faults,
+                "--log-level",
+                given,
+                "give off, error, warn, info, debug or trace",
+            );
             LevelFilter::Info
         })
     });
     let disabled = raw.without.map_or_else(SafeguardSet::default, |given| {
         given.parse().unwrap_or_else(|error| {
-            wrong(faults, "--without", given, error);
+            report_invalid(faults, "--without", given, error);
             SafeguardSet::default()
         })
     });
-    LifeOptions { grace, log_level, disabled }
+    RuntimeOptions { grace, log_level, disabled }
 }
--- a/src/options/values.rs
+++ b/src/options/values.rs
@@ -8,7 +8,7 @@
 
 /// The longest accepted name of a VM or failure domain: it stands in logs, metrics and
 /// certificates, where longer names are cut or refused.
-const MAX_NAME: usize = 63;
+const MAX_NAME_BYTES: usize = 63;
 
 /// Reads one named option as text.
 pub(super) fn text(
@@ -21,13 +21,13 @@
 }
 
 /// Notes that `option` has a `value` that cannot be used.
-pub(super) fn wrong(
+pub(super) fn report_invalid(
     faults: &mut Vec<OptionFault>,
     option: &str,
     value: impl ToString,
     remedy: impl ToString,
 ) {
-    faults.push(OptionFault::Wrong {
+    faults.push(OptionFault::Invalid {
         option: option.to_owned(),
         value: value.to_string(),
         remedy: remedy.to_string(),
@@ -37,7 +37,7 @@
 /// Whether `name` can stand in logs, metrics, paths and certificates unchanged.
 pub fn is_name(name: &str) -> bool {
     !name.is_empty()
-        && name.len() <= MAX_NAME
+        && name.len() <= MAX_NAME_BYTES
         && name.chars().all(|letter| letter.is_ascii_alphanumeric() || "-_.".contains(letter))
 }
 
@@ -45,11 +45,15 @@
 pub const NAME_REMEDY: &str = "use 1 to 63 letters, digits, dots, dashes or underscores";
 
 /// A name that must be present.
-pub(super) fn name(faults: &mut Vec<OptionFault>, option: &str, given: Option<String>) -> String {
+pub(super) fn required_name(
+    faults: &mut Vec<OptionFault>,
+    option: &str,
+    given: Option<String>,
+) -> String {
     match given {
         Some(name) if is_name(&name) => name,
         Some(other) => {
-            wrong(faults, option, &other, NAME_REMEDY);
+            report_invalid(faults, option, &other, NAME_REMEDY);
             other
         }
         None => {
@@ -67,12 +71,17 @@
     faults: &mut Vec<OptionFault>,
     option: &str,
     given: Option<String>,
-    usual: SocketAddr,
+    default: SocketAddr,
 ) -> SocketAddr {
-    let Some(given) = given else { return usual };
+    let Some(given) = given else { return default };
     given.parse().unwrap_or_else(|_| {
-        wrong(faults, option, given, "give an IP address and a port such as 10.0.0.7:8080");
-        usual
+        report_invalid(
+            faults,
+            option,
+            given,
+            "give an IP address and a port such as 10.0.0.7:8080",
+        );
+        default
     })
 }
 
@@ -81,10 +90,10 @@
     faults: &mut Vec<OptionFault>,
     option: &str,
     given: Option<String>,
-    usual: Duration,
+    default: Duration,
     range: RangeInclusive<Duration>,
 ) -> Duration {
-    let Some(given) = given else { return usual };
+    let Some(given) = given else { return default };
     match humantime::parse_duration(&given) {
         Ok(duration) if range.contains(&duration) => duration,
         _ => {
@@ -92,10 +101,10 @@
                 "give a duration from {} to {}, such as {}",
                 humantime::format_duration(*range.start()),
                 humantime::format_duration(*range.end()),
-                humantime::format_duration(usual)
+                humantime::format_duration(default)
             );
-            wrong(faults, option, given, remedy);
-            usual
+            report_invalid(faults, option, given, remedy);
+            default
         }
     }
 }
@@ -105,17 +114,17 @@
     faults: &mut Vec<OptionFault>,
     option: &str,
     given: Option<String>,
-    usual: usize,
+    default: usize,
     range: RangeInclusive<usize>,
 ) -> usize {
-    let Some(given) = given else { return usual };
+    let Some(given) = given else { return default };
     match given.parse() {
         Ok(count) if range.contains(&count) => count,
         _ => {
             let (least, most) = range.into_inner();
-            let remedy = format!("give a whole number from {least} to {most}, such as {usual}");
-            wrong(faults, option, given, remedy);
-            usual
+            let remedy = format!("give a whole number from {least} to {most}, such as {default}");
+            report_invalid(faults, option, given, remedy);
+            default
         }
     }
 }
@@ -128,7 +137,7 @@
             "the file cannot be read ({error}); make it with `oleandermountctl keys create` or \
              give its right path"
         );
-        wrong(faults, option, given, remedy);
+        report_invalid(faults, option, given, remedy);
     }
     path
 }
--- a/src/pipeline/counters.rs
+++ b/src/pipeline/counters.rs
@@ -4,7 +4,7 @@
     crate::{
         inventory::RequestClass,
         observe::metrics::{
-            ANSWER_TIME, ANSWERS, CROSSED_ANSWERS, FIRST_TOKEN, HIT_TOKENS, INTER_TOKEN,
+            ANSWER_TIME, ANSWERS, CACHE_HIT_TOKENS, FIRST_TOKEN, INTER_TOKEN, MISMATCHED_RESPONSES,
             PROMPT_TOKENS, QUEUE_WAIT, RECOMPUTED_TOKENS, REFUSALS, REQUESTS, RETRIES,
         },
         policy::RetryReason,
@@ -25,7 +25,7 @@
 
 /// Counts a response that was dropped because it belongs to another attempt.
 pub fn count_mismatched_response() {
-    counter!(CROSSED_ANSWERS).increment(1);
+    counter!(MISMATCHED_RESPONSES).increment(1);
 }
 
 /// Records the time from the arrival of a request to the first token of its response.
@@ -54,7 +54,7 @@
 pub fn count_prompt(model: impl Into<String>, prompt_tokens: u32, hit_tokens: u32) {
     let model = model.into();
     counter!(PROMPT_TOKENS, "model" => model.clone()).increment(u64::from(prompt_tokens));
-    counter!(HIT_TOKENS, "model" => model).increment(u64::from(hit_tokens));
+    counter!(CACHE_HIT_TOKENS, "model" => model).increment(u64::from(hit_tokens));
 }
 
 /// Counts prompt tokens that were expected in an engine's cache but had to be computed.
--- a/src/pipeline/deduplicate.rs
+++ b/src/pipeline/deduplicate.rs
@@ -18,7 +18,7 @@
         ids::{AttemptId, DigestHex, IdempotencyKey, Incarnation, VmId},
         observe::{
             events,
-            metrics::{CLAIMS_RETURNED, refusal},
+            metrics::{CLAIMS_RELEASED, refusal},
         },
         policy::DidRun,
     },
@@ -181,7 +181,7 @@
 /// Logs which daemon holds the claim that a retried call waits for.
 fn log_waiting(fingerprint: &DigestHex, (holder, incarnation): &(VmId, Incarnation)) {
     log::info!(call = logged_call(fingerprint), holder = holder.as_str(),
-        incarnation = incarnation; "{}", events::CALL_WAITS);
+        incarnation = incarnation; "{}", events::CALL_WAITING);
 }
 
 /// Status of a call in the ledger.
@@ -336,7 +336,7 @@
     /// Proposes the release of the attempt, so that other callers do not have to wait until the
     /// attempt floor covers it.
     fn propose_release(&self) {
-        metrics::counter!(CLAIMS_RETURNED).increment(1);
+        metrics::counter!(CLAIMS_RELEASED).increment(1);
         let Some(permit) = self.core.claims.begin_release() else { return };
         let (core, attempt) = (Arc::clone(&self.core), self.attempt);
         let command = self.release_command();
--- a/src/pipeline/dispatch.rs
+++ b/src/pipeline/dispatch.rs
@@ -4,7 +4,7 @@
     super::{counters::count_retry, trace::TraceLog},
     crate::{
         ids::{AttemptId, RequestId, ServerId},
-        observe::metrics::DUTIES_DROPPED,
+        observe::metrics::BACKGROUND_CALLS_DROPPED,
         policy::{
             DidRun, Dispatcher, DomainDigest, PolicyAction, PolicyInput, RefusalReason,
             RequestTicket, SendOrder,
@@ -203,7 +203,7 @@
         if self.tasks.try_send(task).is_err() {
             // Dropping a task is safe: probes and digests are repeated periodically, and an engine
             // detects a closed connection even without the cancel call.
-            metrics::counter!(DUTIES_DROPPED).increment(1);
+            metrics::counter!(BACKGROUND_CALLS_DROPPED).increment(1);
         }
     }
 }
--- a/src/pipeline/relay.rs
+++ b/src/pipeline/relay.rs
@@ -16,7 +16,7 @@
     crate::{
         backend::{
             BackendError, EngineCall, EngineEvent, EngineStream,
-            connection::{ExchangeLimits, attempt_text},
+            connection::{ExchangeLimits, format_attempt_id},
             engine::{self, ResumePoint},
         },
         ids::{AttemptId, RequestId, WeightsVersion},
@@ -227,8 +227,8 @@
         let request = &self.request.request;
         self.core
             .trace
-            .record(request, format!("attempt {} failed: {error}", attempt_text(attempt)));
-        if error == BackendError::Crossed {
+            .record(request, format!("attempt {} failed: {error}", format_attempt_id(attempt)));
+        if error == BackendError::MismatchedAttempt {
             count_mismatched_response();
         }
         let failure = error.failure();
@@ -292,7 +292,7 @@
                 cache_salt(&caller.organisation, &prompt.model, prompt.adapter.as_deref(), weights)
             }
             // The weights are unknown: a unique salt prevents hits on blocks of older weights.
-            None => format!("attempt-{}", attempt_text(order.attempt)),
+            None => format!("attempt-{}", format_attempt_id(order.attempt)),
         };
         EngineCall {
             attempt: order.attempt,
--- a/src/pipeline/service_call.rs
+++ b/src/pipeline/service_call.rs
@@ -12,7 +12,7 @@
     },
     crate::{
         backend::{
-            BackendError, ServiceAnswer, ServiceRequest, connection::ExchangeLimits, service,
+            BackendError, ServiceRequest, ServiceResponse, connection::ExchangeLimits, service,
         },
         control::KeptAnswer,
         ids::{AttemptId, IdempotencyKey, RequestId, ServiceId},
@@ -51,7 +51,7 @@
 pub async fn run_repeatable(
     core: Arc<PipelineCore>,
     call: ServiceCall,
-) -> Result<ServiceAnswer, CallerRefusal> {
+) -> Result<ServiceResponse, CallerRefusal> {
     let mut handle = core.dispatcher.submit(ticket(&call, Repeat::Allowed));
     loop {
         match handle.next().await {
@@ -94,12 +94,12 @@
     call: ServiceCall,
     key: IdempotencyKey,
     send_state: &SendState,
-) -> Result<ServiceAnswer, CallerRefusal> {
+) -> Result<ServiceResponse, CallerRefusal> {
     let fingerprint = call_digest(&call);
     match claim(&core, &call.caller, key, fingerprint, send_state).await? {
         ClaimResult::Answered(kept) => {
             core.trace.record(&call.request, "answered from the ledger");
-            Ok(ServiceAnswer {
+            Ok(ServiceResponse {
                 status: kept.status,
                 content_type: kept.content_type,
                 retry_after: None,
@@ -115,7 +115,7 @@
     call: ServiceCall,
     mut claim: CallClaim<Claimed>,
     send_state: &SendState,
-) -> Result<ServiceAnswer, CallerRefusal> {
+) -> Result<ServiceResponse, CallerRefusal> {
     let mut handle = core.dispatcher.submit(ticket(&call, Repeat::Forbidden));
     loop {
         let order = match handle.next().await {
@@ -180,7 +180,7 @@
     call: &ServiceCall,
     order: &SendOrder,
     limits: ExchangeLimits,
-) -> Result<ServiceAnswer, BackendError> {
+) -> Result<ServiceResponse, BackendError> {
     // A server that was removed from the register counts as one that cannot be connected to.
     let address = core.address(&order.server).ok_or(BackendError::Stale)?;
     let _in_flight = core.usage.track_attempt(&order.server);
@@ -192,8 +192,8 @@
     call: &ServiceCall,
     handle: &RequestHandle,
     attempt: AttemptId,
-    response: ServiceAnswer,
-) -> ServiceAnswer {
+    response: ServiceResponse,
+) -> ServiceResponse {
     core.trace.record(&call.request, format!("answered with status {}", response.status));
     handle.notify(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens: 0 });
     count_response(call.caller.class);
--- a/src/reverse_proxy/exchange.rs
+++ b/src/reverse_proxy/exchange.rs
@@ -263,7 +263,7 @@
             }
             ResponseVerdict::WrongServer => {
                 log::warn!(server = order.server.as_str(), weights = order.weights.as_deref();
-                    "{}", events::SERVER_MISLISTED);
+                    "{}", events::SERVER_MISMATCHED);
                 let (server, health) = (order.server.clone(), ServerHealth::Dead);
                 self.handle.notify(PolicyInput::Health { server, health });
                 self.core.recheck_after_refresh(&order.server);
--- a/src/reverse_proxy/exchange/logging.rs
+++ b/src/reverse_proxy/exchange/logging.rs
@@ -20,7 +20,7 @@
                 route = self.request.caller.route.name.as_str(),
                 sent_to = self.runs,
                 waited_ms = self.waited_ms();
-                "{}", events::CALLER_LEFT
+                "{}", events::CALLER_DISCONNECTED
             );
         }
     }
@@ -95,7 +95,7 @@
             status = status.as_u16(),
             sent_to = self.runs,
             waited_ms = self.waited_ms();
-            "{}", events::FAILURE_PASSED_ON
+            "{}", events::FAILURE_FORWARDED
         );
     }
 
@@ -110,7 +110,7 @@
             document = self.request.document,
             sent_to = self.runs,
             total_ms = self.waited_ms();
-            "{}", events::ANSWERED_WHOLE
+            "{}", events::ANSWER_COMPLETED
         );
     }
 
@@ -138,7 +138,7 @@
             relayed_events = events,
             sent_to = self.runs,
             waited_ms = self.waited_ms();
-            "{}", events::STREAM_CUT
+            "{}", events::STREAM_INTERRUPTED
         );
     }
 }
--- a/src/reverse_proxy/recheck.rs
+++ b/src/reverse_proxy/recheck.rs
@@ -44,7 +44,7 @@
     fn recheck_after(self: &Arc<Self>, server: &ServerId, delay: Duration) {
         let mut servers = self.recheck.0.lock().unwrap_or_else(PoisonError::into_inner);
         if servers.insert(server.clone()) {
-            log::warn!(server = server.as_str(); "{}", events::SERVER_LOST);
+            log::warn!(server = server.as_str(); "{}", events::SERVER_UNAVAILABLE);
             tokio::spawn(Arc::clone(self).run_recheck(server.clone(), delay));
         }
     }
@@ -57,7 +57,7 @@
             let Some(listed) = view.servers.get(&server) else { break };
             if self.pool.probe(listed.address).await {
                 log::info!(server = server.as_str(), away_ms = since.elapsed().as_millis() as u64;
-                    "{}", events::SERVER_BACK);
+                    "{}", events::SERVER_RECOVERED);
                 self.dispatcher.notify(view.health_input(listed));
                 break;
             }
--- a/src/reverse_proxy/relay.rs
+++ b/src/reverse_proxy/relay.rs
@@ -190,7 +190,7 @@
             total_ms = self.exchange.waited_ms(),
             expected_hit = self.order.expected_hit,
             relayed_events = self.position.events;
-            "{}", events::STREAM_WHOLE
+            "{}", events::STREAM_COMPLETED
         );
     }
 
--- a/src/reverse_proxy/request.rs
+++ b/src/reverse_proxy/request.rs
@@ -67,7 +67,7 @@
         return Err(ProxyRefusal::new(StatusCode::BAD_REQUEST, refusal::BAD_REQUEST));
     }
     let mut caller = core.dialect.read_request(&head, index)?;
-    let service = caller.route.service(core.next_split_value()).cloned();
+    let service = caller.route.select_service(core.next_split_value()).cloned();
     let Some(service) = service else {
         return Err(ProxyRefusal::new(StatusCode::NOT_FOUND, refusal::NOT_FOUND));
     };
--- a/src/reverse_proxy/store_monitor.rs
+++ b/src/reverse_proxy/store_monitor.rs
@@ -73,8 +73,8 @@
     *reachable = now;
     core.set_store_reachable(now);
     match now {
-        true => log::info!(address:% = address; "{}", events::KEEP_BACK),
-        false => log::warn!(address:% = address; "{}", events::KEEP_LOST),
+        true => log::info!(address:% = address; "{}", events::CACHE_STORE_RECOVERED),
+        false => log::warn!(address:% = address; "{}", events::CACHE_STORE_UNAVAILABLE),
     }
 }
 
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -27,7 +27,7 @@
     /// Idempotent: may run again after any failure.
     Repeatable,
     /// At most one run.
-    Once,
+    NonRepeatable,
     /// A stream of events.
     Stream {
         /// Whether another server can go on after a given event. Only then it may run again.
@@ -40,7 +40,7 @@
     pub fn is_repeatable(self) -> bool {
         match self {
             RouteKind::Repeatable | RouteKind::Stream { resumable: true } => true,
-            RouteKind::Once | RouteKind::Stream { resumable: false } => false,
+            RouteKind::NonRepeatable | RouteKind::Stream { resumable: false } => false,
         }
     }
 
@@ -144,7 +144,7 @@
 
 /// An organisation that may send requests.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct OrganisationTerms {
+pub struct OrganisationAccess {
     /// Its keys; no other organisation has any of them.
     pub keys: BTreeSet<String>,
     /// Goes before the route's class where set.
@@ -165,5 +165,5 @@
     /// What callers may send.
     pub limits: CallerLimits,
     /// Who may send; empty means that no key is asked for.
-    pub organisations: BTreeMap<OrganisationId, OrganisationTerms>,
+    pub organisations: BTreeMap<OrganisationId, OrganisationAccess>,
 }
--- a/src/routing/fault.rs
+++ b/src/routing/fault.rs
@@ -16,7 +16,7 @@
         reason: String,
     },
     /// the number of the table is 0, which stands for none; number tables from 1
-    NoNumber,
+    MissingNumber,
     /// route {route} names the unknown service {service}; list the service or correct the route
     UnknownService {
         /// The route.
@@ -25,24 +25,24 @@
         service: ServiceId,
     },
     /// routes {first} and {second} have the same host and path prefix; remove one
-    SamePlace {
+    DuplicateRoute {
         /// The route that came first.
         first: String,
         /// The other one.
         second: String,
     },
     /// the weights of route {route} add up to 0; give at least one service a positive weight
-    NoWeight {
+    ZeroWeight {
         /// The route.
         route: String,
     },
     /// the timeout of route {route} is 0; give the longest time that a caller may be kept waiting
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: String,
     },
     /// the path prefix {prefix} of route {route} does not begin and end with a slash; correct it
-    BadPrefix {
+    InvalidPrefix {
         /// The route.
         route: String,
         /// The prefix.
@@ -66,10 +66,10 @@
     /// The first fault found; nothing of a faulty table may come into force.
     pub fn check(&self) -> Result<(), RouteFault> {
         if self.number == 0 {
-            return Err(RouteFault::NoNumber);
+            return Err(RouteFault::MissingNumber);
         }
         self.routes.iter().try_for_each(|route| self.check_route(route))?;
-        self.check_places()?;
+        self.check_paths()?;
         self.check_keys()
     }
 
@@ -83,25 +83,25 @@
             return Err(RouteFault::UnknownService { route: name(), service });
         }
         if route.services.iter().all(|(_, weight)| *weight == 0) {
-            return Err(RouteFault::NoWeight { route: name() });
+            return Err(RouteFault::ZeroWeight { route: name() });
         }
         if route.timeout.is_zero() {
-            return Err(RouteFault::NoTimeout { route: name() });
+            return Err(RouteFault::ZeroTimeout { route: name() });
         }
         if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
             let prefix = route.path_prefix.clone();
-            return Err(RouteFault::BadPrefix { route: name(), prefix });
+            return Err(RouteFault::InvalidPrefix { route: name(), prefix });
         }
         Ok(())
     }
 
-    fn check_places(&self) -> Result<(), RouteFault> {
-        let mut places = BTreeMap::new();
+    fn check_paths(&self) -> Result<(), RouteFault> {
+        let mut paths = BTreeMap::new();
         for route in &self.routes {
-            let place = (route.host.as_str(), route.path_prefix.as_str());
-            if let Some(first) = places.insert(place, &route.name) {
+            let path = (route.host.as_str(), route.path_prefix.as_str());
+            if let Some(first) = paths.insert(path, &route.name) {
                 let (first, second) = (first.clone(), route.name.clone());
-                return Err(RouteFault::SamePlace { first, second });
+                return Err(RouteFault::DuplicateRoute { first, second });
             }
         }
         Ok(())
--- a/src/routing/index.rs
+++ b/src/routing/index.rs
@@ -1,7 +1,7 @@
 //! Look-ups in a route table, made once for each table.
 
 use {
-    super::{OrganisationTerms, RouteRule, RouteTable},
+    super::{OrganisationAccess, RouteRule, RouteTable},
     crate::ids::{OrganisationId, ServiceId},
     std::{collections::BTreeMap, sync::Arc},
 };
@@ -42,20 +42,20 @@
     }
 
     /// The organisation that holds a key.
-    pub fn organisation(&self, key: &str) -> Option<(&OrganisationId, &OrganisationTerms)> {
+    pub fn organisation(&self, key: &str) -> Option<(&OrganisationId, &OrganisationAccess)> {
         let organisation = self.keys.get(key)?;
         Some((organisation, self.table.organisations.get(organisation)?))
     }
 
     /// Whether callers need keys at all.
-    pub fn asks_for_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.table.organisations.is_empty()
     }
 }
 
 impl RouteRule {
     /// The service for a request, with `chance` in 0 to 1 choosing among the weights.
-    pub fn service(&self, chance: f64) -> Option<&ServiceId> {
+    pub fn select_service(&self, chance: f64) -> Option<&ServiceId> {
         let total: u64 = self.services.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut left = (chance * total as f64) as u64;
         let weighted = self.services.iter().filter(|(_, weight)| *weight > 0);
--- a/tests/fakes/fake_operator.rs
+++ b/tests/fakes/fake_operator.rs
@@ -25,11 +25,11 @@
 
 /// What becomes of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FakeFate {
+pub enum ProposalOutcome {
     /// It is committed and its answer arrives.
     Answered,
     /// It is committed and its answer is lost.
-    AnswerLost,
+    ResponseLost,
     /// No quorum can be reached.
     NoQuorum,
 }
@@ -83,19 +83,19 @@
 
 struct FakeControl {
     log: Arc<FakeLog>,
-    fate: FakeFate,
+    outcome: ProposalOutcome,
 }
 
 impl ControlPort for FakeControl {
     fn propose(&self, command: Command) -> BoxFuture<'_, Result<CommandOutcome, ProposeError>> {
         Box::pin(async move {
-            match self.fate {
-                FakeFate::Answered => Ok(self.log.commit(command)),
-                FakeFate::AnswerLost => {
+            match self.outcome {
+                ProposalOutcome::Answered => Ok(self.log.commit(command)),
+                ProposalOutcome::ResponseLost => {
                     self.log.commit(command);
                     Err(ProposeError::OutcomeUnknown)
                 }
-                FakeFate::NoQuorum => Err(ProposeError::NoQuorum),
+                ProposalOutcome::NoQuorum => Err(ProposeError::NoQuorum),
             }
         })
     }
@@ -167,12 +167,16 @@
 }
 
 /// Serves one daemon's operators' interface until the test's runtime ends; gives its URL.
-pub async fn serve_operator(log: &Arc<FakeLog>, fate: FakeFate, state: LifeState) -> String {
+pub async fn serve_operator(
+    log: &Arc<FakeLog>,
+    outcome: ProposalOutcome,
+    state: LifeState,
+) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
     let config = log.config.subscribe();
     let operator = OperatorState {
-        control: Arc::new(FakeControl { log: Arc::clone(log), fate }),
+        control: Arc::new(FakeControl { log: Arc::clone(log), outcome }),
         config: config.clone(),
         source: Arc::new(FakeSource { state, config }),
         metrics: metrics::install().expect("the only recorder"),
--- a/tests/log_budget.rs
+++ b/tests/log_budget.rs
@@ -39,7 +39,7 @@
         failures_per_second: f64::INFINITY,
         bytes_per_second: f64::INFINITY,
     };
-    let (log, drain) = BoundedLog::new(LevelFilter::Info, budget);
+    let (log, writer) = BoundedLog::new(LevelFilter::Info, budget);
     for number in 0..50_000 {
         record(&log, Level::Info, &format!("routine {number}"));
     }
@@ -51,7 +51,7 @@
     }
     drop(log);
     let sink = Sink::default();
-    drain.run(sink.clone());
+    writer.run(sink.clone());
     let bytes = sink.0.lock().expect("no writer panics").clone();
     let text = String::from_utf8(bytes).expect("records are text");
     assert!((0..20).all(|number| text.contains(&format!("\"failed {number}\""))), "{text}");
@@ -72,9 +72,9 @@
             Ok(())
         }
     }
-    let (log, drain) = BoundedLog::new(LevelFilter::Info, LogBudget::default());
+    let (log, writer) = BoundedLog::new(LevelFilter::Info, LogBudget::default());
     record(&log, Level::Warn, "one");
-    drain.run(Gone);
+    writer.run(Gone);
     (0..5_000).for_each(|_| record(&log, Level::Warn, "more"));
 }
 
@@ -84,12 +84,12 @@
 #[test]
 fn budgets_bound_all_records() {
     let kept = |budget: LogBudget, level: Level, text: &str| {
-        let (log, drain) = BoundedLog::new(LevelFilter::Info, budget);
+        let (log, writer) = BoundedLog::new(LevelFilter::Info, budget);
         (0..1_000).for_each(|_| record(&log, level, text));
         record(&log, Level::Error, "the last failure");
         drop(log);
         let sink = Sink::default();
-        drain.run(sink.clone());
+        writer.run(sink.clone());
         let bytes = sink.0.lock().expect("no writer panics").clone();
         let text = String::from_utf8(bytes).expect("records are text");
         (text.lines().filter(|line| line.contains("test")).count(), text.len(), text)
--- a/tests/operator_client.rs
+++ b/tests/operator_client.rs
@@ -4,7 +4,7 @@
 mod fake_operator;
 
 use {
-    fake_operator::{FakeFate, FakeLog, serve_operator},
+    fake_operator::{FakeLog, ProposalOutcome, serve_operator},
     oleandermount::{gateway::operator::wire::LifeState, inventory::validate::digest},
     serde_json::Value as JsonValue,
     std::{
@@ -53,7 +53,7 @@
 #[tokio::test]
 async fn register_and_rules_of_one_file_are_applied() {
     let log = FakeLog::new();
-    let url = serve_operator(&log, FakeFate::Answered, LifeState::Serving).await;
+    let url = serve_operator(&log, ProposalOutcome::Answered, LifeState::Serving).await;
     let file = "samples/tuul.toml";
     let first = run(&[&url], &format!("inventory apply {file} --expect-revision 0 --json")).await;
     assert_eq!((first.code, &first.json()["revision"]), (0, &JsonValue::from(1)), "{}", first.err);
@@ -69,7 +69,7 @@
 #[tokio::test]
 async fn the_second_operator_gets_the_winners_digest() {
     let log = FakeLog::new();
-    let url = serve_operator(&log, FakeFate::Answered, LifeState::Serving).await;
+    let url = serve_operator(&log, ProposalOutcome::Answered, LifeState::Serving).await;
     run(&[&url], "inventory apply samples/tuul.toml --expect-revision 0").await;
     let loser = run(&[&url], "inventory apply samples/abay.toml --expect-revision 0 --json").await;
     assert_eq!(loser.code, 1);
@@ -85,8 +85,8 @@
 #[tokio::test]
 async fn a_lost_answer_is_found_again_by_its_operation_id() {
     let log = FakeLog::new();
-    let lossy = serve_operator(&log, FakeFate::AnswerLost, LifeState::Serving).await;
-    let good = serve_operator(&log, FakeFate::Answered, LifeState::Serving).await;
+    let lossy = serve_operator(&log, ProposalOutcome::ResponseLost, LifeState::Serving).await;
+    let good = serve_operator(&log, ProposalOutcome::Answered, LifeState::Serving).await;
     let register = "inventory apply samples/tuul.toml --expect-revision 0 --json";
     let both = run(&[&lossy, &good], register).await;
     assert_eq!((both.code, &both.json()["revision"]), (0, &JsonValue::from(1)));
@@ -113,8 +113,8 @@
 #[tokio::test]
 async fn no_quorum_promises_only_what_is_true() {
     let log = FakeLog::new();
-    let lossy = serve_operator(&log, FakeFate::AnswerLost, LifeState::Serving).await;
-    let alone = serve_operator(&log, FakeFate::NoQuorum, LifeState::Serving).await;
+    let lossy = serve_operator(&log, ProposalOutcome::ResponseLost, LifeState::Serving).await;
+    let alone = serve_operator(&log, ProposalOutcome::NoQuorum, LifeState::Serving).await;
     let apply = "inventory apply samples/tuul.toml --expect-revision 0 --json";
     let refused = run(&[&alone], apply).await;
     assert_eq!((refused.code, log.config().revision), (1, 0));
@@ -125,7 +125,7 @@
 #[tokio::test]
 async fn rules_that_do_not_fit_are_refused_with_lines() {
     let log = FakeLog::new();
-    let url = serve_operator(&log, FakeFate::Answered, LifeState::Serving).await;
+    let url = serve_operator(&log, ProposalOutcome::Answered, LifeState::Serving).await;
     run(&[&url], "inventory apply samples/tuul.toml --expect-revision 0").await;
     let faulty = run(&[&url], "rules apply samples/abay.toml --expect-revision 1").await;
     assert!(faulty.code == 1 && faulty.err.contains("line "), "{}", faulty.err);
@@ -142,7 +142,7 @@
 #[tokio::test]
 async fn each_failure_has_its_exit_code() {
     let log = FakeLog::new();
-    let url = serve_operator(&log, FakeFate::Answered, LifeState::Draining).await;
+    let url = serve_operator(&log, ProposalOutcome::Answered, LifeState::Draining).await;
     let closed = "http://127.0.0.1:1".to_owned();
     let cases = [
         (&url, 0, "check samples/abay.toml", "no faults"),
@@ -176,7 +176,7 @@
 #[tokio::test]
 async fn readiness_and_bad_bodies() {
     let log = FakeLog::new();
-    let url = serve_operator(&log, FakeFate::Answered, LifeState::Draining).await;
+    let url = serve_operator(&log, ProposalOutcome::Answered, LifeState::Draining).await;
     let ask = |path: &str| format!("GET {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
     assert!(raw(&url, ask("/readyz")).await.starts_with("HTTP/1.1 503"));
     assert!(raw(&url, ask("/healthz")).await.starts_with("HTTP/1.1 200"));
--- a/tests/settings_errors.rs
+++ b/tests/settings_errors.rs
@@ -16,7 +16,7 @@
 
 fn faults(line: &str) -> Vec<OptionFault> {
     match parse(line) {
-        Err(OptionsError::Wrong(faults)) => faults,
+        Err(OptionsError::Invalid(faults)) => faults,
         other => panic!("expected faults for {line}, got {other:?}"),
     }
 }
@@ -30,7 +30,7 @@
     assert_eq!(options.identity.role, DaemonRole::Entry);
     assert_eq!(options.network.listen.to_string(), "127.0.0.1:8080");
     assert!(options.keys.is_some() && options.group.data_dir.is_none());
-    assert!(options.life.grace >= Duration::from_secs(60));
+    assert!(options.runtime.grace >= Duration::from_secs(60));
 }
 
 /// A unit file sets variables; the start stops with 2 and names the flag, the value and the remedy.
