--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -1,4 +1,4 @@
-//! What operators load: the asset register and the rules.
+//! Configuration that operators load: the asset register and the rules.
 
 pub mod register;
 pub mod rules;
@@ -17,13 +17,13 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The configuration that is in force: one register and one rule set under one revision.
+/// The active configuration: one register and one rule set under one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ActiveConfig {
-    /// Grows by one with each accepted change of either part; zero means nothing was ever loaded.
+    /// Incremented by each accepted change of either part; 0 until the first one.
     pub revision: Revision,
-    /// The asset register.
+    /// Asset register; empty until one is loaded.
     pub register: AssetRegister,
-    /// The rules.
+    /// Rule set; has its default values until one is loaded.
     pub rules: RuleSet,
 }
--- a/src/inventory/register.rs
+++ b/src/inventory/register.rs
@@ -1,4 +1,4 @@
-//! The asset register: VMs, backend servers, models, failure domains and organisations.
+//! Asset register: VMs, backend servers, models, failure domains and organisations.
 
 use {
     crate::ids::{
@@ -9,52 +9,52 @@
     std::net::SocketAddr,
 };
 
-/// The whole register, as an operator loads it from TOML or JSON.
+/// The complete register, as an operator loads it from TOML or JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AssetRegister {
-    /// Failure domains; ids are unique.
+    /// Failure domains with unique ids; at least one.
     #[serde(default)]
     pub failure_domains: Vec<DomainRecord>,
-    /// VMs of the system itself; ids are unique.
+    /// VMs of the system itself, with unique ids.
     #[serde(default)]
     pub vms: Vec<VmRecord>,
-    /// Models; ids are unique.
+    /// Models with unique ids.
     #[serde(default)]
     pub models: Vec<ModelRecord>,
-    /// Plain services; ids are unique.
+    /// Plain services with unique ids.
     #[serde(default)]
     pub services: Vec<ServiceRecord>,
-    /// Backend servers; ids are unique.
+    /// Backend servers with unique ids.
     #[serde(default)]
     pub servers: Vec<ServerRecord>,
-    /// Organisations; ids and key digests are unique.
+    /// Organisations with unique ids and key digests.
     #[serde(default)]
     pub organisations: Vec<OrganisationRecord>,
 }
 
-/// A failure domain.
+/// Register entry of a failure domain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DomainRecord {
-    /// Its name.
+    /// Name of the failure domain.
     pub id: FailureDomainId,
-    /// The region it stands in; empty means the only one.
+    /// Region of the failure domain; empty in a system with a single region.
     #[serde(default)]
     pub region: String,
 }
 
-/// A VM that runs a daemon of the system.
+/// Register entry of a VM that runs a daemon of the system.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmRecord {
-    /// Its name.
+    /// Name of the VM.
     pub id: VmId,
-    /// The failure domain it stands in; must be listed in `failure_domains`.
+    /// Failure domain of the VM; must be listed in `failure_domains`.
     pub failure_domain: FailureDomainId,
-    /// Where other daemons reach it over QUIC.
+    /// QUIC address of the daemon for other daemons.
     pub peer_address: SocketAddr,
-    /// Its size relative to the others; 1.0 is usual. Positive.
+    /// Size relative to other VMs, 1.0 by default; positive.
     #[serde(default = "default_capacity")]
     pub capacity: f64,
 }
@@ -63,28 +63,28 @@
     1.0
 }
 
-/// A model and the weights it should run with.
+/// Register entry of a model with its desired weights.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelRecord {
-    /// The name that callers use.
+    /// Name of the model in callers' requests.
     pub id: ModelId,
-    /// The desired version of the weights.
+    /// Desired version of the weights; must not be empty.
     pub weights: WeightsVersion,
     /// Adapters that callers may name as `model:adapter`.
     #[serde(default)]
     pub adapters: Vec<AdapterId>,
 }
 
-/// A plain service beside the engines.
+/// Register entry of a plain service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRecord {
-    /// The name that stands in callers' paths.
+    /// Name of the service in the paths of callers' requests.
     pub id: ServiceId,
 }
 
-/// What a backend server does.
+/// Type of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerKind {
@@ -92,32 +92,32 @@
     Engine,
     /// Runs a plain service.
     Service,
-    /// Keeps KV cache for engines.
+    /// Stores KV cache for engines.
     PromptKeep,
 }
 
-/// A backend server.
+/// Register entry of a backend server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerRecord {
-    /// Its name.
+    /// Name of the server.
     pub id: ServerId,
-    /// The failure domain it stands in; must be listed in `failure_domains`.
+    /// Failure domain of the server; must be listed in `failure_domains`.
     pub failure_domain: FailureDomainId,
-    /// Where it answers HTTP.
+    /// HTTP address of the server.
     pub address: SocketAddr,
-    /// What it does.
+    /// Type of the server.
     pub kind: ServerKind,
-    /// Models it may run; empty unless it is an engine.
+    /// Models that the server may run; empty unless it is an engine.
     #[serde(default)]
     pub models: Vec<ModelId>,
-    /// The service it offers; present exactly when it is a service.
+    /// Service that the server offers; present exactly when `kind` is `Service`.
     #[serde(default)]
     pub service: Option<ServiceId>,
-    /// Requests it runs at once without queueing inside; at least 1.
+    /// Requests that the server runs concurrently without queueing them internally; at least 1.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether it refuses orders with a lower fencing number than it has seen.
+    /// Whether the server rejects orders with a lower fencing number than the highest it received.
     #[serde(default)]
     pub checks_fencing: bool,
 }
@@ -126,13 +126,13 @@
     8
 }
 
-/// An organisation whose callers send requests.
+/// Register entry of an organisation whose callers send requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationRecord {
-    /// Its name.
+    /// Name of the organisation.
     pub id: OrganisationId,
-    /// SHA-256 of each valid key, in lower-case hexadecimal.
+    /// SHA-256 digest of each valid API key, in lower-case hexadecimal digits.
     #[serde(default)]
     pub key_digests: Vec<DigestHex>,
 }
--- a/src/inventory/rules.rs
+++ b/src/inventory/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that operators set beside the register.
+//! Rules: scheduling, quotas and permissions that operators load in addition to the register.
 
 use {
     crate::ids::{ModelId, OrganisationId, ServiceId},
@@ -6,23 +6,24 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// The whole rule set, as an operator loads it from TOML or JSON.
+/// The complete rule set, as an operator loads it from TOML or JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RuleSet {
-    /// What placement optimises.
+    /// Objective of server selection.
     pub objective: DecisionObjective,
-    /// The class of a request that names none.
+    /// Class of requests that specify none.
     pub default_class: RequestClass,
-    /// The time a caller has when it gives no deadline, in milliseconds by class.
+    /// Default deadline of requests that specify none, in milliseconds by class.
     pub deadlines_ms: BTreeMap<RequestClass, u64>,
-    /// Weight loads that may run at the same time; at least 1.
+    /// Maximum number of concurrent weight loads; at least 1.
     pub weight_loads: u32,
-    /// Hours for which a finished non-repeatable call answers its resends; at least 1.
+    /// Hours for which the result of a finished non-repeatable call is returned to resends; at least
+    /// 1.
     pub retention_hours: u32,
-    /// Rules of single organisations. An organisation without one may use nothing.
+    /// Permissions and weights of organisations. An organisation without a rule has no permissions.
     pub organisations: Vec<OrganisationRule>,
-    /// Rules of single calls to plain services; the longest matching path wins.
+    /// Rules of calls to plain services; the rule with the longest matching path applies.
     pub calls: Vec<CallRule>,
 }
 
@@ -46,44 +47,45 @@
 }
 
 impl RuleSet {
-    /// The time a caller of `class` has when it gives no deadline.
+    /// The deadline of a request of `class` that specifies none, relative to its arrival; 60 s if
+    /// the rules have no entry for the class.
     pub fn default_deadline(&self, class: RequestClass) -> Duration {
         Duration::from_millis(self.deadlines_ms.get(&class).copied().unwrap_or(60_000))
     }
 }
 
-/// What placement optimises.
+/// Optimisation objective of server selection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DecisionObjective {
-    /// The time to the first token, at the tail above all.
+    /// Minimises the tail latency of the first token.
     #[default]
     FirstToken,
-    /// Reuse of cached prompt prefixes.
+    /// Maximises reuse of cached prompt prefixes.
     Reuse,
 }
 
-/// How urgent a request is; lower sorts first and is served first.
+/// Priority class of a request; a lower value is served first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum RequestClass {
-    /// A person waits for each word.
+    /// A user reads the response as it is generated.
     #[default]
     Interactive,
-    /// A person waits for the whole.
+    /// A user waits for the complete response.
     Standard,
-    /// Nobody waits; shed first.
+    /// No user waits for the response; shed first under overload.
     Batch,
 }
 
 impl RequestClass {
-    /// All classes, most urgent first.
+    /// All classes, in order of decreasing priority.
     pub const ALL: [RequestClass; 3] =
         [RequestClass::Interactive, RequestClass::Standard, RequestClass::Batch];
 
-    /// The name used in headers, rules and metrics.
+    /// Name of the class in headers, rules and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RequestClass::Interactive => "interactive",
@@ -93,22 +95,22 @@
     }
 }
 
-/// What one organisation may do.
+/// Permissions and scheduling weight of an organisation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationRule {
-    /// The organisation; must be listed in the register.
+    /// Name of the organisation; must be listed in the register.
     pub organisation: OrganisationId,
-    /// Models it may use; `*` allows all.
+    /// Models that it may use; `*` allows all.
     #[serde(default)]
     pub models: Vec<ModelId>,
-    /// Services it may call; `*` allows all.
+    /// Services that it may call; `*` allows all.
     #[serde(default)]
     pub services: Vec<ServiceId>,
-    /// Its share under contention relative to the others; positive.
+    /// Share of capacity under contention, relative to other organisations; positive.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// The class of its requests that name none.
+    /// Class of its requests that specify none; if absent, `default_class` of the rule set applies.
     #[serde(default)]
     pub class: Option<RequestClass>,
 }
@@ -129,16 +131,16 @@
     }
 }
 
-/// Which calls to a plain service may be repeated.
+/// Whether certain calls to a plain service may be repeated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallRule {
-    /// The service; must be listed in the register.
+    /// Name of the service; must be listed in the register.
     pub service: ServiceId,
-    /// The HTTP method in capitals; `*` matches all.
+    /// HTTP method in capitals; `*` matches all.
     pub method: String,
-    /// The start of the path within the service.
+    /// Path prefix within the service.
     pub path: String,
-    /// Whether the call may run more than once. Calls without a rule: GET and HEAD may, others not.
+    /// Whether the call may run more than once. Without a rule, only GET and HEAD are repeatable.
     pub repeatable: bool,
 }
--- a/src/inventory/validate.rs
+++ b/src/inventory/validate.rs
@@ -1,7 +1,7 @@
-//! Finds every fault of a register or a rule set in one pass, each with line, key and remedy.
+//! Validates registers and rule sets. One pass reports all faults, each with line, key and remedy.
 //!
-//! A file holds a register, a rule set, or both under `register` and `rules`; it is TOML, or JSON
-//! when it starts with a brace.
+//! A file contains a register, a rule set, or both under the keys `register` and `rules`. It is
+//! parsed as JSON if it starts with a brace, and as TOML otherwise.
 
 pub mod document;
 pub mod fault;
@@ -21,10 +21,10 @@
     sha2::{Digest, Sha256},
 };
 
-/// Reads a register and checks all of it.
+/// Parses and validates a register.
 ///
 /// # Errors
-/// Every fault that was found, in the order of the file.
+/// All faults, ordered by line.
 pub fn check_register(text: &str) -> Result<AssetRegister, Vec<InventoryFault>> {
     let document = SourceDocument::parse(text)?;
     let mut faults = FaultList::default();
@@ -34,18 +34,18 @@
     document.resolve_faults(part, faults).map(|()| register.into_register())
 }
 
-/// Reads a rule set and checks all of it against `register`.
+/// Parses a rule set and validates it against `register`.
 ///
 /// # Errors
-/// Every fault that was found, in the order of the file.
+/// All faults, ordered by line.
 pub fn check_rules(text: &str, register: &AssetRegister) -> Result<RuleSet, Vec<InventoryFault>> {
     check_rules_with(text, &KnownIds::from_register(register))
 }
 
-/// Reads a rule set without holding it against a register.
+/// Parses a rule set without validating it against a register.
 ///
 /// # Errors
-/// Faults of form.
+/// Faults of syntax and of value types.
 pub fn read_rules_unchecked(text: &str) -> Result<RuleSet, Vec<InventoryFault>> {
     let document = SourceDocument::parse(text)?;
     let mut faults = FaultList::default();
@@ -54,20 +54,20 @@
     document.resolve_faults(part, faults).map(|()| rules.into_rules())
 }
 
-/// The faults of a register and of the rules beside it.
+/// Faults of a register and of its rule set.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PairFaults {
-    /// Faults of the register.
+    /// Faults of the register; empty if it is valid.
     pub register: Vec<InventoryFault>,
-    /// Faults of the rules.
+    /// Faults of the rules; empty if they are valid or absent.
     pub rules: Vec<InventoryFault>,
 }
 
-/// Checks a register and, if there are any, the rules of the same text or of a text of their own.
-/// Rules are checked against a faulty register too, so that one run shows everything.
+/// Validates a register and the rules, if any, of the same text or of a separate one. Rules are
+/// validated against an invalid register as well, so that one run reports all faults.
 ///
 /// # Errors
-/// Every fault of both.
+/// All faults of the register and the rules.
 pub fn check_files(
     text: &str,
     rules_text: Option<&str>,
@@ -102,12 +102,12 @@
     document.resolve_faults(part, faults).map(|()| rules.into_rules())
 }
 
-/// The one JSON form of a checked register or rule set: equal parts have equal text.
+/// Canonical JSON of a valid register or rule set: equal values have equal text.
 pub fn canonical_json(part: &impl Serialize) -> String {
     serde_json::to_string(part).expect("registers and rules have string keys only")
 }
 
-/// SHA-256 of `text`, as conflicts name a winner and the register names keys.
+/// SHA-256 of `text`; identifies configurations in conflicts and API keys in the register.
 pub fn digest(text: &str) -> DigestHex {
     hex::encode(Sha256::digest(text.as_bytes()))
 }
--- a/src/inventory/validate/document.rs
+++ b/src/inventory/validate/document.rs
@@ -1,4 +1,4 @@
-//! A register or rules file as generic values, with the line of each.
+//! Register and rules files as generic values, with the line of each value.
 
 use {
     super::fault::{FaultKind, FaultList, InventoryFault, KeyPath, PathStep},
@@ -7,17 +7,17 @@
     toml::de::{DeTable, DeValue},
 };
 
-/// The part of a file that a reader wants.
+/// The part of a file that is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FilePart {
-    /// The asset register.
+    /// Asset register.
     Register,
-    /// The rule set.
+    /// Rule set.
     Rules,
 }
 
 impl FilePart {
-    /// Its key in a file that holds both.
+    /// Key of the part in a file that contains both.
     pub fn as_str(self) -> &'static str {
         match self {
             FilePart::Register => "register",
@@ -26,14 +26,14 @@
     }
 }
 
-/// A part of a document.
+/// One part of a document.
 #[derive(Clone, Debug)]
 pub struct DocumentPart {
-    /// Where the part stands in the file.
+    /// Path of the part in the file.
     base: KeyPath,
-    /// Its value.
+    /// Value of the part; an empty object if the file does not contain the part.
     pub value: JsonValue,
-    /// Faults outside the part, with paths from the root of the file.
+    /// Faults outside of the part, with paths relative to the root of the file.
     outside_faults: Vec<(KeyPath, FaultKind)>,
 }
 
@@ -43,7 +43,7 @@
     Json,
 }
 
-/// A file that was read.
+/// A parsed file.
 #[derive(Clone, Debug)]
 pub struct SourceDocument<'t> {
     text: &'t str,
@@ -52,10 +52,11 @@
 }
 
 impl<'t> SourceDocument<'t> {
-    /// Reads `text` as JSON if it starts with a brace, which TOML cannot, and as TOML otherwise.
+    /// Parses `text` as JSON if it starts with a brace, which no TOML text does, and as TOML
+    /// otherwise.
     ///
     /// # Errors
-    /// All faults of syntax that the parser can tell.
+    /// All syntax faults that the parser reports.
     pub fn parse(text: &'t str) -> Result<Self, Vec<InventoryFault>> {
         if text.trim_start().starts_with('{') {
             let value = serde_json::from_str(text)
@@ -70,14 +71,14 @@
         Ok(SourceDocument { text, format: DocumentFormat::Toml, value })
     }
 
-    /// Whether the file holds a register and a rule set, each under its own key.
+    /// Whether the file has a register or a rule set under its own key.
     pub fn is_combined(&self) -> bool {
         [FilePart::Register, FilePart::Rules]
             .iter()
             .any(|part| self.value.get(part.as_str()).is_some_and(JsonValue::is_object))
     }
 
-    /// The wanted part; a file without `register` and `rules` is the part itself.
+    /// Returns the `wanted` part. A file without the keys `register` and `rules` is the part itself.
     pub fn part(&self, wanted: FilePart) -> DocumentPart {
         if !self.is_combined() {
             let value = self.value.clone();
@@ -96,7 +97,7 @@
 
     fn unknown_keys(&self) -> Vec<(KeyPath, FaultKind)> {
         let parts = [FilePart::Register, FilePart::Rules].map(FilePart::as_str);
-        let detail = "beside register and rules a file holds nothing";
+        let detail = "a file with register and rules must not have other keys";
         self.value
             .as_object()
             .into_iter()
@@ -106,10 +107,10 @@
             .collect()
     }
 
-    /// Turns paths into lines.
+    /// Resolves the paths of `faults` to lines.
     ///
     /// # Errors
-    /// The faults, in the order of the file, if there are any.
+    /// The faults ordered by line, if there are any.
     pub fn resolve_faults(
         &self,
         part: DocumentPart,
@@ -127,7 +128,7 @@
         if found.is_empty() { Ok(()) } else { Err(found) }
     }
 
-    /// The line of the value at `path`, or of the nearest value around it.
+    /// Line of the value at `path`, or of its innermost ancestor that exists.
     fn line_of(&self, path: &KeyPath) -> usize {
         let offset = match self.format {
             DocumentFormat::Toml => toml_offset(self.text, path),
@@ -174,7 +175,7 @@
     offset
 }
 
-/// Raw values borrow from the text, so a value's place is the distance of their addresses.
+/// Raw values borrow from the text, so the offset of a value is the difference of the addresses.
 fn json_offset(text: &str, path: &KeyPath) -> usize {
     let Ok(mut raw) = serde_json::from_str::<&RawValue>(text) else { return 0 };
     for step in &path.0 {
--- a/src/inventory/validate/fault.rs
+++ b/src/inventory/validate/fault.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a register or a rule set.
+//! Faults of a register or a rule set.
 
 use {
     displaydoc::Display,
@@ -6,36 +6,36 @@
     std::{error::Error, fmt},
 };
 
-/// One step from a part of a file to a value in it.
+/// One step of a [`KeyPath`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PathStep {
-    /// Into the value of a key.
+    /// Key of a table.
     Key(String),
-    /// Into an item of a list, from 0.
+    /// Index into a list, from 0.
     Index(usize),
 }
 
-/// The way from the root of a file to a value.
+/// Path from the root of a file or part to a value.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyPath(pub Vec<PathStep>);
 
 impl KeyPath {
-    /// The path of a key of the root.
+    /// Path of a key of the root.
     pub fn root(key: &str) -> Self {
         KeyPath::default().key(key)
     }
 
-    /// The path of a key below this one.
+    /// Path of a key below this path.
     pub fn key(&self, key: &str) -> Self {
         self.step(PathStep::Key(key.to_owned()))
     }
 
-    /// The path of an item below this one.
+    /// Path of a list item below this path.
     pub fn item(&self, index: usize) -> Self {
         self.step(PathStep::Index(index))
     }
 
-    /// The path of `inner` when its root is at this path.
+    /// Appends `inner` to this path.
     pub fn join(&self, inner: &KeyPath) -> Self {
         KeyPath(self.0.iter().chain(&inner.0).cloned().collect())
     }
@@ -58,123 +58,123 @@
     }
 }
 
-/// What is wrong; each message names the remedy.
+/// Type of a fault; each message names the remedy.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum FaultKind {
-    /// the file cannot be read as {format}: {detail}; correct the syntax here
+    /// the file cannot be parsed as {format}: {detail}; correct the syntax here
     Syntax {
-        /// TOML or JSON.
+        /// Expected format, TOML or JSON.
         format: String,
-        /// What the parser found.
+        /// Message of the parser.
         detail: String,
     },
     /// the file has no {part}; add the part or give another file
     MissingPart {
-        /// `register` or `rules`.
+        /// Missing key, `register` or `rules`.
         part: String,
     },
-    /// the value does not fit: {detail}; correct it here
+    /// the value is invalid: {detail}; correct it here
     InvalidValue {
-        /// What the reader found.
+        /// Message of the deserializer.
         detail: String,
     },
     /// "{id}" is no valid name; use 1 to 63 letters, digits, dots, dashes or underscores
     InvalidName {
-        /// The name.
+        /// Name as given in the file.
         id: String,
     },
     /// "{id}" is listed twice; keep one record or give each its own id
     DuplicateId {
-        /// The id.
+        /// Repeated id.
         id: String,
     },
     /// no failure domain is listed; add at least one to failure_domains
     MissingDomain,
     /// failure domain "{id}" is not listed; add it to failure_domains or correct the name
     UnknownDomain {
-        /// The domain.
+        /// Name of the failure domain.
         id: String,
     },
     /// model "{id}" is not listed; add it to models or correct the name
     UnknownModel {
-        /// The model.
+        /// Name of the model.
         id: String,
     },
     /// service "{id}" is not listed; add it to services or correct the name
     UnknownService {
-        /// The service.
+        /// Name of the service.
         id: String,
     },
     /// organisation "{id}" is not in the register; load it there first or correct the name
     UnknownOrganisation {
-        /// The organisation.
+        /// Name of the organisation.
         id: String,
     },
     /// address {address} is used twice; give each its own address and port
     DuplicateAddress {
-        /// The address.
+        /// Repeated address.
         address: String,
     },
     /// address {address} has no port; give the port it answers on
     MissingPort {
-        /// The address.
+        /// Address with port 0.
         address: String,
     },
     /// model "{id}" has no engine; name it in the models of an engine or remove it
     ModelWithoutServer {
-        /// The model.
+        /// Name of the model.
         id: String,
     },
     /// service "{id}" has no server; name it in a server of kind service or remove it
     ServiceWithoutServer {
-        /// The service.
+        /// Name of the service.
         id: String,
     },
     /// engine "{id}" names no model; list the models it may run
     EngineWithoutModel {
-        /// The server.
+        /// Name of the server.
         id: String,
     },
     /// server "{id}" of kind service names no service; name the one it offers
     ServerWithoutService {
-        /// The server.
+        /// Name of the server.
         id: String,
     },
     /// only an engine has models; remove them from "{id}" or change its kind
     UnexpectedModels {
-        /// The server.
+        /// Name of the server.
         id: String,
     },
     /// only a server of kind service has a service; remove it from "{id}" or change its kind
     UnexpectedService {
-        /// The server.
+        /// Name of the server.
         id: String,
     },
     /// {value} is not allowed; give {wanted}
     OutOfRange {
-        /// What stands there.
+        /// Value in the file.
         value: String,
-        /// What may stand there.
+        /// Description of the allowed values.
         wanted: String,
     },
     /// "{digest}" is no SHA-256; give 64 lower-case hexadecimal digits, as `oleandermountctl keys organisation` prints them
     InvalidDigest {
-        /// The text.
+        /// Text in the file.
         digest: String,
     },
     /// the key digest is listed for "{first}" already; give each organisation keys of its own
     DuplicateDigest {
-        /// Where it is listed first.
+        /// Organisation for which the digest is listed first.
         first: String,
     },
     /// method "{method}" is not known; give an HTTP method in capitals such as POST, or *
     UnknownMethod {
-        /// The method.
+        /// Method in the file.
         method: String,
     },
     /// path "{path}" does not start with a slash; write it as callers send it after the service's name, such as /bookings
     InvalidPath {
-        /// The path.
+        /// Path in the file.
         path: String,
     },
     /// the same call has a rule already; keep one of the two
@@ -183,14 +183,14 @@
 
 impl Error for FaultKind {}
 
-/// One fault and where it stands.
+/// A fault with its position in the file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InventoryFault {
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The key, such as `servers[2].models`.
+    /// Path of the value, such as `servers[2].models`; empty for syntax faults.
     pub key: String,
-    /// What is wrong, with the remedy.
+    /// Description of the fault and its remedy.
     pub message: String,
 }
 
@@ -205,12 +205,12 @@
 
 impl Error for InventoryFault {}
 
-/// Faults with their paths inside a part; lines are looked up at the end.
+/// Faults with their paths relative to a part; the lines are resolved after validation.
 #[derive(Clone, Debug, Default)]
 pub struct FaultList(pub Vec<(KeyPath, FaultKind)>);
 
 impl FaultList {
-    /// Notes one more fault.
+    /// Adds a fault at `path`.
     pub fn push(&mut self, path: KeyPath, kind: FaultKind) {
         self.0.push((path, kind));
     }
--- a/src/inventory/validate/records.rs
+++ b/src/inventory/validate/records.rs
@@ -1,4 +1,4 @@
-//! Reads a part record by record, so that one wrong record does not hide the next one's faults.
+//! Deserializes a part record by record, so that all invalid records are reported in one run.
 
 use {
     super::{
@@ -14,16 +14,16 @@
     std::collections::BTreeSet,
 };
 
-/// How the reader's message starts when a key is missing.
+/// Prefix of serde's message for a missing key.
 const MISSING: &str = "missing field";
 
-/// The records of one list.
+/// Records of one list.
 #[derive(Clone, Debug)]
 pub struct RecordList<T> {
-    /// Records that could be read, with their places in the file.
+    /// Records that could be deserialized, with their paths.
     pub records: Vec<(KeyPath, T)>,
-    /// Ids of all records, also of those that could not be read: a reference to one of these is
-    /// not a second fault.
+    /// Ids of all records, including those that could not be deserialized: a reference to such a
+    /// record is not reported as a further fault.
     pub ids: BTreeSet<String>,
 }
 
@@ -33,25 +33,25 @@
     }
 }
 
-/// A register's records with their places.
+/// Records of a register with their paths.
 #[derive(Clone, Debug)]
 pub struct RegisterRecords {
-    /// Failure domains.
+    /// Records of the list `failure_domains`.
     pub failure_domains: RecordList<DomainRecord>,
-    /// VMs of the system.
+    /// Records of the list `vms`.
     pub vms: RecordList<VmRecord>,
-    /// Models.
+    /// Records of the list `models`.
     pub models: RecordList<ModelRecord>,
-    /// Plain services.
+    /// Records of the list `services`.
     pub services: RecordList<ServiceRecord>,
-    /// Backend servers.
+    /// Records of the list `servers`.
     pub servers: RecordList<ServerRecord>,
-    /// Organisations.
+    /// Records of the list `organisations`.
     pub organisations: RecordList<OrganisationRecord>,
 }
 
 impl RegisterRecords {
-    /// The register without places.
+    /// Drops the paths.
     pub fn into_register(self) -> AssetRegister {
         AssetRegister {
             failure_domains: self.failure_domains.into_records(),
@@ -64,19 +64,19 @@
     }
 }
 
-/// A rule set's records with their places.
+/// Records of a rule set with their paths.
 #[derive(Clone, Debug)]
 pub struct RuleRecords {
-    /// All rules but the lists, which are empty here.
+    /// Scalar values; the lists of this rule set are empty.
     pub scalars: RuleSet,
-    /// Rules of organisations.
+    /// Records of the list `organisations`.
     pub organisations: RecordList<OrganisationRule>,
-    /// Rules of calls.
+    /// Records of the list `calls`.
     pub calls: RecordList<CallRule>,
 }
 
 impl RuleRecords {
-    /// The rule set without places.
+    /// Merges scalar values and lists, and drops the paths.
     pub fn into_rules(self) -> RuleSet {
         RuleSet {
             organisations: self.organisations.into_records(),
@@ -86,7 +86,7 @@
     }
 }
 
-/// Reads all lists of a register.
+/// Deserializes all lists of a register.
 pub fn read_register(part: &DocumentPart, faults: &mut FaultList) -> RegisterRecords {
     let mut object = root_object(part, faults);
     let records = RegisterRecords {
@@ -101,7 +101,7 @@
     records
 }
 
-/// Reads all lists and single values of a rule set.
+/// Deserializes all lists and scalar values of a rule set.
 pub fn read_rules(part: &DocumentPart, faults: &mut FaultList) -> RuleRecords {
     let mut object = root_object(part, faults);
     let organisations = take_list(&mut object, "organisations", faults);
@@ -112,7 +112,7 @@
 
 fn root_object(part: &DocumentPart, faults: &mut FaultList) -> Map<String, JsonValue> {
     part.value.as_object().cloned().unwrap_or_else(|| {
-        let detail = "a table is wanted here".to_owned();
+        let detail = "a table is expected here".to_owned();
         faults.push(KeyPath::default(), FaultKind::InvalidValue { detail });
         Map::new()
     })
@@ -128,7 +128,7 @@
         None => Vec::new(),
         Some(JsonValue::Array(items)) => items,
         Some(_) => {
-            let detail = format!("a list is wanted; write each record under [[{key}]]");
+            let detail = format!("a list is expected; write each record under [[{key}]]");
             faults.push(path.clone(), FaultKind::InvalidValue { detail });
             Vec::new()
         }
@@ -145,9 +145,10 @@
     RecordList { records, ids }
 }
 
-/// Reads one record. Since the reader stops at the first wrong key, each wrong key is noted, taken
-/// out, and the rest read again, until it fits or only a missing key is left. A record without its
-/// wrong keys is good for checking the others; the noted fault keeps it from being used.
+/// Deserializes one record. Deserialization stops at the first invalid key, so each invalid key is
+/// reported and removed, and the rest deserialized again, until it succeeds or a key is missing. A
+/// record without its invalid keys is used to validate other records only: because of the reported
+/// fault, the file is rejected as a whole.
 fn read_record<T: DeserializeOwned>(
     path: &KeyPath,
     value: JsonValue,
@@ -163,7 +164,7 @@
         let missing = error.starts_with(MISSING);
         let invalid = if missing { None } else { invalid_key::<T>(&rest, &error) };
         let Some(key) = invalid else {
-            // A key that was taken out above is missing now; that is no new fault.
+            // A key that was removed above is missing now; it has been reported already.
             if complete || !missing {
                 faults.push(path.clone(), FaultKind::InvalidValue { detail: error });
             }
@@ -175,15 +176,15 @@
     }
 }
 
-/// The key without which the reader no longer finds `error`.
+/// The key whose removal makes `error` disappear.
 fn invalid_key<T: DeserializeOwned>(value: &JsonValue, error: &str) -> Option<String> {
     let object = value.as_object()?;
     object
         .keys()
         .find(|key| {
-            let mut without = object.clone();
-            without.remove(*key);
-            T::deserialize(JsonValue::Object(without))
+            let mut remaining = object.clone();
+            remaining.remove(*key);
+            T::deserialize(JsonValue::Object(remaining))
                 .err()
                 .is_none_or(|other| other.to_string() != error)
         })
--- a/src/inventory/validate/register_checks.rs
+++ b/src/inventory/validate/register_checks.rs
@@ -1,4 +1,4 @@
-//! What a register must hold beside having the right form.
+//! Semantic validation of a register.
 
 use {
     super::{
@@ -15,10 +15,10 @@
     },
 };
 
-/// Length of a SHA-256 in hexadecimal digits.
+/// Length of a SHA-256 digest in hexadecimal digits.
 const DIGEST_LENGTH: usize = 64;
 
-/// Notes every fault of the register.
+/// Adds all faults of the register to `faults`.
 pub fn check(register: &RegisterRecords, faults: &mut FaultList) {
     check_ids(&register.failure_domains, |record| &record.id, faults);
     check_ids(&register.vms, |record| &record.id, faults);
@@ -75,7 +75,7 @@
         check_address(&mut seen, path.key("peer_address"), record.peer_address, faults);
         if !(record.capacity.is_finite() && record.capacity > 0.0) {
             let value = record.capacity.to_string();
-            let wanted = "a positive number, 1.0 for the usual size".to_owned();
+            let wanted = "a positive number, 1.0 for the default size".to_owned();
             faults.push(path.key("capacity"), FaultKind::OutOfRange { value, wanted });
         }
     }
@@ -122,7 +122,7 @@
         check_domain(register, path, &record.failure_domain, faults);
         check_address(&mut seen, path.key("address"), record.address, faults);
         if record.slots == 0 {
-            let wanted = "the requests it runs at once, at least 1".to_owned();
+            let wanted = "the number of requests it runs concurrently, at least 1".to_owned();
             let fault = FaultKind::OutOfRange { value: "0".to_owned(), wanted };
             faults.push(path.key("slots"), fault);
         }
@@ -179,7 +179,8 @@
     }
 }
 
-/// A key that names two organisations would let one use what the other pays for.
+/// Rejects a key digest that two organisations list, because one could then use capacity that the
+/// other pays for.
 fn check_digests(register: &RegisterRecords, faults: &mut FaultList) {
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for (path, record) in &register.organisations.records {
--- a/src/inventory/validate/rule_checks.rs
+++ b/src/inventory/validate/rule_checks.rs
@@ -1,4 +1,4 @@
-//! What a rule set must hold beside having the right form, given the register.
+//! Semantic validation of a rule set against a register.
 
 use {
     super::{
@@ -9,19 +9,19 @@
     std::collections::BTreeSet,
 };
 
-/// The methods that a call rule may name.
+/// Methods that a call rule may name.
 const METHODS: [&str; 8] = ["*", "DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
-/// Matches every model or service.
+/// Wildcard for all models or services.
 const ANY: &str = "*";
 
-/// Notes every fault of the rules.
+/// Adds all faults of the rules to `faults`.
 pub fn check(rules: &RuleRecords, known: &KnownIds, faults: &mut FaultList) {
     check_scalars(rules, faults);
     check_organisations(rules, known, faults);
     check_calls(rules, known, faults);
 }
 
-/// The ids of a register that rules may name.
+/// Ids of a register that rules may reference.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KnownIds {
     organisations: BTreeSet<String>,
@@ -30,7 +30,7 @@
 }
 
 impl KnownIds {
-    /// The ids of a checked register.
+    /// Ids of a valid register.
     pub fn from_register(register: &AssetRegister) -> Self {
         KnownIds {
             organisations: register.organisations.iter().map(|record| record.id.clone()).collect(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The ids of all records, also of those with faults: a rule that names one is no fault.
+    /// Ids of all records, including invalid ones: a rule that references one is not a fault.
     pub fn from_records(records: &RegisterRecords) -> Self {
         KnownIds {
             organisations: records.organisations.ids.clone(),
@@ -96,7 +96,8 @@
     }
 }
 
-/// Two rules of one call could say both that it may and that it may not be repeated.
+/// Validates the rules of calls. Two rules of one call could contradict each other on whether it is
+/// repeatable, so duplicates are rejected.
 fn check_calls(rules: &RuleRecords, known: &KnownIds, faults: &mut FaultList) {
     let mut seen = BTreeSet::new();
     for (path, rule) in &rules.calls.records {
