--- a/src/bin/oleandermountctl.rs
+++ b/src/bin/oleandermountctl.rs
@@ -1,4 +1,4 @@
-//! The operators' client: parses options and runs.
+//! Command-line client for operators.
 
 use std::process::ExitCode;
 
--- a/src/bin/oleandermountd.rs
+++ b/src/bin/oleandermountd.rs
@@ -1,4 +1,4 @@
-//! The daemon: parses options and runs until it is told to stop.
+//! The daemon: parses options and serves requests until a signal stops it.
 
 use {
     oleandermount::{
@@ -10,10 +10,10 @@
     tokio::signal::unix::{Signal, SignalKind, signal},
 };
 
-/// The exit code of a daemon that could not start.
+/// Exit code if the daemon cannot start.
 const START_FAILED: i32 = 1;
-/// The exit code of a shutdown that cut requests off.
-const REQUESTS_CUT: i32 = 3;
+/// Exit code if the shutdown aborted requests.
+const REQUESTS_ABORTED: i32 = 3;
 
 fn main() {
     let options = DaemonOptions::from_process().unwrap_or_else(|error| {
@@ -22,7 +22,9 @@
     logs::install(options.runtime.log_level);
     options.runtime.disabled.warn_if_any();
     let runtime = tokio::runtime::Runtime::new().unwrap_or_else(|error| {
-        eprintln!("oleandermountd: no runtime: {error}; allow the process more threads");
+        eprintln!(
+            "oleandermountd: cannot start the runtime: {error}; allow the process more threads"
+        );
         process::exit(START_FAILED);
     });
     let code = runtime.block_on(run(Daemon::new(options)));
@@ -33,7 +35,7 @@
     let started = match Signals::new() {
         Ok(signals) => daemon.start().await.map(|daemon| (daemon, signals)),
         Err(error) => {
-            eprintln!("oleandermountd: signals cannot be received: {error}");
+            eprintln!("oleandermountd: cannot install signal handlers: {error}");
             return START_FAILED;
         }
     };
@@ -46,7 +48,7 @@
     }
 }
 
-/// The signals that a daemon obeys.
+/// Streams of the signals that the daemon handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -75,7 +77,7 @@
     }
 }
 
-/// What a signal orders.
+/// Action requested by a signal.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SignalAction {
     Stop,
@@ -86,7 +88,7 @@
     while signals.next().await == SignalAction::ReloadKeys {
         daemon.reload_keys();
     }
-    // The first signal drains; a second one ends the wait and says what was cut.
+    // The first signal starts a drain; the second one ends it and aborts the remaining requests.
     let report = daemon.drain().finish(signals.stop()).await;
-    if report.cut > 0 { REQUESTS_CUT } else { 0 }
+    if report.cut > 0 { REQUESTS_ABORTED } else { 0 }
 }
--- a/src/observe.rs
+++ b/src/observe.rs
@@ -1,4 +1,4 @@
-//! Metrics and JSON-lines logs.
+//! Metrics and logs in JSON Lines format.
 
 pub mod bounded_log;
 pub mod events;
--- a/src/observe/bounded_log.rs
+++ b/src/observe/bounded_log.rs
@@ -1,10 +1,11 @@
-//! Logs that never hold up a request: a bounded queue before one thread that writes.
+//! Non-blocking logger: a bounded queue in front of one writer thread.
 //!
-//! Whoever reads standard output may stall, and a burst of refusals brings a burst of records. Without
-//! the queue each record would wait for the reader, and callers with it. Routine records have a budget
-//! of their own, so that what failed and what changed in the daemon's belief (warnings and errors)
-//! finds room; those have a larger one, and all together one in bytes. What was left out is counted,
-//! and said with the next record that is written.
+//! The reader of standard output may stall, and a burst of refused requests causes a burst of
+//! records. Without the queue, requests would block on logging until the reader continues. Routine
+//! records have a separate rate limit, so that they cannot displace warnings and errors, which
+//! report failures and changes of state. Warnings and errors have a higher limit, and all records
+//! together are limited in bytes. Dropped records are counted, and the count is logged before the
+//! next record that is written.
 
 use {
     super::{events, logs::json_line},
@@ -23,24 +24,26 @@
     },
 };
 
-/// How much may be logged.
+/// Queue length and rate limits of the logger.
 #[derive(Clone, Copy, Debug)]
 pub struct LogBudget {
-    /// Records that wait for the writer; at about 400 bytes each, 1 MB with the usual 2,048.
+    /// Capacity of the queue in records; the default of 2,048 takes about 1 MB at 400 bytes a
+    /// record.
     pub queue: usize,
-    /// Routine records (info and below) a second; a second's worth of each budget may be saved up.
+    /// Routine records (info and below) per second. Each limit allows a burst of one second's
+    /// worth.
     pub routine_per_second: f64,
-    /// Warnings and errors a second.
+    /// Warnings and errors per second.
     pub failures_per_second: f64,
-    /// Bytes a second, all records together.
+    /// Bytes per second of all records together.
     pub bytes_per_second: f64,
 }
 
 impl Default for LogBudget {
-    /// An entry of a fifth of a core serves some 20 requests a second at its peak, with one routine
-    /// record each; ten times that leaves room. In its worst seconds, with engines crashing, it logged
-    /// 55 warnings; 500 leave room for more. A record has about 300 bytes, so all of them fit
-    /// into 256 KB a second, which bounds a flood of long ones.
+    /// An entry daemon with a fifth of a core serves about 20 requests per second at peak load, with
+    /// one routine record each; the limit is ten times that. While engines crash it logs up to 55
+    /// warnings per second; the limit of 500 leaves headroom. At about 300 bytes a record, 256 KB
+    /// per second suffice for all records and bound the output if records are long.
     fn default() -> Self {
         LogBudget {
             queue: 2_048,
@@ -51,10 +54,10 @@
     }
 }
 
-/// Counts records that were left out.
+/// Name of the counter of dropped records.
 pub const DROPPED_RECORDS: &str = "oleandermount_log_records_dropped_total";
 
-/// A logger in front of its writer.
+/// Logger that sends formatted records to a [`LogWriter`].
 pub struct BoundedLog {
     filter: env_logger::Logger,
     queue: SyncSender<String>,
@@ -69,9 +72,9 @@
 }
 
 impl LogRateLimits {
-    /// Takes one record of `bytes` out of the budgets, if it fits into all that apply.
+    /// Consumes tokens for a record of `bytes` if all applicable limits permit it.
     fn try_consume(&mut self, now: Instant, is_routine: bool, bytes: usize) -> bool {
-        // The second half of the bytes is for what failed.
+        // Half of the bytes is reserved for warnings and errors.
         let (records, reserved) = match is_routine {
             true => (&mut self.routine, self.bytes.per_second / 2.0),
             false => (&mut self.failures, 0.0),
@@ -95,7 +98,7 @@
         TokenBucket { per_second, tokens: per_second, refilled_at: Instant::now() }
     }
 
-    /// Whether `amount` is left at `now`.
+    /// Refills the bucket and returns whether it contains `amount` tokens.
     fn has(&mut self, now: Instant, amount: f64) -> bool {
         let refill =
             now.saturating_duration_since(self.refilled_at).as_secs_f64() * self.per_second;
@@ -110,7 +113,7 @@
 }
 
 impl BoundedLog {
-    /// A logger of records of `level` and more urgent, and the queue that its writer empties.
+    /// A logger for records of `level` and more severe ones, and the writer that empties its queue.
     pub fn new(level: LevelFilter, budget: LogBudget) -> (Self, LogWriter) {
         let (queue, records) = sync_channel(budget.queue.max(1));
         let dropped = Arc::new(AtomicU64::new(0));
@@ -156,14 +159,14 @@
     fn flush(&self) {}
 }
 
-/// The writer's end of the queue.
+/// Receiving end of the queue, which writes the records.
 pub struct LogWriter {
     records: Receiver<String>,
     dropped: Arc<AtomicU64>,
 }
 
 impl LogWriter {
-    /// Writes records until the logger is gone or nobody reads any more.
+    /// Writes records until the logger is dropped or writing fails.
     pub fn run(self, mut out: impl Write) {
         while let Ok(line) = self.records.recv() {
             let dropped = self.dropped.swap(0, Ordering::Relaxed);
@@ -179,7 +182,7 @@
     }
 }
 
-/// What stands in the log in place of `count` records.
+/// Log record that reports `count` dropped records.
 fn dropped_records_line(count: u64, time: SystemTime) -> String {
     let time = humantime::format_rfc3339_millis(time).to_string();
     let message = events::RECORDS_DROPPED;
@@ -187,12 +190,12 @@
     format!("{line}\n")
 }
 
-/// Logs to standard output within `budget`. A second call changes nothing.
+/// Installs a logger to standard output within `budget`. Has no effect if a logger is installed.
 pub fn install(level: LevelFilter, budget: LogBudget) {
     install_on(level, budget, std::io::stdout());
 }
 
-/// The same to `out`.
+/// Installs a logger to `out` within `budget`. Has no effect if a logger is installed.
 pub fn install_on(level: LevelFilter, budget: LogBudget, out: impl Write + Send + 'static) {
     let (log, writer) = BoundedLog::new(level, budget);
     if log::set_boxed_logger(Box::new(log)).is_err() {
@@ -201,6 +204,6 @@
     log::set_max_level(level);
     let builder = thread::Builder::new().name("log-writer".to_owned());
     if let Err(error) = builder.spawn(move || writer.run(out)) {
-        eprintln!("the log cannot be written: {error}; allow the process more threads");
+        eprintln!("cannot start the log writer: {error}; allow the process more threads");
     }
 }
--- a/src/observe/events.rs
+++ b/src/observe/events.rs
@@ -1,94 +1,95 @@
-//! What is logged of decisions and changes of belief: each event's name once, for who writes it and
-//! for who reads it.
+//! Names of logged events, shared by the code that writes and the code that reads log records.
 //!
-//! Fields bear the same name and unit in all records: `request_id`, `server` and `peer` are names,
-//! `document` the number of the configuration that was in force, `weights` a version of weights,
-//! `sent_to` the servers that may have begun the request, `expected_hit` prompt tokens, and `…_ms`
-//! milliseconds.
+//! Fields have the same name and unit in all records: `request_id`, `server` and `peer` are names,
+//! `document` is the number of the active configuration, `weights` a version of weights, `sent_to`
+//! the number of servers that may have started the request, `expected_hit` a number of prompt
+//! tokens, and fields that end in `_ms` are in milliseconds.
 
-/// A request got its final refusal. `reason` is the one in the measures.
+/// A request was refused. `reason` has the same values as the label of the refusal metric.
 pub const REQUEST_REFUSED: &str = "request refused";
-/// A request goes to a backend server, with what that was decided by.
+/// A request was sent to a backend server; the fields give the inputs of the decision.
 pub const REQUEST_SENT: &str = "request sent";
-/// One sending of a request failed; `failure` says what is known of it.
+/// One attempt of a request failed; `failure` is the type of failure.
 pub const ATTEMPT_FAILED: &str = "attempt failed";
-/// A whole answer was passed on.
+/// A complete response was forwarded to the caller.
 pub const ANSWER_COMPLETED: &str = "answered whole";
-/// A stream was passed on to its end.
+/// A stream was forwarded to its end.
 pub const STREAM_COMPLETED: &str = "stream answered whole";
-/// Another server goes on with a stream.
+/// A stream continues on another server.
 pub const STREAM_RESUMED: &str = "stream resumed";
-/// A stream ended before its end; the caller was told nothing false.
+/// A stream was terminated before its end, in a way that the caller can detect.
 pub const STREAM_INTERRUPTED: &str = "stream cut";
-/// A server's own failure was passed on, since no other server may be tried or did better.
+/// The error response of a server was forwarded, since no other server may be tried or succeeded.
 pub const FAILURE_FORWARDED: &str = "failure passed on";
-/// The caller closed its connection before it had its answer.
+/// The caller closed its connection before the response was complete.
 pub const CALLER_DISCONNECTED: &str = "caller left";
 
-/// A non-repeatable call waits for the answer of its other run; `call` begins its digest, `holder` and
-/// `incarnation` name the daemon that holds its claim.
+/// A non-repeatable call waits for the response of another request with the same key. `call` is the
+/// beginning of its digest; `holder` and `incarnation` identify the daemon that holds the claim.
 pub const CALL_WAITING: &str = "call waits for its other run";
 
-/// A server gets nothing until it shows a sign of life.
+/// A backend server is unresponsive and receives no requests until it responds again.
 pub const SERVER_UNAVAILABLE: &str = "backend server lost";
-/// It showed one.
+/// A backend server that was unresponsive responds again.
 pub const SERVER_RECOVERED: &str = "backend server back";
-/// A server contradicts the list.
+/// A backend server reports attributes that contradict the server list.
 pub const SERVER_MISMATCHED: &str = "backend server is not as listed";
-/// The engines' common store of KV cache cannot be reached; prompts do without it.
+/// The engines' shared store of KV cache is unreachable; prompts are processed without it.
 pub const CACHE_STORE_UNAVAILABLE: &str = "KV cache store lost";
-/// It can again; it may be empty.
+/// The store of KV cache is reachable again; it may be empty.
 pub const CACHE_STORE_RECOVERED: &str = "KV cache store back";
-/// An order to load weights was sent, with the version that the server had, how long the ordered one
-/// has been wanted, and how often the server was given it before.
+/// An order to load weights was sent. The fields give the version that the server had, how long the
+/// ordered version has been desired, and how often it was ordered from the server before.
 pub const WEIGHTS_ORDERED: &str = "weight order sent";
-/// This replica holds a lease and orders weights.
+/// This replica acquired a lease and starts to order weights.
 pub const WEIGHT_ORDERS_STARTED: &str = "weight orders begin";
-/// Its lease is over; `pending` servers do not have their weights yet.
+/// The lease of this replica ended; `pending` servers do not have the desired weights yet.
 pub const WEIGHT_ORDERS_ENDED: &str = "weight orders end";
-/// All servers that answer have a version; `took_ms` since it was wanted here.
+/// All responsive servers have a version of weights, `took_ms` after it became desired on this
+/// replica.
 pub const WEIGHTS_ACTIVE: &str = "weights in force";
 
-/// The daemon follows a control VM.
+/// The daemon receives configuration from a control VM.
 pub const FOLLOWING: &str = "following a control VM";
-/// None of the control VMs that were asked is up to date; the configuration held stays in force.
+/// No queried control VM is up to date; the current configuration stays active.
 pub const CONFIG_UNCONFIRMED: &str = "configuration not confirmed";
-/// One of them is.
+/// A control VM that is up to date confirmed the configuration.
 pub const CONFIG_CONFIRMED: &str = "configuration confirmed";
-/// That VM does not answer.
+/// The control VM that this daemon follows is unresponsive.
 pub const CONTROL_UNRESPONSIVE: &str = "a control VM does not answer its follower";
-/// The list of backend servers is no longer confirmed; the last one stays in use.
+/// The list of backend servers is no longer confirmed; the last list stays in use.
 pub const LIST_UNCONFIRMED: &str = "server list lost";
-/// It is again.
+/// The list of backend servers is confirmed again.
 pub const LIST_CONFIRMED: &str = "server list back";
-/// No leader is known to this replica.
+/// This replica knows of no leader.
 pub const LEADER_LOST: &str = "control leader lost";
-/// One is.
+/// This replica knows of a leader.
 pub const LEADER_KNOWN: &str = "control leader known";
-/// The members of the control group changed.
+/// The membership of the control group changed.
 pub const MEMBERSHIP_CHANGED: &str = "control replicas changed";
-/// The leader misses voters; `standing_by` are the VMs that it could take in.
+/// The leader has lost contact with voters; `standing_by` lists VMs that could replace them.
 pub const REPAIR_NEEDED: &str = "control replicas need repair";
-/// It misses none any more.
+/// The leader is in contact with all voters.
 pub const REPAIR_DONE: &str = "control replicas need no repair";
-/// A replica without a leader asks for a place in the group; `heard` are the VMs that it hears.
+/// A replica without a leader requests to join the control group; `heard` lists the VMs that it
+/// receives messages from.
 pub const MEMBERSHIP_REQUESTED: &str = "looking for the control group";
-/// This replica leads, with the consent of a quorum.
+/// This replica became leader, confirmed by a quorum.
 pub const LEADERSHIP_STARTED: &str = "leading the control replicas";
-/// It does no longer: it hears from no quorum, or of a later term.
+/// This replica is no longer leader: it lost contact with the quorum or learned of a later term.
 pub const LEADERSHIP_ENDED: &str = "no longer leading the control replicas";
-/// The replica cannot write its disk and takes part in nothing.
+/// The replica cannot write to its disk and has stopped.
 pub const REPLICA_STOPPED: &str = "control replica stopped";
-/// It runs again on what its disk holds.
+/// The stopped replica resumed from the state on its disk.
 pub const REPLICA_RESUMED: &str = "control replica runs again";
 
-/// A configuration is in force here.
+/// This daemon activated a configuration.
 pub const ROUTES_ACTIVATED: &str = "routes in force";
 
-/// Records were dropped before this one because the log was over its budget; `count` of them.
+/// The logger dropped `count` records before this one because they exceeded its limits.
 pub const RECORDS_DROPPED: &str = "log records left out";
 
-/// The key of an event's name in a record.
+/// Key of the event name in a record.
 pub const MESSAGE: &str = "message";
-/// The key of a server's name.
+/// Key of the server name in a record.
 pub const SERVER: &str = "server";
--- a/src/observe/log_files.rs
+++ b/src/observe/log_files.rs
@@ -1,4 +1,4 @@
-//! Reads log files back: JSON lines, whatever stands before the object on a line.
+//! Reads log files in JSON Lines format, with an optional prefix before the object on a line.
 
 use {
     super::{events, logs::REQUEST_ID},
@@ -11,44 +11,45 @@
     },
 };
 
-/// One line of a log.
+/// A parsed log record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogRecord {
-    /// Which process wrote it: what stands before the object on its line, or the file's name.
+    /// Process that wrote the record: the last word before the JSON object, or the name of the file
+    /// if the line has no prefix.
     pub source: String,
-    /// When.
+    /// Time at which the record was written.
     pub time: SystemTime,
-    /// Its key-values.
+    /// All key-value pairs of the record.
     pub fields: Map<String, Value>,
 }
 
 impl LogRecord {
-    /// The event's name.
+    /// Name of the event, one of [`events`]; empty if the record has no message.
     pub fn event(&self) -> &str {
         self.text(events::MESSAGE)
     }
 
-    /// The request that it is about; empty if about none.
+    /// Id of the request that the record refers to; empty if there is none.
     pub fn request(&self) -> &str {
         self.text(REQUEST_ID)
     }
 
-    /// A field of text; empty if it is missing.
+    /// Value of a text field; empty if the field is missing.
     pub fn text(&self, key: &str) -> &str {
         self.fields.get(key).and_then(Value::as_str).unwrap_or_default()
     }
 
-    /// A field that is a number; 0 if it is missing.
+    /// Value of a numeric field; 0 if the field is missing.
     pub fn number(&self, key: &str) -> u64 {
         self.fields.get(key).and_then(Value::as_u64).unwrap_or_default()
     }
 }
 
-/// The records of a file, one after the other; lines that hold none are passed over, since other
-/// output may stand among them.
+/// Iterates over the records of a file. Lines without a record are skipped, since the file may
+/// contain other output.
 ///
 /// # Errors
-/// When the file cannot be opened. A line that cannot be read ends the records.
+/// When the file cannot be opened. Iteration ends at a line that cannot be read.
 pub fn read_records(path: &Path) -> io::Result<impl Iterator<Item = LogRecord> + use<>> {
     let name = path.file_stem().unwrap_or_default().to_string_lossy().into_owned();
     let lines = BufReader::new(File::open(path)?).lines().map_while(Result::ok);
@@ -60,7 +61,7 @@
     let fields: Map<String, Value> = serde_json::from_str(object).ok()?;
     let time = fields.get("time").and_then(Value::as_str)?;
     let time = humantime::parse_rfc3339(time).ok()?;
-    // The last word before the object is the process where several write to one file.
+    // Where several processes write to one file, the last word before the object names the process.
     let source = before.split_whitespace().last().unwrap_or(name).to_owned();
     Some(LogRecord { source, time, fields })
 }
--- a/src/observe/logs.rs
+++ b/src/observe/logs.rs
@@ -1,8 +1,8 @@
-//! Logs as JSON lines on standard error: one object a line with time, level, target, message and
-//! the record's key-values.
+//! Logs to standard error in JSON Lines format: one object per line with time, level, target,
+//! message and the key-value pairs of the record.
 //!
-//! Callers' texts and keys never go into a record; a request is named by its id under
-//! [`REQUEST_ID`], the same on each daemon that works on it.
+//! Records never contain prompts or API keys of callers. A request is identified by its id under
+//! [`REQUEST_ID`], which is the same on all daemons that process it.
 
 use {
     env_logger::Builder,
@@ -14,24 +14,24 @@
     std::{io::Write, time::SystemTime},
 };
 
-/// The key of a request's id.
+/// Key of the request id in a record.
 pub const REQUEST_ID: &str = "request_id";
-/// The key of the VM that logs.
+/// Key of the logging VM in a record.
 pub const VM: &str = "vm";
 
-/// Sends records of `level` and more urgent to standard error. A second call changes nothing, so
-/// that several daemons can live in one test process.
+/// Installs a logger of records of `level` and more severe ones to standard error. A second call has
+/// no effect, so that several daemons can run in one test process.
 pub fn install(level: LevelFilter) {
     let installed = Builder::new()
         .filter_level(level)
         .format(|out, record| writeln!(out, "{}", json_line(record, SystemTime::now())))
         .try_init();
     if installed.is_err() {
-        log::debug!("logging is installed already");
+        log::debug!("a logger is already installed");
     }
 }
 
-/// One record as a JSON object without line breaks.
+/// Formats a record as a JSON object without line breaks.
 pub fn json_line(record: &Record<'_>, time: SystemTime) -> String {
     let mut fields = KeyValues::default();
     let visited = record.key_values().visit(&mut fields);
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -1,7 +1,7 @@
-//! The names of all metrics, and the recorder that renders them for Prometheus.
+//! Names of all metrics, and the recorder that renders them for Prometheus.
 //!
-//! Labels come from the register and from fixed lists only, never from what a caller sent, so the
-//! number of series is bounded by the register.
+//! Label values come from the register and from fixed lists only, never from requests of callers,
+//! so the register bounds the number of time series.
 
 use {
     crate::policy::{RefusalReason, RetryReason},
@@ -14,101 +14,100 @@
     },
 };
 
-/// Requests taken in, by `class`.
+/// Accepted requests, by `class`.
 pub const REQUESTS: &str = "oleandermount_requests_total";
-/// Requests answered whole, by `class`.
+/// Requests with a complete response, by `class`.
 pub const ANSWERS: &str = "oleandermount_answers_total";
-/// Requests refused, by `reason`.
+/// Refused requests, by `reason`.
 pub const REFUSALS: &str = "oleandermount_refusals_total";
-/// Requests sent again, by `reason`.
+/// Retried requests, by `reason`.
 pub const RETRIES: &str = "oleandermount_retries_total";
-/// Seconds from a request's arrival to its first token, by `model` and `class`.
+/// Time to first token in seconds from the arrival of a request, by `model` and `class`.
 pub const FIRST_TOKEN: &str = "oleandermount_first_token_seconds";
-/// Seconds from a request's arrival to its first sending to a backend server, by `class`.
+/// Seconds from the arrival of a request to its first attempt at a backend server, by `class`.
 pub const QUEUE_WAIT: &str = "oleandermount_queue_wait_seconds";
-/// Seconds from a request's arrival to the end of its answer, by `class`.
+/// Seconds from the arrival of a request to the end of its response, by `class`.
 pub const ANSWER_TIME: &str = "oleandermount_answer_seconds";
-/// Seconds between tokens of one answer, by `model` and `class`.
+/// Seconds between tokens of one response, by `model` and `class`.
 pub const INTER_TOKEN: &str = "oleandermount_inter_token_seconds";
 /// Prompt tokens sent to engines, by `model`.
 pub const PROMPT_TOKENS: &str = "oleandermount_prompt_tokens_total";
-/// Prompt tokens that engines took from their caches, by `model`.
+/// Prompt tokens that engines read from their caches, by `model`.
 pub const CACHE_HIT_TOKENS: &str = "oleandermount_hit_tokens_total";
-/// Prompt tokens computed although they had been computed before, by `model`.
+/// Prompt tokens that were recomputed after an earlier computation, by `model`.
 pub const RECOMPUTED_TOKENS: &str = "oleandermount_recomputed_tokens_total";
-/// Requests that wait in this daemon for a backend server, by `server` of the last decision or
-/// `none`.
+/// Requests queued in this daemon for a backend server, by `server` of the last decision or `none`.
 pub const QUEUE: &str = "oleandermount_queue_requests";
 /// Requests in flight from this daemon, by `server`.
 pub const IN_FLIGHT: &str = "oleandermount_in_flight_requests";
-/// The configuration revision in force at this daemon.
+/// Active configuration revision of this daemon.
 pub const CONFIG_REVISION: &str = "oleandermount_config_revision";
-/// Seconds since this entry last heard from a control VM that is up to date; 0 while it does.
+/// Seconds since an up-to-date control VM last responded to this daemon; 0 while one responds.
 pub const CONFIG_UNCONFIRMED: &str = "oleandermount_config_unconfirmed_seconds";
-/// Backend servers that do not have the wanted weights yet, by `model`; on the leader alone.
+/// Backend servers that do not have the desired weights yet, by `model`; set on the leader only.
 pub const WEIGHTS_PENDING: &str = "oleandermount_weights_pending_servers";
-/// Documents handed to followers, by `kind`: `whole`, or the `difference` to the last one.
+/// Documents sent to followers, by `kind`: `whole`, or the `difference` from the previous one.
 pub const FOLLOW_DOCUMENTS: &str = "oleandermount_follow_documents_total";
-/// Server lists handed to followers, by `kind`: `whole`, or the `difference` to the last one.
+/// Server lists sent to followers, by `kind`: `whole`, or the `difference` from the previous one.
 pub const FOLLOW_LISTS: &str = "oleandermount_follow_lists_total";
 /// Daemons that follow this control VM.
 pub const FOLLOWERS: &str = "oleandermount_followers";
-/// Connections of other daemons refused for their keys.
+/// Connections of other daemons rejected because of their keys.
 pub const PEERS_REFUSED: &str = "oleandermount_peers_refused_total";
-/// Connections of callers and operators that are open.
+/// Open connections of callers and operators.
 pub const CONNECTIONS: &str = "oleandermount_open_connections";
 /// 1 while this daemon drains.
 pub const DRAINING: &str = "oleandermount_draining";
-/// Answers of backend servers that belonged to another attempt and were dropped.
+/// Responses of backend servers that belonged to another attempt and were discarded.
 pub const MISMATCHED_RESPONSES: &str = "oleandermount_crossed_answers_total";
-/// Cancel calls, probes and digests that were dropped because too many waited.
+/// Cancel calls, probes and digests that were dropped because too many were queued.
 pub const BACKGROUND_CALLS_DROPPED: &str = "oleandermount_duties_dropped_total";
-/// Claims of non-repeatable calls that were given back with nothing sent.
+/// Claims of non-repeatable calls that were released before a request was sent.
 pub const CLAIMS_RELEASED: &str = "oleandermount_claims_returned_total";
-/// Requests cut off when the grace of a shutdown ended.
+/// Requests aborted at the end of the grace period of a shutdown.
 pub const ABORTED_REQUESTS: &str = "oleandermount_cut_requests_total";
 
-/// Refusal reasons of the filters that stand before the policy; the policy's own are
-/// [`RefusalReason`]. They are also the `code` in the answer to the caller.
+/// Refusal reasons of the filters that run before the policy; those of the policy are
+/// [`RefusalReason`]. They are also the `code` in the response to the caller.
 pub mod refusal {
     /// The request is malformed.
     pub const BAD_REQUEST: &str = "bad_request";
-    /// It carries no key.
+    /// The request has no API key.
     pub const NO_KEY: &str = "no_key";
-    /// Its key belongs to no organisation.
+    /// The API key belongs to no organisation.
     pub const UNKNOWN_KEY: &str = "unknown_key";
     /// A rule does not allow the model or service.
     pub const NOT_ALLOWED: &str = "not_allowed";
     /// The path, model or service does not exist.
     pub const NOT_FOUND: &str = "not_found";
-    /// Head, body or number of headers is over the limit.
+    /// Head, body or number of headers exceeds the limit.
     pub const TOO_LARGE: &str = "too_large";
-    /// A non-repeatable call carries no idempotency key.
+    /// A non-repeatable call has no idempotency key.
     pub const KEY_MISSING: &str = "key_missing";
-    /// The idempotency key was used with another request.
+    /// The idempotency key was already used with another request.
     pub const KEY_REUSED: &str = "key_reused";
-    /// No quorum can be reached, so a non-repeatable call cannot be claimed.
+    /// No quorum is reachable, so a non-repeatable call cannot be claimed.
     pub const NO_QUORUM: &str = "no_quorum";
-    /// Whether a non-repeatable call ran cannot be told.
+    /// It is unknown whether a non-repeatable call ran.
     pub const OUTCOME_UNKNOWN: &str = "outcome_unknown";
-    /// This daemon is stopping.
+    /// This daemon is shutting down.
     pub const DRAINING: &str = "draining";
-    /// The head took too long to arrive.
+    /// The request head was not received in time.
     pub const HEAD_TIMEOUT: &str = "head_timeout";
-    /// The body took too long to arrive.
+    /// The request body was not received in time.
     pub const BODY_TIMEOUT: &str = "body_timeout";
 
     /// The ledger of non-repeatable calls is full.
     pub const LEDGER_FULL: &str = "ledger_full";
-    /// This daemon holds as many requests open as it can.
+    /// This daemon has reached its limit of open requests.
     pub const TOO_MANY_OPEN: &str = "too_many_open";
-    /// A broken or erroneous answer of a backend server ended the request.
+    /// The request failed because of an interrupted or invalid response of a backend server.
     pub const BACKEND_FAILED: &str = "backend_failed";
 
-    /// No routes are known yet.
+    /// No route table is active yet.
     pub const NO_ROUTES: &str = "no_routes";
 
-    /// All of them, for counters that exist from the start.
+    /// All reasons; their counters are initialised at startup.
     pub const ALL: [&str; 17] = [
         BAD_REQUEST,
         NO_KEY,
@@ -130,18 +129,19 @@
     ];
 }
 
-/// Bounds around the aim of half a second to the first token, in seconds.
+/// Bucket bounds in seconds, densest around the target of half a second to the first token.
 const FIRST_TOKEN_BUCKETS: [f64; 16] =
     [0.005, 0.01, 0.02, 0.04, 0.08, 0.12, 0.18, 0.27, 0.4, 0.54, 0.8, 1.2, 2.5, 5.0, 10.0, 30.0];
-/// Bounds for waits here, which are below a millisecond or as long as a load peak, in seconds.
+/// Bucket bounds in seconds for queueing, which takes less than a millisecond or as long as a load
+/// peak.
 const QUEUE_WAIT_BUCKETS: [f64; 10] = [0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
-/// Bounds from a lookup to the longest stream, in seconds.
+/// Bucket bounds in seconds, from a short lookup to the longest stream.
 const ANSWER_BUCKETS: [f64; 12] = [0.01, 0.03, 0.06, 0.1, 0.2, 0.3, 0.6, 1.0, 2.0, 4.0, 8.0, 15.0];
-/// Bounds around the aim of 31 ms between tokens, in seconds.
+/// Bucket bounds in seconds, densest around the target of 31 ms between tokens.
 const INTER_TOKEN_BUCKETS: [f64; 12] =
     [0.002, 0.005, 0.01, 0.015, 0.02, 0.025, 0.031, 0.04, 0.06, 0.1, 0.25, 1.0];
-/// Samples wait in memory until they are sorted into buckets; at 12,000 tokens a second and
-/// daemon this keeps under 100,000 of them.
+/// Interval at which buffered samples are aggregated into buckets; at 12,000 tokens per second and
+/// daemon, fewer than 100,000 samples are buffered.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why metrics cannot be recorded.
@@ -153,11 +153,11 @@
 
 impl std::error::Error for MetricsError {}
 
-/// The recorder is one for the whole process, as the `metrics` library has it.
+/// The recorder is global because the `metrics` library allows only one per process.
 static INSTALLED: Mutex<Option<PrometheusHandle>> = Mutex::new(None);
 
-/// Installs the recorder with every counter present at 0. A second call returns the same handle,
-/// so that several daemons can live in one test process.
+/// Installs the recorder and initialises all counters to 0. A second call returns the same handle,
+/// so that several daemons can run in one test process.
 ///
 /// # Errors
 /// Another recorder is installed already.
@@ -185,7 +185,7 @@
     Ok(handle)
 }
 
-/// Sorts waiting samples into buckets for ever; run it as a task beside the daemon.
+/// Aggregates buffered samples into buckets periodically; runs until the task is aborted.
 pub async fn upkeep(handle: PrometheusHandle) {
     let mut ticks = tokio::time::interval(UPKEEP_INTERVAL);
     loop {
@@ -195,38 +195,42 @@
 }
 
 fn describe() {
-    describe_counter!(REQUESTS, "Requests taken in, by class.");
-    describe_counter!(ANSWERS, "Requests answered whole, by class.");
-    describe_counter!(REFUSALS, "Requests refused, by reason.");
-    describe_counter!(RETRIES, "Requests sent again, by reason.");
+    describe_counter!(REQUESTS, "Accepted requests, by class.");
+    describe_counter!(ANSWERS, "Requests with a complete response, by class.");
+    describe_counter!(REFUSALS, "Refused requests, by reason.");
+    describe_counter!(RETRIES, "Retried requests, by reason.");
     describe_histogram!(FIRST_TOKEN, "Seconds from arrival to the first token.");
-    describe_histogram!(QUEUE_WAIT, "Seconds from arrival to the first sending.");
-    describe_histogram!(ANSWER_TIME, "Seconds from arrival to the end of the answer.");
-    describe_histogram!(INTER_TOKEN, "Seconds between tokens of one answer.");
+    describe_histogram!(QUEUE_WAIT, "Seconds from arrival to the first attempt.");
+    describe_histogram!(ANSWER_TIME, "Seconds from arrival to the end of the response.");
+    describe_histogram!(INTER_TOKEN, "Seconds between tokens of one response.");
     describe_counter!(PROMPT_TOKENS, "Prompt tokens sent to engines.");
-    describe_counter!(CACHE_HIT_TOKENS, "Prompt tokens that engines took from their caches.");
-    describe_counter!(RECOMPUTED_TOKENS, "Prompt tokens computed again.");
-    describe_gauge!(QUEUE, "Requests that wait in this daemon.");
+    describe_counter!(CACHE_HIT_TOKENS, "Prompt tokens that engines read from their caches.");
+    describe_counter!(RECOMPUTED_TOKENS, "Recomputed prompt tokens.");
+    describe_gauge!(QUEUE, "Requests queued in this daemon.");
     describe_gauge!(IN_FLIGHT, "Requests in flight from this daemon, by server.");
-    describe_gauge!(CONFIG_REVISION, "Configuration revision in force at this daemon.");
-    describe_gauge!(CONFIG_UNCONFIRMED, "Seconds since a control VM that is up to date answered.");
-    describe_counter!(FOLLOW_DOCUMENTS, "Documents handed to followers, by kind.");
-    describe_counter!(FOLLOW_LISTS, "Server lists handed to followers, by kind.");
+    describe_gauge!(CONFIG_REVISION, "Active configuration revision of this daemon.");
+    describe_gauge!(CONFIG_UNCONFIRMED, "Seconds since an up-to-date control VM last responded.");
+    describe_counter!(FOLLOW_DOCUMENTS, "Documents sent to followers, by kind.");
+    describe_counter!(FOLLOW_LISTS, "Server lists sent to followers, by kind.");
     describe_gauge!(FOLLOWERS, "Daemons that follow this control VM.");
-    describe_gauge!(WEIGHTS_PENDING, "Backend servers without the wanted weights, on the leader.");
+    describe_gauge!(WEIGHTS_PENDING, "Backend servers without the desired weights, on the leader.");
     describe_counter!(
         BACKGROUND_CALLS_DROPPED,
         "Cancel calls, probes and digests that were dropped."
     );
-    describe_counter!(MISMATCHED_RESPONSES, "Answers that belonged to another attempt.");
-    describe_counter!(PEERS_REFUSED, "Daemons refused for their keys.");
+    describe_counter!(MISMATCHED_RESPONSES, "Responses that belonged to another attempt.");
+    describe_counter!(PEERS_REFUSED, "Daemons rejected because of their keys.");
     describe_gauge!(CONNECTIONS, "Open connections of callers and operators.");
     describe_gauge!(DRAINING, "1 while this daemon drains.");
-    describe_counter!(CLAIMS_RELEASED, "Claims given back with nothing sent.");
-    describe_counter!(ABORTED_REQUESTS, "Requests cut off at the end of a shutdown's grace.");
+    describe_counter!(CLAIMS_RELEASED, "Claims released before a request was sent.");
+    describe_counter!(
+        ABORTED_REQUESTS,
+        "Requests aborted at the end of a shutdown's grace period."
+    );
 }
 
-/// A counter that appears only with its first event hides that event from rates and alerts.
+/// Initialises all counters to 0, because rates and alerts miss the first event of a counter that
+/// appears only with that event.
 fn initialise_counters() {
     for reason in RefusalReason::ALL.map(RefusalReason::as_str).into_iter().chain(refusal::ALL) {
         counter!(REFUSALS, "reason" => reason).increment(0);
