--- a/src/options.rs
+++ b/src/options.rs
@@ -1,7 +1,8 @@
-//! Flags and environment variables, checked: each error names the remedy.
+//! Command-line flags and environment variables; each error message names a remedy.
 //!
-//! Every flag `--some-name` is also the variable `OLEANDERMOUNT_SOME_NAME`; the flag wins. Values
-//! are taken as text first and checked together, so that one start shows every wrong value.
+//! Every flag `--some-name` can also be set by the variable `OLEANDERMOUNT_SOME_NAME`; the flag
+//! takes precedence. Values are read as text and validated together, so that all invalid values are
+//! reported at once.
 
 pub mod fault;
 pub mod group;
@@ -27,27 +28,28 @@
     std::ffi::OsString,
 };
 
-/// The exit code of a process that was started with wrong options.
+/// Exit code of a process that was started with invalid options.
 pub const USAGE_EXIT: i32 = 2;
 
-/// Everything a daemon is started with.
+/// Complete options of a daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DaemonOptions {
-    /// Who this daemon is.
+    /// VM, failure domain and role.
     pub identity: IdentityOptions,
-    /// Where it listens.
+    /// Listen addresses.
     pub network: NetworkOptions,
-    /// The daemons it starts from and the state it keeps.
+    /// Initial peers, founders and data folder.
     pub group: GroupOptions,
-    /// The files that prove who it is to other daemons. Options that were read always have them.
+    /// Files of the daemon's certificate and key; always present in options returned by
+    /// [`DaemonOptions::parse`].
     pub keys: Option<KeyFiles>,
-    /// What a caller may send.
+    /// Limits on callers' requests.
     pub limits: RequestLimits,
-    /// How it logs and stops.
+    /// Logging, shutdown and disabled policy mechanisms.
     pub runtime: RuntimeOptions,
 }
 
-/// The options as text, before any check.
+/// Options as text, before validation.
 #[derive(Clone, Debug)]
 struct RawOptions {
     identity: identity::RawIdentity,
@@ -59,19 +61,19 @@
 }
 
 impl DaemonOptions {
-    /// Reads the process's own arguments and variables.
+    /// Parses the arguments and environment variables of this process.
     ///
     /// # Errors
-    /// Usage errors, requests for help, and all values that are wrong.
+    /// Usage errors, requests for help or version, and all invalid values.
     pub fn from_process() -> Result<DaemonOptions, OptionsError> {
         let arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
         DaemonOptions::parse(&arguments)
     }
 
-    /// Reads `arguments`, which do not include the program's name, and the process's variables.
+    /// Parses `arguments`, without the program name, and the environment variables of this process.
     ///
     /// # Errors
-    /// Usage errors, requests for help, and all values that are wrong.
+    /// Usage errors, requests for help or version, and all invalid values.
     pub fn parse(arguments: &[OsString]) -> Result<DaemonOptions, OptionsError> {
         let args = Args::from(arguments).set_name("oleandermountd");
         raw_options().run_inner(args).map_err(OptionsError::Usage).and_then(check)
@@ -79,18 +81,19 @@
 }
 
 fn raw_options() -> OptionParser<RawOptions> {
-    let identity = identity::parser().group_help("Who this daemon is");
-    let network = network::parser().group_help("Where it listens");
-    let group = group::parser().group_help("The daemons it starts from and the state it keeps");
-    let keys = keys::parser().group_help("Keys between daemons");
-    let limits = limits::parser().group_help("What a caller may send");
-    let runtime = runtime::parser().group_help("How it logs and stops");
+    let identity = identity::parser().group_help("Identity of this daemon");
+    let network = network::parser().group_help("Listen addresses");
+    let group = group::parser().group_help("Peers, founders and data folder");
+    let keys = keys::parser().group_help("Certificates for connections between daemons");
+    let limits = limits::parser().group_help("Limits on callers' requests");
+    let runtime = runtime::parser().group_help("Logging, shutdown and diagnostics");
     construct!(RawOptions { identity, network, group, keys, limits, runtime })
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
         .descr("Routes language-model traffic with long shared prompts.")
         .footer(
-            "Each flag --some-name is also the variable OLEANDERMOUNT_SOME_NAME; the flag wins.",
+            "Each flag --some-name can also be set by the variable OLEANDERMOUNT_SOME_NAME; the \
+             flag takes precedence.",
         )
 }
 
--- a/src/options/fault.rs
+++ b/src/options/fault.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with options, and how that is shown.
+//! Errors in options and their output.
 
 use {
     super::USAGE_EXIT,
@@ -7,23 +7,23 @@
     std::{error::Error, fmt},
 };
 
-/// One option with a wrong value.
+/// An option with an invalid value or without one.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum OptionFault {
     /// {option} has the value "{value}": {remedy}
     Invalid {
-        /// The flag, with its dashes.
+        /// Flag, with its leading dashes.
         option: String,
-        /// What was given.
+        /// Invalid value.
         value: String,
-        /// What to give instead.
+        /// Description of valid values.
         remedy: String,
     },
     /// {option} is missing: {remedy}
     Missing {
-        /// The flag, with its dashes.
+        /// Flag, with its leading dashes.
         option: String,
-        /// What to give.
+        /// Description of valid values.
         remedy: String,
     },
 }
@@ -31,7 +31,7 @@
 impl Error for OptionFault {}
 
 impl OptionFault {
-    /// The flag at fault, with its dashes.
+    /// Flag with the fault, with its leading dashes.
     pub fn option(&self) -> &str {
         match self {
             OptionFault::Invalid { option, .. } | OptionFault::Missing { option, .. } => option,
@@ -39,18 +39,17 @@
     }
 }
 
-/// Why a process does not start.
+/// Why options cannot be used.
 #[derive(Clone, Debug)]
 pub enum OptionsError {
-    /// The command line has an unknown form, or asks for help or the version.
+    /// The command line is malformed, or asks for help or the version.
     Usage(ParseFailure),
-    /// Values are wrong; all of them are listed.
+    /// Values are invalid or missing; all of them are listed.
     Invalid(Vec<OptionFault>),
 }
 
 impl OptionsError {
-    /// Prints what is to be said, help to standard output and faults to standard error, and gives
-    /// the exit code.
+    /// Prints help to standard output or errors to standard error, and returns the exit code.
     pub fn report(&self) -> i32 {
         match self {
             OptionsError::Usage(failure) => {
@@ -65,7 +64,7 @@
     }
 }
 
-/// Columns of a usual terminal.
+/// Width of help texts in columns; fits a typical terminal.
 pub const HELP_WIDTH: usize = 100;
 
 impl fmt::Display for OptionsError {
--- a/src/options/group.rs
+++ b/src/options/group.rs
@@ -1,4 +1,4 @@
-//! The daemons a daemon starts from, and the state it keeps on disk.
+//! Options of the control group: initial peers, founders and data folder.
 
 use {
     super::{
@@ -14,20 +14,21 @@
     },
 };
 
-/// Voters may fail one at a time with three, two at a time with five, three with seven; more
-/// only make each write slower.
+/// A group of three voters tolerates one failure, five tolerate two and seven tolerate three; more
+/// voters only slow down each write.
 const MAX_FOUNDERS: usize = 7;
 
-/// The daemons a daemon starts from, and the state it keeps.
+/// Initial peers, founders and data folder of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupOptions {
-    /// Daemons to ask first, by VM; the register names the others later. Never holds this VM.
+    /// Addresses of the daemons to contact first, by VM; other daemons are found in the register.
+    /// Does not contain this VM.
     pub peers: BTreeMap<VmId, SocketAddr>,
-    /// The voters that form the control group the first time. Each is this VM or one of `peers`.
-    /// Later starts go by what is on disk.
+    /// Initial voters of the control group, each of which is this VM or one of `peers`. A daemon with
+    /// state on disk ignores them.
     pub founders: BTreeSet<VmId>,
-    /// Where a control replica keeps its state. Present when `role` is control and when this VM
-    /// is a founder.
+    /// Folder for the state of a control replica. Present if `role` is control or if this VM is a
+    /// founder.
     pub data_dir: Option<PathBuf>,
 }
 
@@ -43,19 +44,19 @@
         "peers",
         "OLEANDERMOUNT_PEERS",
         "VM=IP:PORT,…",
-        "Other daemons to ask first, by the addresses of their --peer-listen",
+        "Addresses of other daemons to contact first, as in their --peer-listen",
     );
     let founders = text(
         "founders",
         "OLEANDERMOUNT_FOUNDERS",
         "VM,…",
-        "The voters that form the control group the first time; the same list on each of them",
+        "Initial voters of the control group; must be the same list on each of them",
     );
     let data_dir = text(
         "data-dir",
         "OLEANDERMOUNT_DATA_DIR",
         "PATH",
-        "The data folder; with it the daemon is a control replica as well",
+        "Data folder; if given, the daemon is a control replica as well",
     );
     construct!(RawGroup { peers, founders, data_dir })
 }
@@ -70,7 +71,7 @@
     let founders = founder_set(raw.founders, faults);
     for founder in &founders {
         if *founder != identity.vm && !peers.contains_key(founder) {
-            let remedy = "name its address in --peers, or correct the name";
+            let remedy = "add its address to --peers, or correct the name";
             report_invalid(faults, "--founders", founder, remedy);
         }
     }
@@ -90,9 +91,9 @@
     faults: &mut Vec<OptionFault>,
 ) {
     let remedy = match identity.role {
-        DaemonRole::Control => "a control VM keeps state; give a folder on a disk",
+        DaemonRole::Control => "a control VM stores state; give a folder on a disk",
         DaemonRole::Entry if founders.contains(&identity.vm) => {
-            "this VM is a founder and keeps state; give a folder on a disk"
+            "this VM is a founder and stores state; give a folder on a disk"
         }
         DaemonRole::Entry => return,
     };
@@ -118,7 +119,7 @@
         match (parts, address) {
             (Some((vm, _)), Some(address)) if is_name(vm) => {
                 if peers.insert(vm.to_owned(), address).is_some() {
-                    report_invalid(faults, "--peers", vm, "it is named twice; keep one address");
+                    report_invalid(faults, "--peers", vm, "it is listed twice; keep one address");
                 }
             }
             _ => {
@@ -137,11 +138,11 @@
             report_invalid(faults, "--founders", &item, NAME_REMEDY);
         }
         if !founders.insert(item.clone()) {
-            report_invalid(faults, "--founders", item, "it is named twice; name each voter once");
+            report_invalid(faults, "--founders", item, "it is listed twice; list each voter once");
         }
     }
     if founders.len() > MAX_FOUNDERS {
-        let remedy = format!("name at most {MAX_FOUNDERS} voters, spread over failure domains");
+        let remedy = format!("list at most {MAX_FOUNDERS} voters, in different failure domains");
         report_invalid(faults, "--founders", founders.len(), remedy);
     }
     founders
--- a/src/options/identity.rs
+++ b/src/options/identity.rs
@@ -1,4 +1,4 @@
-//! Who a daemon is: its VM, its failure domain and its role.
+//! Options of a daemon's identity: VM, failure domain and role.
 
 use {
     super::{
@@ -9,23 +9,23 @@
     bpaf::{Parser, construct},
 };
 
-/// What a daemon does.
+/// Role of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DaemonRole {
-    /// Serves callers; with a data folder it is a control replica too.
+    /// Serves callers; with a data folder, it is a control replica as well.
     Entry,
-    /// Serves no callers: a VM set aside for control.
+    /// Serves no callers; the VM is dedicated to control.
     Control,
 }
 
-/// Who a daemon is.
+/// Identity of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdentityOptions {
-    /// The VM; unique over the system.
+    /// Name of the VM, unique in the system.
     pub vm: VmId,
-    /// Its failure domain.
+    /// Failure domain of the VM.
     pub failure_domain: FailureDomainId,
-    /// What it does.
+    /// Role of the daemon; an entry by default.
     pub role: DaemonRole,
 }
 
@@ -37,18 +37,14 @@
 }
 
 pub(super) fn parser() -> impl Parser<RawIdentity> {
-    let vm = text("vm", "OLEANDERMOUNT_VM", "ID", "The name of this VM, unique over the system");
-    let failure_domain = text(
-        "failure-domain",
-        "OLEANDERMOUNT_FAILURE_DOMAIN",
-        "ID",
-        "The failure domain this VM stands in",
-    );
+    let vm = text("vm", "OLEANDERMOUNT_VM", "ID", "Name of this VM, unique in the system");
+    let failure_domain =
+        text("failure-domain", "OLEANDERMOUNT_FAILURE_DOMAIN", "ID", "Failure domain of this VM");
     let role = text(
         "role",
         "OLEANDERMOUNT_ROLE",
         "ROLE",
-        "entry (serves callers, the default) or control (set aside for control)",
+        "entry (serves callers, the default) or control (dedicated to control)",
     );
     construct!(RawIdentity { vm, failure_domain, role })
 }
--- a/src/options/keys.rs
+++ b/src/options/keys.rs
@@ -1,4 +1,4 @@
-//! The files that prove to other daemons who this one is.
+//! Options of the certificate and key files that authenticate a daemon to other daemons.
 
 use {
     super::{
@@ -21,11 +21,11 @@
         "authority",
         "OLEANDERMOUNT_AUTHORITY",
         "FILE",
-        "The certificate of the authority that all daemons share (PEM)",
+        "Certificate of the authority of all daemons (PEM)",
     );
     let certificate =
-        text("certificate", "OLEANDERMOUNT_CERTIFICATE", "FILE", "This VM's certificate (PEM)");
-    let key = text("key", "OLEANDERMOUNT_KEY", "FILE", "The private key of the certificate (PEM)");
+        text("certificate", "OLEANDERMOUNT_CERTIFICATE", "FILE", "Certificate of this VM (PEM)");
+    let key = text("key", "OLEANDERMOUNT_KEY", "FILE", "Private key of the certificate (PEM)");
     construct!(RawKeys { authority, certificate, key })
 }
 
@@ -35,8 +35,8 @@
     faults: &mut Vec<OptionFault>,
 ) -> Option<KeyFiles> {
     let remedy = format!(
-        "daemons talk to each other only under keys; make them with `oleandermountctl keys create \
-         --out DIR --vm {}` and give all three files",
+        "daemons authenticate each other by certificates; create them with `oleandermountctl keys \
+         create --out DIR --vm {}` and give all three files",
         identity.vm
     );
     let mut required_file = |option: &str, given: Option<String>| {
--- a/src/options/limits.rs
+++ b/src/options/limits.rs
@@ -1,4 +1,4 @@
-//! What a caller may send, and how long it may take to send it.
+//! Options of the limits on callers' requests.
 
 use {
     super::{
@@ -9,31 +9,32 @@
     std::time::Duration,
 };
 
-/// Usual request heads are under 2 KB; 32 KB leaves room for long cookies of the balancer.
+/// Typical request heads are under 2 KB; 32 KB leaves room for long cookies of the load balancer.
 const DEFAULT_HEAD_BYTES: usize = 32 * 1024;
-/// hyper's parser needs at least this much to take a request at all.
+/// Minimum buffer size that hyper's parser requires.
 const MIN_HEAD_BYTES: usize = 8 * 1024;
 /// A prompt of a million tokens has about 4 MB; JSON escapes can double it.
 const DEFAULT_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// Requests of common clients carry under 30 headers.
+/// Requests of common clients have fewer than 30 headers.
 const DEFAULT_HEADERS: usize = 100;
-/// A head fits in a few packets, so slower senders hold a connection for nothing.
+/// A head fits in a few packets, so a slower sender only occupies a connection.
 const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// The largest body at 2 Mbit a second takes about half a minute.
 const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a caller may send. Each limit is positive.
+/// Limits on callers' requests. Each limit is positive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Bytes of the request line and headers.
+    /// Maximum bytes of the request line and headers.
     pub max_head_bytes: usize,
-    /// Bytes of the body.
+    /// Maximum bytes of the body.
     pub max_body_bytes: usize,
-    /// Number of headers.
+    /// Maximum number of headers.
     pub max_headers: usize,
-    /// From the connection, or the end of the last request, to the end of the head.
+    /// Maximum time from the connection, or from the end of the previous request, to the end of the
+    /// head.
     pub head_timeout: Duration,
-    /// From the end of the head to the end of the body.
+    /// Maximum time from the end of the head to the end of the body.
     pub body_timeout: Duration,
 }
 
@@ -63,31 +64,31 @@
         "max-head-bytes",
         "OLEANDERMOUNT_MAX_HEAD_BYTES",
         "BYTES",
-        "Most bytes of a request's line and headers (default 32768)",
+        "Maximum bytes of the request line and headers (default 32768)",
     );
     let max_body_bytes = text(
         "max-body-bytes",
         "OLEANDERMOUNT_MAX_BODY_BYTES",
         "BYTES",
-        "Most bytes of a request's body (default 8388608)",
+        "Maximum bytes of a request body (default 8388608)",
     );
     let max_headers = text(
         "max-headers",
         "OLEANDERMOUNT_MAX_HEADERS",
         "COUNT",
-        "Most headers of a request (default 100)",
+        "Maximum number of headers of a request (default 100)",
     );
     let head_timeout = text(
         "head-timeout",
         "OLEANDERMOUNT_HEAD_TIMEOUT",
         "DURATION",
-        "Longest time to send a request's head (default 10s)",
+        "Maximum time to send the head of a request (default 10s)",
     );
     let body_timeout = text(
         "body-timeout",
         "OLEANDERMOUNT_BODY_TIMEOUT",
         "DURATION",
-        "Longest time to send a request's body (default 30s)",
+        "Maximum time to send the body of a request (default 30s)",
     );
     construct!(RawLimits {
         max_head_bytes,
--- a/src/options/network.rs
+++ b/src/options/network.rs
@@ -1,4 +1,4 @@
-//! Where a daemon listens: for callers, for operators and for other daemons.
+//! Options of the listen addresses for callers, operators and other daemons.
 
 use {
     super::{
@@ -9,18 +9,18 @@
     std::net::{Ipv4Addr, SocketAddr},
 };
 
-/// Without an option a daemon is reachable from its own VM only, so that nothing is exposed by
-/// leaving an option out.
+/// Ports of the default addresses, which are on the loopback interface, so that omitting an option
+/// exposes nothing to the network.
 const DEFAULT_PORTS: [u16; 3] = [8080, 8081, 8082];
 
-/// Where a daemon listens. The two HTTP addresses differ unless the port is 0.
+/// Listen addresses of a daemon. The two HTTP addresses differ unless the port is 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NetworkOptions {
-    /// Callers' HTTP, over TCP.
+    /// TCP address of the HTTP API for callers.
     pub listen: SocketAddr,
-    /// Operators' HTTP, over TCP.
+    /// TCP address of the HTTP API for operators.
     pub admin_listen: SocketAddr,
-    /// Other daemons' QUIC, over UDP.
+    /// UDP address for QUIC connections of other daemons.
     pub peer_listen: SocketAddr,
 }
 
@@ -36,20 +36,20 @@
         "listen",
         "OLEANDERMOUNT_LISTEN",
         "IP:PORT",
-        "Where callers are served (default 127.0.0.1:8080)",
+        "Address of the HTTP API for callers (default 127.0.0.1:8080)",
     );
     let admin_listen = text(
         "admin-listen",
         "OLEANDERMOUNT_ADMIN_LISTEN",
         "IP:PORT",
-        "Where operators are served (default 127.0.0.1:8081); it has no authentication of its own, \
-         so keep it on a network that only operators reach",
+        "Address of the HTTP API for operators (default 127.0.0.1:8081); it has no authentication, \
+         so use a network that only operators can access",
     );
     let peer_listen = text(
         "peer-listen",
         "OLEANDERMOUNT_PEER_LISTEN",
         "IP:PORT",
-        "Where other daemons connect by QUIC over UDP (default 127.0.0.1:8082)",
+        "UDP address for QUIC connections of other daemons (default 127.0.0.1:8082)",
     );
     construct!(RawNetwork { listen, admin_listen, peer_listen })
 }
--- a/src/options/runtime.rs
+++ b/src/options/runtime.rs
@@ -1,5 +1,4 @@
-//! How a daemon logs, what of its policy is off, and how long it waits for requests in flight when it
-//! stops.
+//! Options of logging, shutdown and disabled policy mechanisms.
 
 use {
     super::{
@@ -12,17 +11,17 @@
     std::time::Duration,
 };
 
-/// A long answer at a slow engine takes some minutes; a stop should cut none.
+/// Long responses of slow engines take several minutes; a shutdown should not abort them.
 const DEFAULT_GRACE: Duration = Duration::from_secs(300);
 
-/// How a daemon logs and stops.
+/// Logging, shutdown and disabled policy mechanisms of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RuntimeOptions {
-    /// How long a stopping daemon waits for requests in flight before it cuts them.
+    /// How long a shutdown waits for requests in flight before it aborts them.
     pub grace: Duration,
-    /// The least urgent level that is logged.
+    /// Least severe level that is logged.
     pub log_level: LevelFilter,
-    /// Mechanisms of the policy that are off; empty but while an operator looks for a cause.
+    /// Disabled policy mechanisms; empty except while an operator diagnoses a problem.
     pub disabled: SafeguardSet,
 }
 
@@ -38,7 +37,7 @@
         "grace",
         "OLEANDERMOUNT_GRACE",
         "DURATION",
-        "How long a stopping daemon waits for requests in flight (default 5m)",
+        "How long a shutdown waits for requests in flight (default 5m)",
     );
     let log_level = text(
         "log-level",
@@ -50,7 +49,7 @@
         "without",
         "OLEANDERMOUNT_WITHOUT",
         "NAMES",
-        "Mechanisms of the policy to switch off while looking for a cause (default none)",
+        "Policy mechanisms to disable for diagnosis (default none)",
     );
     construct!(RawRuntime { grace, log_level, without })
 }
--- a/src/options/values.rs
+++ b/src/options/values.rs
@@ -1,4 +1,4 @@
-//! Turns option texts into values and notes a fault for each that is wrong.
+//! Converts option texts to values and reports a fault for each invalid one.
 
 use {
     super::OptionFault,
@@ -6,11 +6,11 @@
     std::{net::SocketAddr, ops::RangeInclusive, path::PathBuf, time::Duration},
 };
 
-/// The longest accepted name of a VM or failure domain: it stands in logs, metrics and
-/// certificates, where longer names are cut or refused.
+/// Maximum length of the name of a VM or failure domain. Names appear in logs, metrics and
+/// certificates, where longer names are truncated or rejected.
 const MAX_NAME_BYTES: usize = 63;
 
-/// Reads one named option as text.
+/// Parser of an optional named option as text.
 pub(super) fn text(
     flag: &'static str,
     variable: &'static str,
@@ -20,7 +20,7 @@
     long(flag).env(variable).help(help).argument::<String>(metavar).optional()
 }
 
-/// Notes that `option` has a `value` that cannot be used.
+/// Reports an invalid `value` of `option`.
 pub(super) fn report_invalid(
     faults: &mut Vec<OptionFault>,
     option: &str,
@@ -34,17 +34,17 @@
     });
 }
 
-/// Whether `name` can stand in logs, metrics, paths and certificates unchanged.
+/// Whether `name` can appear unchanged in logs, metrics, paths and certificates.
 pub fn is_name(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= MAX_NAME_BYTES
         && name.chars().all(|letter| letter.is_ascii_alphanumeric() || "-_.".contains(letter))
 }
 
-/// What a valid name looks like, for messages.
+/// Description of a valid name for error messages.
 pub const NAME_REMEDY: &str = "use 1 to 63 letters, digits, dots, dashes or underscores";
 
-/// A name that must be present.
+/// Parses a required name.
 pub(super) fn required_name(
     faults: &mut Vec<OptionFault>,
     option: &str,
@@ -66,7 +66,7 @@
     }
 }
 
-/// An address and port.
+/// Parses an IP address with a port.
 pub(super) fn address(
     faults: &mut Vec<OptionFault>,
     option: &str,
@@ -85,7 +85,7 @@
     })
 }
 
-/// A duration such as `500ms` or `30s`, within `range`.
+/// Parses a duration such as `500ms` or `30s`, within `range`.
 pub(super) fn duration(
     faults: &mut Vec<OptionFault>,
     option: &str,
@@ -109,7 +109,7 @@
     }
 }
 
-/// A whole number within `range`.
+/// Parses a whole number within `range`.
 pub(super) fn count(
     faults: &mut Vec<OptionFault>,
     option: &str,
@@ -129,13 +129,13 @@
     }
 }
 
-/// A file that must exist and be readable.
+/// Parses the path of a file that must exist and be readable.
 pub(super) fn file(faults: &mut Vec<OptionFault>, option: &str, given: String) -> PathBuf {
     let path = PathBuf::from(&given);
     if let Err(error) = std::fs::File::open(&path) {
         let remedy = format!(
-            "the file cannot be read ({error}); make it with `oleandermountctl keys create` or \
-             give its right path"
+            "the file cannot be read ({error}); create it with `oleandermountctl keys create` or \
+             correct the path"
         );
         report_invalid(faults, option, given, remedy);
     }
