--- a/src/operator_client.rs
+++ b/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! The operators' client: commands, the connection to daemons, and what is printed.
+//! Command-line client for operators: commands, connections to daemons, and output.
 
 pub mod changes;
 pub mod commands;
@@ -22,8 +22,8 @@
     std::{ffi::OsString, process::ExitCode},
 };
 
-/// Runs one command and prints what came of it: results to standard output, the rest to standard
-/// error.
+/// Runs one command. Prints results to standard output and errors to standard error; with `--json`,
+/// errors are printed to standard output as well.
 pub fn run(arguments: &[OsString]) -> ExitCode {
     let args = Args::from(arguments).set_name("oleandermountctl");
     let invocation = match commands::options().run_inner(args) {
@@ -54,10 +54,10 @@
     ExitCode::from(u8::try_from(code).unwrap_or(u8::MAX))
 }
 
-/// Runs one command.
+/// Runs one command and returns its report.
 ///
 /// # Errors
-/// What the command was refused for, or why its outcome is not known.
+/// Why the command failed, or why its outcome is unknown.
 pub fn execute(invocation: ClientInvocation) -> Result<ClientReport, ClientError> {
     match invocation.command {
         ClientCommand::KeysCreate { out, vms } => local::create_keys(&out, &vms),
@@ -67,10 +67,10 @@
             explain_log::explain(&logs, &request)
         }
         command => {
-            let runtime = tokio::runtime::Builder::new_current_thread()
-                .enable_all()
-                .build()
-                .map_err(|error| ClientError::Local(format!("no runtime starts: {error}")))?;
+            let runtime =
+                tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(
+                    |error| ClientError::Local(format!("cannot start the runtime: {error}")),
+                )?;
             let connection = AdminConnection::new(&invocation.connection.admin)?;
             runtime.block_on(execute_remote(command, &connection))
         }
@@ -105,6 +105,8 @@
         ClientCommand::Explain { request, .. } => queries::explain(connection, request).await,
         ClientCommand::KeysCreate { .. }
         | ClientCommand::KeysOrganisation
-        | ClientCommand::Check { .. } => unreachable!("local commands are run without a daemon"),
+        | ClientCommand::Check { .. } => {
+            unreachable!("local commands are executed without a connection")
+        }
     }
 }
--- a/src/operator_client/changes.rs
+++ b/src/operator_client/changes.rs
@@ -1,4 +1,4 @@
-//! Commands that change something.
+//! Commands that change the configuration or the state of daemons.
 
 use {
     super::{
@@ -21,38 +21,39 @@
     http::Method,
 };
 
-/// Bytes of a new operation id: no two operators ever draw the same.
+/// Length of a random operation id in bytes, long enough to avoid collisions.
 const OPERATION_BYTES: usize = 16;
 
-/// `inventory apply`.
+/// `inventory apply`: activates the register of a file.
 pub async fn apply_register(
     connection: &AdminConnection,
     options: ApplyOptions,
 ) -> Result<ClientReport, ClientError> {
     let text = read_file(&options.file)?;
     let register = check_register(&text).map_err(|faults| invalid_file(&options.file, faults))?;
-    let operation = operation_of(&options)?;
+    let operation = choose_operation(&options)?;
     let (expected, resend_id) = (options.expect_revision, operation.clone());
     let change = RegisterChange { operation, expected, register };
     let result = connection.change(Method::PUT, "/v1/register", &change).await;
     report_change(result, resend_id)
 }
 
-/// `rules apply`.
+/// `rules apply`: activates the rules of a file.
 pub async fn apply_rules(
     connection: &AdminConnection,
     options: ApplyOptions,
 ) -> Result<ClientReport, ClientError> {
     let rules = read_rules(connection, &options).await?;
-    let operation = operation_of(&options)?;
+    let operation = choose_operation(&options)?;
     let (expected, resend_id) = (options.expect_revision, operation.clone());
     let change = RulesChange { operation, expected, rules };
     let result = connection.change(Method::PUT, "/v1/rules", &change).await;
     report_change(result, resend_id)
 }
 
-/// Checks the rules here, where faults have lines, if the register in force is the one that they
-/// were made for. A resend is not checked against a later register: the daemon tells its result.
+/// Parses the rules, and validates them if the expected revision is active, because only the client
+/// can report the lines of faults. A resend is not validated against a later register; the daemon
+/// returns its original result.
 async fn read_rules(
     connection: &AdminConnection,
     options: &ApplyOptions,
@@ -67,8 +68,9 @@
     rules.map_err(|faults| invalid_file(&options.file, faults))
 }
 
-/// Says the id before anything is sent, so that it is known whatever happens to this process.
-fn operation_of(options: &ApplyOptions) -> Result<OperationId, ClientError> {
+/// Chooses the operation id and prints it before the change is sent, so that the operator can resend
+/// the change if this process is interrupted.
+fn choose_operation(options: &ApplyOptions) -> Result<OperationId, ClientError> {
     let operation = match &options.operation_id {
         Some(operation) => operation.clone(),
         None => random_hex(OPERATION_BYTES)?,
@@ -91,7 +93,7 @@
     Ok(ClientReport::text(&done, text))
 }
 
-/// `replica replace`, `replica remove` and `drain`.
+/// `replica replace`, `replica remove` and `drain`: sends an order about a VM to `path`.
 pub async fn post_order(
     connection: &AdminConnection,
     path: &str,
--- a/src/operator_client/commands.rs
+++ b/src/operator_client/commands.rs
@@ -1,4 +1,4 @@
-//! The commands and their options.
+//! Commands of the client and their options.
 
 use {
     crate::ids::{OperationId, RequestId, Revision, VmId},
@@ -6,112 +6,112 @@
     std::{path::PathBuf, time::Duration},
 };
 
-/// Where a daemon's operators' address is unless options say otherwise.
+/// Default operators' address of a daemon.
 const DEFAULT_ADMIN: &str = "http://127.0.0.1:8081";
-/// Configuration is in force everywhere within seconds; a minute leaves room for restarts.
+/// A configuration is active on all daemons within seconds; a minute allows for restarts.
 const DEFAULT_WAIT: Duration = Duration::from_secs(60);
-/// Rows that fit on a screen.
+/// Default number of table rows; fits on a screen.
 const DEFAULT_ROWS: usize = 50;
 
-/// What every command takes.
+/// Options that all commands share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionOptions {
-    /// Operators' addresses of daemons, tried in turn; empty for commands that ask none.
+    /// Operators' addresses of daemons, tried in order; empty for local commands.
     pub admin: Vec<String>,
-    /// Whether results are printed as JSON in place of tables.
+    /// Whether results are printed as JSON instead of tables.
     pub json: bool,
 }
 
-/// One run of the client.
+/// A parsed command line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientInvocation {
-    /// Where to and how to print.
+    /// Addresses and output format.
     pub connection: ConnectionOptions,
-    /// What to do.
+    /// Command to run.
     pub command: ClientCommand,
 }
 
-/// A register or a rule set to put in force.
+/// Options of commands that activate a register or a rule set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApplyOptions {
-    /// The file.
+    /// Path of the register or the rule set.
     pub file: PathBuf,
-    /// The revision the operator saw.
+    /// Active revision that the change is based on; 0 before the first.
     pub expect_revision: Revision,
-    /// The id of an earlier try, so that this is a resend; otherwise a new one is made.
+    /// Operation id of an earlier attempt, to resend it; if absent, a new one is generated.
     pub operation_id: Option<OperationId>,
 }
 
-/// What the client can do.
+/// Commands of the client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientCommand {
-    /// Put a register in force.
+    /// Activate a register.
     InventoryApply(ApplyOptions),
-    /// Put a rule set in force.
+    /// Activate a rule set.
     RulesApply(ApplyOptions),
-    /// Show the configuration in force.
+    /// Show the active configuration.
     ConfigShow,
-    /// Show the latest changes.
+    /// Show the latest configuration changes.
     ConfigHistory,
-    /// Wait until a revision is in force everywhere.
+    /// Wait until a revision is active on all VMs.
     ConfigWait {
-        /// The revision.
+        /// Revision to wait for; a later one satisfies the command as well.
         revision: Revision,
-        /// How long to wait.
+        /// Maximum time to wait.
         timeout: Duration,
     },
-    /// Show each daemon's state.
+    /// Show the state of each daemon.
     Status,
     /// Show the backend servers.
     Servers,
-    /// Show the heaviest organisations.
+    /// Show the organisations with the most usage.
     Organisations {
-        /// How many.
+        /// Maximum number of rows.
         limit: usize,
     },
     /// Show the control replicas.
     ReplicaList,
-    /// Take in the present disk of a VM as a control replica.
+    /// Add the current disk of a VM to the control group, replacing an earlier disk of the VM.
     ReplicaReplace {
-        /// The VM.
+        /// VM of the replica.
         vm: VmId,
     },
-    /// Take a VM out of the control replicas.
+    /// Remove a VM from the control group.
     ReplicaRemove {
-        /// The VM.
+        /// VM of the replica.
         vm: VmId,
     },
-    /// Make a daemon take nothing new and finish what it has.
+    /// Drain a daemon: it refuses new requests and completes those in flight.
     Drain {
-        /// The VM.
+        /// VM of the daemon.
         vm: VmId,
     },
-    /// Make the authority and VMs' certificates.
+    /// Create the authority and certificates of VMs.
     KeysCreate {
-        /// The folder.
+        /// Folder for the files.
         out: PathBuf,
-        /// The VMs.
+        /// VMs to create certificates for.
         vms: Vec<VmId>,
     },
-    /// Make a key of an organisation.
+    /// Create an API key of an organisation.
     KeysOrganisation,
-    /// Check files without a daemon.
+    /// Validate files without a daemon.
     Check {
-        /// A register, or a register with rules.
+        /// File with a register, or with a register and rules.
         file: PathBuf,
-        /// Rules in a file of their own.
+        /// Separate file with rules.
         rules: Option<PathBuf>,
     },
-    /// Tell where a request went and why.
+    /// Explain how a request was processed.
     Explain {
-        /// Files with the daemons' logs; without any, the daemons are asked.
+        /// Log files of daemons; if empty, the daemons are queried.
         logs: Vec<PathBuf>,
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
 }
 
-/// The whole command line.
+/// Parser of the complete command line.
 pub fn options() -> OptionParser<ClientInvocation> {
     let configuration = configuration_commands();
     let daemons = daemon_commands();
@@ -119,10 +119,10 @@
     construct!([configuration, daemons, offline])
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
-        .descr("Drives and watches oleandermount.")
+        .descr("Controls and monitors oleandermount.")
         .footer(
-            "Exit codes: 0 done, 1 refused, 2 usage, 3 unreachable or unknown outcome. Each \
-             command has its own --help.",
+            "Exit codes: 0 success, 1 refused, 2 usage error, 3 unreachable or unknown outcome. \
+             Each command has its own --help.",
         )
 }
 
@@ -131,7 +131,7 @@
         .env("OLEANDERMOUNT_ADMIN_URLS")
         .help(
             "Operators' addresses of daemons such as http://10.0.0.7:8081, separated by commas or \
-             spaces and tried in turn (default http://127.0.0.1:8081)",
+             spaces and tried in order (default http://127.0.0.1:8081)",
         )
         .argument::<String>("URLS")
         .fallback(DEFAULT_ADMIN.to_owned())
@@ -143,10 +143,10 @@
 }
 
 fn json_switch() -> impl Parser<bool> {
-    long("json").help("Print JSON in place of tables").switch()
+    long("json").help("Print JSON instead of tables").switch()
 }
 
-/// Makes a command that asks no daemon.
+/// Parser of a command that does not contact a daemon.
 fn local_command(
     name: &'static str,
     help: &'static str,
@@ -156,7 +156,7 @@
     construct!(ClientInvocation { connection, command }).to_options().descr(help).command(name)
 }
 
-/// Makes a command of its own options and those that every command takes.
+/// Parser of a command that contacts daemons.
 fn remote_command(
     name: &'static str,
     help: &'static str,
@@ -176,10 +176,10 @@
 
 fn apply_options() -> impl Parser<ApplyOptions> {
     let expect_revision = long("expect-revision")
-        .help("The revision in force that the change was made from; 0 before the first")
+        .help("Active revision that the change is based on; 0 before the first")
         .argument("N");
     let operation_id = long("operation-id")
-        .help("The id of an earlier try whose answer was lost; it gets the first result")
+        .help("Id of an earlier attempt whose response was lost; returns the original result")
         .argument("ID")
         .optional();
     let file = positional("FILE").help("TOML or JSON");
@@ -189,82 +189,85 @@
 fn configuration_commands() -> impl Parser<ClientInvocation> {
     let inventory = command_group(
         "inventory",
-        "Changes the asset register",
+        "Change the asset register",
         remote_command(
             "apply",
-            "Put the register of a file in force",
+            "Activate the register of a file",
             apply_options().map(ClientCommand::InventoryApply),
         ),
     );
     let rules = command_group(
         "rules",
-        "Changes the rules",
+        "Change the rules",
         remote_command(
             "apply",
-            "Put the rules of a file in force",
+            "Activate the rules of a file",
             apply_options().map(ClientCommand::RulesApply),
         ),
     );
     let show = remote_command(
         "show",
-        "Show the configuration in force",
+        "Show the active configuration",
         bpaf::pure(ClientCommand::ConfigShow),
     );
     let history = remote_command(
         "history",
-        "Show the latest changes",
+        "Show the latest configuration changes",
         bpaf::pure(ClientCommand::ConfigHistory),
     );
-    let revision = long("revision").help("The revision to wait for").argument("N");
+    let revision = long("revision").help("Revision to wait for").argument("N");
     let timeout = long("timeout")
-        .help("How long to wait (default 1m)")
+        .help("Maximum time to wait (default 1m)")
         .argument::<String>("DURATION")
         .parse(|text| humantime::parse_duration(&text))
         .fallback(DEFAULT_WAIT);
     let wait = remote_command(
         "wait",
-        "Wait until a revision is in force everywhere, and say where it is not",
+        "Wait until a revision is active on all VMs, and list the VMs where it is not",
         construct!(ClientCommand::ConfigWait { revision, timeout }),
     );
     let config = command_group(
         "config",
-        "Shows and follows the configuration",
+        "Show and monitor the configuration",
         construct!([show, history, wait]),
     );
     construct!([inventory, rules, config])
 }
 
 fn daemon_commands() -> impl Parser<ClientInvocation> {
-    let status =
-        remote_command("status", "Show each daemon's state", bpaf::pure(ClientCommand::Status));
+    let status = remote_command(
+        "status",
+        "Show the state of each daemon",
+        bpaf::pure(ClientCommand::Status),
+    );
     let servers = remote_command(
         "servers",
-        "Show the backend servers as one daemon sees them",
+        "Show the state of the backend servers from one daemon's view",
         bpaf::pure(ClientCommand::Servers),
     );
     let limit = long("limit")
-        .help("How many rows (default 50, at most 1000)")
+        .help("Maximum number of rows (default 50, at most 1000)")
         .argument("N")
         .fallback(DEFAULT_ROWS);
     let organisations = remote_command(
         "organisations",
-        "Show the organisations that use one daemon most",
+        "Show the organisations with the most usage of one daemon",
         construct!(ClientCommand::Organisations { limit }),
     );
     let drain = remote_command(
         "drain",
-        "Make a daemon take nothing new and finish what it has; SIGTERM then ends it",
+        "Make a daemon refuse new requests and complete those in flight; SIGTERM then stops it",
         vm_argument().map(|vm| ClientCommand::Drain { vm }),
     );
     let request =
-        positional("REQUEST-ID").help("As the answer's X-Oleandermount-Request-Id has it");
+        positional("REQUEST-ID").help("Value of X-Oleandermount-Request-Id in the response");
     let logs = long("log")
-        .help("A file with a daemon's log, read in place of asking daemons; may be repeated")
+        .help("Log file of a daemon, read instead of querying daemons; may be repeated")
         .argument("FILE")
         .many();
     let explain = remote_command(
         "explain",
-        "Tell where a request went and why",
+        "Explain how a request was processed and why",
         construct!(ClientCommand::Explain { logs, request }),
     );
     let replica = replica_commands();
@@ -276,46 +279,49 @@
         remote_command("list", "Show the control replicas", bpaf::pure(ClientCommand::ReplicaList));
     let replace = remote_command(
         "replace",
-        "Take in the present disk of a VM in place of any earlier one",
+        "Add the current disk of a VM to the control group, replacing any earlier one",
         vm_argument().map(|vm| ClientCommand::ReplicaReplace { vm }),
     );
     let remove = remote_command(
         "remove",
-        "Take a VM out of the control replicas",
+        "Remove a VM from the control group",
         vm_argument().map(|vm| ClientCommand::ReplicaRemove { vm }),
     );
     command_group(
         "replica",
-        "Shows and changes the control replicas",
+        "Show and change the control replicas",
         construct!([list, replace, remove]),
     )
 }
 
 fn vm_argument() -> impl Parser<VmId> {
-    positional("VM").help("The VM's name")
+    positional("VM").help("Name of the VM")
 }
 
 fn offline_commands() -> impl Parser<ClientInvocation> {
-    let rules = long("rules").help("Rules in a file of their own").argument("FILE").optional();
-    let file = positional("FILE").help("A register, or a register with rules; TOML or JSON");
+    let rules = long("rules").help("Separate file with rules").argument("FILE").optional();
+    let file =
+        positional("FILE").help("File with a register, or with a register and rules; TOML or JSON");
     let check = local_command(
         "check",
-        "Check a register and rules without a daemon, and name all faults",
+        "Validate a register and rules without a daemon, and report all faults",
         construct!(ClientCommand::Check { rules, file }),
     );
-    let out = long("out").help("The folder; an authority in it is used again").argument("DIR");
+    let out =
+        long("out").help("Folder for the files; an authority in it is reused").argument("DIR");
     let vms =
-        long("vm").help("A VM to make a certificate for; may be repeated").argument("ID").many();
+        long("vm").help("VM to create a certificate for; may be repeated").argument("ID").many();
     let create = local_command(
         "create",
-        "Make the daemons' authority, or use the one in the folder, and VMs' certificates",
+        "Create certificates of VMs, and the authority of the daemons if the folder has none",
         construct!(ClientCommand::KeysCreate { out, vms }),
     );
     let organisation = local_command(
         "organisation",
-        "Make a key for an organisation's callers, and its digest for the register",
+        "Create an API key for an organisation's callers, and its digest for the register",
         bpaf::pure(ClientCommand::KeysOrganisation),
     );
-    let keys = command_group("keys", "Makes keys", construct!([create, organisation]));
+    let keys =
+        command_group("keys", "Create keys and certificates", construct!([create, organisation]));
     construct!([check, keys])
 }
--- a/src/operator_client/connection.rs
+++ b/src/operator_client/connection.rs
@@ -1,4 +1,4 @@
-//! Speaks HTTP to daemons, one address after the other.
+//! HTTP client for the operators' API of daemons, with failover between addresses.
 
 use {
     super::error::ClientError,
@@ -14,37 +14,37 @@
     std::time::Duration,
 };
 
-/// A daemon that does not take a connection by then is down or cut off.
+/// A daemon that accepts no connection within this time is considered unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// A change waits for a quorum, which may just be electing a leader.
+/// A change waits for a quorum, which may be electing a leader.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The largest register with its rules stays well below this.
+/// Limit for response bodies; the largest register with its rules is much smaller.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// What one daemon made of one request.
+/// Outcome of one request to one daemon.
 #[derive(Clone, Debug)]
 pub enum RequestOutcome {
-    /// The body of a 200.
+    /// The daemon responded with status 200 and this body.
     Answered(Bytes),
-    /// The daemon refused.
+    /// The daemon refused the request.
     Refused(Box<OperatorFault>),
-    /// Nothing reached a daemon.
+    /// The request did not reach a daemon.
     NotSent(String),
-    /// The request was sent and its answer lost.
+    /// The request was sent, but its response was not received.
     ResponseLost(String),
 }
 
-/// The operators' addresses that a command may use.
+/// HTTP client with the operators' addresses of daemons.
 pub struct AdminConnection {
     client: Client<HttpConnector, Full<Bytes>>,
     addresses: Vec<Uri>,
 }
 
 impl AdminConnection {
-    /// Takes addresses such as `http://10.0.0.7:8081`.
+    /// Creates a client for addresses such as `http://10.0.0.7:8081`.
     ///
     /// # Errors
-    /// No address, or one of another form.
+    /// `Usage` if there is no address or one is malformed.
     pub fn new(addresses: &[String]) -> Result<Self, ClientError> {
         if addresses.is_empty() {
             let text = "--admin and OLEANDERMOUNT_ADMIN_URLS are empty: give at least one address";
@@ -62,22 +62,22 @@
             .collect::<Result<Vec<_>, _>>()?;
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // The library would send again by itself what a broken connection may have carried; here
-        // each sending is counted, so that an unknown outcome is told.
+        // By default hyper retries requests that a broken connection may have transmitted. Each
+        // request must be sent once, so that an unknown outcome is reported.
         let client =
             Client::builder(TokioExecutor::new()).retry_canceled_requests(false).build(connector);
         Ok(AdminConnection { client, addresses })
     }
 
-    /// The addresses, in the order in which they are tried.
+    /// Addresses in the order in which they are tried.
     pub fn addresses(&self) -> &[Uri] {
         &self.addresses
     }
 
-    /// Asks one daemon after the other until one answers.
+    /// Sends a GET request to one daemon after the other until one returns a result.
     ///
     /// # Errors
-    /// The last refusal, or `Unreachable` when there was none.
+    /// The last refusal, or `Unreachable` if no daemon responded.
     pub async fn query<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
         let mut refused = None;
         let mut failures = Vec::new();
@@ -93,10 +93,10 @@
         Err(refused.unwrap_or(ClientError::Unreachable(failures)))
     }
 
-    /// Asks the daemon at one address.
+    /// Sends a GET request to the daemon at one address.
     ///
     /// # Errors
-    /// Its refusal, or `Unreachable`.
+    /// The refusal of the daemon, or `Unreachable`.
     pub async fn query_one<T: DeserializeOwned>(
         &self,
         address: &Uri,
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Sends a change or an order to one daemon after the other until its outcome is known. That
-    /// is safe since a change carries its operation id, and the orders are idempotent.
+    /// Sends a change or an order to one daemon after the other until its outcome is known. Resending
+    /// is safe because a change has an operation id and orders are idempotent.
     ///
     /// # Errors
-    /// A refusal; `Unreachable` when nothing was sent; `OutcomeUnknown` when something was and no
-    /// daemon could tell what came of it.
+    /// A refusal; `Unreachable` if nothing was sent; `OutcomeUnknown` if something was sent and no
+    /// daemon reported the outcome.
     pub async fn change<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -131,7 +131,7 @@
         for address in &self.addresses {
             match self.send(address, method.clone(), path, body.clone()).await {
                 RequestOutcome::Answered(body) => return parse_response(&body),
-                // A conflict is what the log itself decided, so earlier tries lost as well.
+                // The replicated log decides conflicts, so earlier attempts had no effect either.
                 RequestOutcome::Refused(fault) if fault.code == "conflict" => {
                     return Err(ClientError::Refused(fault));
                 }
@@ -165,7 +165,7 @@
             Err(error) => return RequestOutcome::NotSent(format!("{address}: {error}")),
         };
         match tokio::time::timeout(RESPONSE_TIMEOUT, self.client.request(request)).await {
-            Err(_) => RequestOutcome::ResponseLost(format!("{address}: no answer in time")),
+            Err(_) => RequestOutcome::ResponseLost(format!("{address}: no response in time")),
             Ok(Err(error)) if error.is_connect() => {
                 RequestOutcome::NotSent(format!("{address}: cannot connect"))
             }
@@ -184,7 +184,7 @@
     let body = match tokio::time::timeout(RESPONSE_TIMEOUT, body).await {
         Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(error)) => return RequestOutcome::ResponseLost(format!("{address}: {error}")),
-        Err(_) => return RequestOutcome::ResponseLost(format!("{address}: the answer broke off")),
+        Err(_) => return RequestOutcome::ResponseLost(format!("{address}: incomplete response")),
     };
     if status == StatusCode::OK {
         return RequestOutcome::Answered(body);
@@ -192,7 +192,9 @@
     match serde_json::from_slice::<FaultBody>(&body) {
         Ok(body) => RequestOutcome::Refused(Box::new(body.error)),
         Err(_) => {
-            let message = format!("{address} answered {status}; is it an operators' address?");
+            let message = format!(
+                "{address} responded with {status}; check that it is an operators' address"
+            );
             RequestOutcome::Refused(Box::new(OperatorFault::unknown("not_understood", message)))
         }
     }
@@ -201,7 +203,7 @@
 fn parse_response<T: DeserializeOwned>(body: &Bytes) -> Result<T, ClientError> {
     serde_json::from_slice(body).map_err(|error| {
         let message =
-            format!("the answer is not understood ({error}); use a client of the daemon's version");
+            format!("cannot parse the response ({error}); use a client of the daemon's version");
         ClientError::Refused(Box::new(OperatorFault::unknown("not_understood", message)))
     })
 }
--- a/src/operator_client/error.rs
+++ b/src/operator_client/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit code that says so.
+//! Errors of commands and their exit codes.
 
 use {
     crate::{
@@ -10,37 +10,37 @@
     std::{error::Error, fmt},
 };
 
-/// Refused: it did not happen, and the same command will be refused again.
+/// Exit code if the command was refused and had no effect; a retry would be refused as well.
 pub const REFUSED_EXIT: i32 = 1;
-/// No daemon answered, or whether it happened is not known.
+/// Exit code if no daemon responded or the outcome is unknown.
 pub const UNKNOWN_EXIT: i32 = 3;
 
 /// Why a command failed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientError {
-    /// A file or an argument cannot be used; the text names the remedy.
+    /// A file or an argument is invalid; the text names the remedy.
     Usage(String),
-    /// Something on this machine failed; the text names the remedy.
+    /// A local operation failed; the text gives the cause.
     Local(String),
-    /// Files have faults, each listed with its file.
+    /// Files have faults; each fault is listed with its file.
     InvalidFiles(Vec<(String, InventoryFault)>),
-    /// A daemon refused.
+    /// A daemon refused the command.
     Refused(Box<OperatorFault>),
-    /// No daemon could be asked; the texts say why for each address.
+    /// No daemon is reachable; the texts give the cause for each address.
     Unreachable(Vec<String>),
-    /// Whether a change or an order happened is not known.
+    /// It is unknown whether a change or an order was executed.
     OutcomeUnknown {
-        /// The id to send again with, if it was a change.
+        /// Operation id for a resend; `None` for orders.
         operation: Option<OperationId>,
-        /// What was seen at each address.
+        /// Failure at each address.
         failures: Vec<String>,
     },
-    /// A revision is not in force everywhere after the time given.
+    /// A revision is not active on all VMs at the end of the timeout.
     RevisionPending(String),
 }
 
 impl ClientError {
-    /// The process's exit code.
+    /// Exit code of the process.
     pub fn exit_code(&self) -> i32 {
         match self {
             ClientError::Usage(_) => USAGE_EXIT,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The error as operators' scripts read it.
+    /// JSON form of the error for scripts.
     pub fn to_json(&self) -> String {
         let fault = match self {
             ClientError::Refused(fault) => (**fault).clone(),
@@ -90,24 +90,24 @@
                 }
                 match fault.did_happen {
                     DidHappen::No => out.write_str("nothing was changed"),
-                    DidHappen::Unknown => out.write_str("whether it happened is not known"),
+                    DidHappen::Unknown => out.write_str("the outcome is unknown"),
                 }
             }
             ClientError::Unreachable(failures) => write!(
                 out,
-                "no daemon answered; correct --admin or OLEANDERMOUNT_ADMIN_URLS, or look at the \
+                "no daemon responded; correct --admin or OLEANDERMOUNT_ADMIN_URLS, or check the \
                  daemons:\n  {}",
                 failures.join("\n  ")
             ),
             ClientError::OutcomeUnknown { operation: Some(operation), failures } => write!(
                 out,
-                "whether the change happened is not known; send it again with --operation-id \
-                 {operation}, which gets the first result:\n  {}",
+                "the outcome of the change is unknown; resend it with --operation-id {operation}, \
+                 which returns the original result:\n  {}",
                 failures.join("\n  ")
             ),
             ClientError::OutcomeUnknown { operation: None, failures } => write!(
                 out,
-                "whether it happened is not known; give the order again:\n  {}",
+                "the outcome is unknown; repeat the command:\n  {}",
                 failures.join("\n  ")
             ),
             ClientError::RevisionPending(text) => out.write_str(text),
--- a/src/operator_client/explain_log.rs
+++ b/src/operator_client/explain_log.rs
@@ -1,7 +1,7 @@
-//! `explain --log`: from a request's id to the cause of its failure, out of log files alone.
+//! `explain --log`: finds the cause of a request's failure in log files, given the request id.
 //!
-//! The request's own records come first, then what the same process learned, and what happened at the
-//! servers involved, around the time of the failure.
+//! The report lists the records of the request, followed by state changes that the same process
+//! logged and events at the involved servers around the time of the failure.
 
 use {
     super::{error::ClientError, report::ClientReport},
@@ -23,14 +23,14 @@
     },
 };
 
-/// How long before a request's first record and after its last one others may tell its cause: a
-/// server's failure is found by its other requests within a second, and the control VMs' silence
-/// after 1.4 s.
+/// How long before the first record of a request and after its last one other records are included.
+/// Other requests detect the failure of a server within a second, and a follower detects an
+/// unresponsive control VM after 1.4 s.
 const CONTEXT_MARGIN: Duration = Duration::from_millis(1_500);
-/// Records shown of one request, and beside it; further ones are counted.
+/// Maximum number of records shown in each section; further ones are format_counts.
 const SHOWN_RECORDS: usize = 50;
 
-/// Changes of belief that can explain a request's failure at the process that logs them.
+/// State changes that can explain the failure of a request in the process that logs them.
 const RELATED_EVENTS: [&str; 9] = [
     events::SERVER_UNAVAILABLE,
     events::SERVER_RECOVERED,
@@ -43,31 +43,31 @@
     events::RECORDS_DROPPED,
 ];
 
-/// What the logs say of one request.
+/// Explanation of one request from the logs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LogExplanation {
-    /// How it ended, whether it ran, and why.
+    /// How the request ended, whether it ran, and why.
     pub cause: String,
-    /// Its own records, oldest first.
+    /// Records of the request, oldest first.
     pub own: Vec<String>,
-    /// What else happened to the process and the servers involved.
+    /// Other events of the process and the servers involved, oldest first.
     pub around: Vec<String>,
-    /// Failed sendings of other requests in the same span, by server and failure.
+    /// Number of failed attempts of other requests in the same time span, by server and failure.
     pub failures_around: BTreeMap<String, u64>,
-    /// Refusals of other requests in the same span, by reason.
+    /// Number of refusals of other requests in the same time span, by reason.
     pub refusals_around: BTreeMap<String, u64>,
 }
 
-/// Explains a request by log files.
+/// Explains a request from log files.
 ///
 /// # Errors
-/// When a file cannot be read, or none tells of the request.
+/// `Usage` when a file cannot be opened, or when no file has a record of the request.
 pub fn explain(logs: &[PathBuf], request: &RequestId) -> Result<ClientReport, ClientError> {
-    let explanation = explanation_of(logs, request)?;
-    Ok(ClientReport::text(&explanation, as_text(&explanation)))
+    let explanation = build_explanation(logs, request)?;
+    Ok(ClientReport::text(&explanation, format_explanation(&explanation)))
 }
 
-fn explanation_of(logs: &[PathBuf], request: &RequestId) -> Result<LogExplanation, ClientError> {
+fn build_explanation(logs: &[PathBuf], request: &RequestId) -> Result<LogExplanation, ClientError> {
     let mut own = Vec::new();
     for path in logs {
         own.extend(records(path)?.filter(|record| record.request() == request));
@@ -83,7 +83,8 @@
         sources: own.iter().map(|record| record.source.clone()).collect(),
         servers: own.iter().map(|record| record.text(events::SERVER).to_owned()).collect(),
     };
-    let mut explanation = LogExplanation { cause: cause_of(&own), ..LogExplanation::default() };
+    let mut explanation =
+        LogExplanation { cause: describe_cause(&own), ..LogExplanation::default() };
     let mut around = Vec::new();
     for path in logs {
         for record in records(path)?.filter(|record| record.request() != request) {
@@ -91,8 +92,8 @@
         }
     }
     around.sort_by_key(|record: &LogRecord| record.time);
-    explanation.own = lines(&own);
-    explanation.around = lines(&around);
+    explanation.own = format_records(&own);
+    explanation.around = format_records(&around);
     Ok(explanation)
 }
 
@@ -102,7 +103,7 @@
     })
 }
 
-/// Where and when a request was worked on.
+/// Time span, processes and servers of a request.
 struct RequestSpan {
     from: SystemTime,
     until: SystemTime,
@@ -143,45 +144,45 @@
     }
 }
 
-/// How a request ended and why, in a sentence or two.
-fn cause_of(own: &[LogRecord]) -> String {
+/// Describes how a request ended and why, in one or two sentences.
+fn describe_cause(own: &[LogRecord]) -> String {
     let last = own.iter().rev().find(|record| record.event() != events::ATTEMPT_FAILED);
     let failed = own.iter().rev().find(|record| record.event() == events::ATTEMPT_FAILED);
     let Some(last) = last else {
-        return "Its end is not in the logs: the process ended first, or the record was left out."
+        return "Its end is not in the logs: the process ended first, or the record was dropped."
             .to_owned();
     };
     let mut cause = match last.event() {
-        events::REQUEST_REFUSED => refusal_text(last),
+        events::REQUEST_REFUSED => describe_refusal(last),
         events::STREAM_INTERRUPTED => format!(
             "The stream broke off after {} events at {}: {}.",
             last.number("relayed_events"),
             last.text(events::SERVER),
-            reason_text(last.text("reason"))
+            describe_reason(last.text("reason"))
         ),
         events::FAILURE_FORWARDED => format!(
-            "A server answered {}, and no other did better; that answer was passed on.",
+            "A server responded with {}, and no other server succeeded; that response was forwarded.",
             last.number("status")
         ),
         events::CALLER_DISCONNECTED => format!(
-            "The caller closed its connection after {} ms, before it had its answer.",
+            "The caller closed its connection after {} ms, before the response was complete.",
             last.number("waited_ms")
         ),
-        events::ANSWER_COMPLETED | events::STREAM_COMPLETED => completion_text(last),
+        events::ANSWER_COMPLETED | events::STREAM_COMPLETED => describe_completion(last),
         event => format!("Its last record is \"{event}\"."),
     };
     if let Some(failed) = failed {
         let (server, failure) = (failed.text(events::SERVER), failed.text("failure"));
         let _ = write!(
             cause,
-            " Its last failed sending went to {server} ({failure}): {}.",
-            failure_text(failure)
+            " Its last failed attempt was at {server} ({failure}): {}.",
+            describe_failure(failure)
         );
     }
     cause
 }
 
-fn refusal_text(last: &LogRecord) -> String {
+fn describe_refusal(last: &LogRecord) -> String {
     let reason = last.text("reason");
     let ran = match last.number("sent_to") {
         0 => "no server began it".to_owned(),
@@ -190,77 +191,80 @@
     format!(
         "It was refused after {} ms and {ran}. {reason}: {}.",
         last.number("waited_ms"),
-        reason_text(reason)
+        describe_reason(reason)
     )
 }
 
-fn completion_text(last: &LogRecord) -> String {
-    let mut text = format!("It was answered whole after {} ms", last.number("total_ms"));
+fn describe_completion(last: &LogRecord) -> String {
+    let mut text = format!("Its response was complete after {} ms", last.number("total_ms"));
     if last.event() == events::STREAM_COMPLETED {
         let _ = write!(
             text,
-            ", its first event after {} ms and with a longest pause of {} ms",
+            ", with the first event after {} ms and a longest pause of {} ms",
             last.number("first_event_ms"),
             last.number("longest_pause_ms")
         );
     }
-    let _ = write!(text, ", by {}.", last.text(events::SERVER));
+    let _ = write!(text, ", from {}.", last.text(events::SERVER));
     text
 }
 
-/// What a reason of a refusal means for who looks for its cause.
-fn reason_text(reason: &str) -> &'static str {
+/// Explains a refusal reason to operators.
+fn describe_reason(reason: &str) -> &'static str {
     const POLICY: [(RefusalReason, &str); 9] = [
-        (RefusalReason::DeadlineUnreachable, "load: it could not have been answered in time"),
-        (RefusalReason::DeadlinePassed, "its time was over"),
-        (RefusalReason::QueueFull, "load: too many requests waited here"),
-        (RefusalReason::OverShare, "load: its organisation was over its share"),
-        (RefusalReason::NoServer, "no server of its service took work; look at the servers"),
-        (RefusalReason::CrashesServers, "requests like it crashed servers"),
-        (RefusalReason::RetriesExhausted, "servers failed it, and it may not be sent again"),
+        (
+            RefusalReason::DeadlineUnreachable,
+            "load: it could not have completed before its deadline",
+        ),
+        (RefusalReason::DeadlinePassed, "its deadline had passed"),
+        (RefusalReason::QueueFull, "load: too many requests were queued at this daemon"),
+        (RefusalReason::OverShare, "load: its organisation exceeded its share"),
+        (RefusalReason::NoServer, "no server of its service was available; check the servers"),
+        (RefusalReason::CrashesServers, "similar requests crashed servers"),
+        (RefusalReason::RetriesExhausted, "its attempts failed, and it may not be retried"),
         (RefusalReason::ServerFailed, "its server failed, and it may not be repeated"),
-        (RefusalReason::NotResumable, "its server failed, and no other could go on with it"),
+        (RefusalReason::NotResumable, "its server failed, and no other server could resume it"),
     ];
     const FILTERS: [(&str, &str); 11] = [
         (refusal::BAD_REQUEST, "the request is malformed"),
-        (refusal::NO_KEY, "it carries no key"),
-        (refusal::UNKNOWN_KEY, "its key belongs to no organisation of the configuration"),
-        (refusal::NOT_FOUND, "no route of the configuration fits it"),
-        (refusal::TOO_LARGE, "it is over a limit"),
-        (refusal::DRAINING, "this daemon was stopping"),
-        (refusal::HEAD_TIMEOUT, "its head came too slowly"),
-        (refusal::BODY_TIMEOUT, "its body came too slowly"),
-        (refusal::TOO_MANY_OPEN, "this daemon held as many requests as it can"),
+        (refusal::NO_KEY, "it has no API key"),
+        (refusal::UNKNOWN_KEY, "its API key belongs to no organisation of the configuration"),
+        (refusal::NOT_FOUND, "it matches no route of the configuration"),
+        (refusal::TOO_LARGE, "it exceeds a limit"),
+        (refusal::DRAINING, "this daemon was shutting down"),
+        (refusal::HEAD_TIMEOUT, "its head was not received in time"),
+        (refusal::BODY_TIMEOUT, "its body was not received in time"),
+        (refusal::TOO_MANY_OPEN, "this daemon had reached its limit of open requests"),
         (refusal::BACKEND_FAILED, "its server failed, and it may not be repeated"),
-        (refusal::NO_ROUTES, "this daemon knew no configuration yet"),
+        (refusal::NO_ROUTES, "this daemon had no configuration yet"),
     ];
-    let of_policy = POLICY.iter().find(|(known, _)| known.as_str() == reason);
-    let of_filter = || FILTERS.iter().find(|(known, _)| *known == reason).map(|(_, text)| *text);
-    of_policy.map(|(_, text)| *text).or_else(of_filter).unwrap_or("see the measures")
+    let policy_text = POLICY.iter().find(|(known, _)| known.as_str() == reason);
+    let filter_text = || FILTERS.iter().find(|(known, _)| *known == reason).map(|(_, text)| *text);
+    policy_text.map(|(_, text)| *text).or_else(filter_text).unwrap_or("see the metrics")
 }
 
-/// What a failed sending says of whether the request ran.
-fn failure_text(failure: &str) -> &'static str {
+/// Explains what a failed attempt implies about whether the request ran.
+fn describe_failure(failure: &str) -> &'static str {
     match failure {
         "NotConnected" => "no connection was made, so that server did not run it",
-        "Declined" => "the server said that it did not run it",
-        "Stale" => "it was not sent, since the decision was out of date",
+        "Declined" => "the server reported that it did not run it",
+        "Stale" => "it was not sent, because the decision was out of date",
         "Broken" => "the connection ended after it was sent; ask that server under this id",
-        "TimedOut" => "no answer came in time; ask that server under this id",
-        "ServerError" => "the server ran it and answered with its own failure",
+        "TimedOut" => "no response was received in time; ask that server under this id",
+        "ServerError" => "the server ran it and responded with an error",
         _ => "see docs/OPERATIONS.md",
     }
 }
 
-fn lines(records: &[LogRecord]) -> Vec<String> {
-    let mut lines: Vec<String> = records.iter().take(SHOWN_RECORDS).map(line).collect();
+fn format_records(records: &[LogRecord]) -> Vec<String> {
+    let mut lines: Vec<String> = records.iter().take(SHOWN_RECORDS).map(format_record).collect();
     if records.len() > SHOWN_RECORDS {
         lines.push(format!("and {} more", records.len() - SHOWN_RECORDS));
     }
     lines
 }
 
-fn line(record: &LogRecord) -> String {
+fn format_record(record: &LogRecord) -> String {
     const OMITTED_KEYS: [&str; 5] = [events::MESSAGE, "time", "target", "level", "request_id"];
     let fields = record.fields.iter().filter(|(key, _)| !OMITTED_KEYS.contains(&key.as_str()));
     let fields: Vec<String> = fields.map(|(key, value)| format!("{key}={value}")).collect();
@@ -268,7 +272,7 @@
     format!("{time} {} {}: {}", record.source, record.event(), fields.join(" "))
 }
 
-fn as_text(explanation: &LogExplanation) -> String {
+fn format_explanation(explanation: &LogExplanation) -> String {
     let mut text = format!("{}\n\n", explanation.cause);
     let mut section = |title: &str, lines: Vec<String>| {
         if !lines.is_empty() {
@@ -276,11 +280,11 @@
         }
     };
     section("the request", explanation.own.clone());
-    section("\nbeside it, at its process and its servers", explanation.around.clone());
-    let counted = |counts: &BTreeMap<String, u64>| {
+    section("\nother events of its process and its servers", explanation.around.clone());
+    let format_counts = |counts: &BTreeMap<String, u64>| {
         counts.iter().map(|(name, count)| format!("{count} x {name}")).collect()
     };
-    section("\nother requests' failed sendings", counted(&explanation.failures_around));
-    section("\nother requests' refusals", counted(&explanation.refusals_around));
+    section("\nother requests' failed attempts", format_counts(&explanation.failures_around));
+    section("\nother requests' refusals", format_counts(&explanation.refusals_around));
     text
 }
--- a/src/operator_client/local.rs
+++ b/src/operator_client/local.rs
@@ -1,4 +1,4 @@
-//! Commands that need no daemon: checking files and making keys.
+//! Commands that do not contact a daemon: validating files and creating keys.
 
 use {
     super::{error::ClientError, report::ClientReport, table::TextTable},
@@ -16,16 +16,16 @@
     },
 };
 
-/// Bytes of an organisation's key: it cannot be guessed, and its digest needs no salt.
+/// Length of an organisation's API key in bytes; too long to guess, so its digest needs no salt.
 const KEY_BYTES: usize = 32;
-/// Only the owner reads a private key.
+/// File mode of private keys, which only the owner may read.
 const KEY_MODE: u32 = 0o600;
-/// Certificates are public.
+/// File mode of certificates, which are public.
 const CERTIFICATE_MODE: u32 = 0o644;
-/// The authority's name in a key folder; no VM may have it.
+/// Name of the authority's files in a key folder; no VM may have it.
 const AUTHORITY: &str = "authority";
 
-/// Reads a file that the operator named.
+/// Reads a file given by the operator.
 ///
 /// # Errors
 /// `Usage` when it cannot be read.
@@ -35,22 +35,22 @@
     })
 }
 
-/// Faults of one file.
+/// Converts the faults of one file to an error.
 pub fn invalid_file(path: &Path, faults: Vec<InventoryFault>) -> ClientError {
     let file = path.display().to_string();
     ClientError::InvalidFiles(faults.into_iter().map(|fault| (file.clone(), fault)).collect())
 }
 
-/// Random bytes of the system's generator as hexadecimal digits.
+/// Random bytes from the operating system's generator, as hexadecimal digits.
 ///
 /// # Errors
-/// `Local` when the system gives none.
+/// `Local` when the operating system provides none.
 pub fn random_hex(bytes: usize) -> Result<String, ClientError> {
     let mut drawn = vec![0; bytes];
     rustls::crypto::ring::default_provider()
         .secure_random
         .fill(&mut drawn)
-        .map_err(|_| ClientError::Local("the system gives no random bytes".to_owned()))?;
+        .map_err(|_| ClientError::Local("the system provides no random bytes".to_owned()))?;
     Ok(hex::encode(drawn))
 }
 
@@ -64,10 +64,10 @@
     rules: Option<usize>,
 }
 
-/// `check`.
+/// `check`: validates a register and rules.
 ///
 /// # Errors
-/// All faults of both files.
+/// `InvalidFiles` with all faults of both files; `Usage` when a file cannot be read.
 pub fn check_files(file: &Path, rules: Option<&Path>) -> Result<ClientReport, ClientError> {
     let text = read_file(file)?;
     let rules_text = rules.map(read_file).transpose()?;
@@ -103,14 +103,15 @@
     key: PathBuf,
 }
 
-/// `keys create`: an authority that is in the folder signs again, so that VMs are added and
-/// certificates renewed by the same command.
+/// `keys create`: creates certificates of VMs. An existing authority in the folder is reused, so that
+/// the same command adds VMs and renews certificates.
 ///
 /// # Errors
 /// `Usage` for wrong names, `Local` when a file cannot be written.
 pub fn create_keys(out: &Path, vms: &[VmId]) -> Result<ClientReport, ClientError> {
     if vms.iter().any(|vm| vm == AUTHORITY) {
-        let text = "no VM may be named authority, its files would be the authority's; rename it";
+        let text = "a VM must not be named authority, which is reserved for the authority's files; \
+                    rename it";
         return Err(ClientError::Usage(text.to_owned()));
     }
     fs::create_dir_all(out).map_err(|error| write_error(out, &error))?;
@@ -144,7 +145,8 @@
             write_pair(out, AUTHORITY, &pair)?;
             Ok(pair)
         }
-        // A new authority beside a half of the old one would cut off every daemon under the old.
+        // Daemons with certificates of the old authority would not accept those of a new one, so an
+        // incomplete authority is not replaced.
         (true, false) | (false, true) => Err(ClientError::Usage(format!(
             "{} holds only one of authority.pem and authority.key; restore the other, or give an \
              empty folder for a new authority",
@@ -153,7 +155,8 @@
     }
 }
 
-/// The key is written first: a daemon that finds a new certificate finds its key too.
+/// Writes a certificate and its key. The key is written first, so that a daemon that finds a new
+/// certificate finds its key as well.
 fn write_pair(
     out: &Path,
     name: &str,
@@ -166,7 +169,7 @@
     Ok((certificate, key))
 }
 
-/// Renames a finished file into place, so that no reader sees half of one.
+/// Writes a temporary file and renames it, so that readers never see a partial file.
 fn write_atomically(path: &Path, text: &str, mode: u32) -> Result<(), ClientError> {
     let partial = path.with_extension("partial");
     let written = fs::remove_file(&partial)
@@ -186,7 +189,7 @@
 
 fn write_error(path: &Path, error: &std::io::Error) -> ClientError {
     ClientError::Local(format!(
-        "{} cannot be written ({error}); give a folder that you may write to",
+        "{} cannot be written ({error}); give a folder with write permission",
         path.display()
     ))
 }
@@ -197,10 +200,10 @@
     digest: String,
 }
 
-/// `keys organisation`.
+/// `keys organisation`: creates an API key and its digest.
 ///
 /// # Errors
-/// `Local` when the system gives no random bytes.
+/// `Local` when the operating system provides no random bytes.
 pub fn create_organisation_key() -> Result<ClientReport, ClientError> {
     let key = random_hex(KEY_BYTES)?;
     let digest = digest(&key);
--- a/src/operator_client/queries.rs
+++ b/src/operator_client/queries.rs
@@ -1,4 +1,4 @@
-//! Commands that only ask.
+//! Commands that only query daemons.
 
 use {
     super::{
@@ -18,17 +18,18 @@
     std::time::{Duration, Instant},
 };
 
-/// Short beside the seconds that a change takes, long beside the answers of a few hundred daemons.
+/// Short compared with the seconds that a change takes, and long compared with the time in which a
+/// few hundred daemons respond.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Serialize)]
 struct StatusRow {
     admin: String,
-    /// Absent when the daemon did not answer.
+    /// Absent if the daemon did not respond.
     status: Option<DaemonStatus>,
 }
 
-/// `status`: every address is asked, since each daemon knows only itself.
+/// `status`: queries every address, because each daemon knows only its own state.
 pub async fn status(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let mut rows = Vec::new();
     let mut failures = Vec::new();
@@ -88,7 +89,7 @@
     ]
 }
 
-/// `servers`.
+/// `servers`: the backend servers as seen by the first daemon that responds.
 pub async fn servers(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let servers: Vec<ServerStatus> = connection.query("/v1/servers").await?;
     let mut table = TextTable::new(&[
@@ -105,7 +106,7 @@
     for server in &servers {
         let weights: Vec<String> =
             server.weights.iter().map(|(model, version)| format!("{model}@{version}")).collect();
-        let kind = serde_json::to_value(server.kind).expect("a kind is a word");
+        let kind = serde_json::to_value(server.kind).expect("a server kind serializes to a string");
         table.row([
             server.id.clone(),
             server.failure_domain.clone(),
@@ -121,7 +122,7 @@
     Ok(ClientReport::table(&servers, &table))
 }
 
-/// `organisations`.
+/// `organisations`: at most `limit` organisations with the most usage.
 pub async fn organisations(
     connection: &AdminConnection,
     limit: usize,
@@ -143,7 +144,7 @@
     Ok(ClientReport::table(&organisations, &table))
 }
 
-/// `replica list`.
+/// `replica list`: members of the control group.
 pub async fn replicas(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let replicas: Vec<ReplicaEntry> = connection.query("/v1/replicas").await?;
     let mut table = TextTable::new(&["vm", "role", "incarnation", "applied"]);
@@ -163,7 +164,7 @@
     Ok(ClientReport::table(&replicas, &table))
 }
 
-/// `config show`.
+/// `config show`: summary of the active configuration.
 pub async fn config(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let config: ConfigReport = connection.query("/v1/config").await?;
     let register = &config.register;
@@ -187,7 +188,7 @@
     Ok(ClientReport::table(&config, &table))
 }
 
-/// `config history`.
+/// `config history`: the latest configuration changes.
 pub async fn history(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let changes: Vec<ConfigChange> = connection.query("/v1/config/history").await?;
     let mut table = TextTable::new(&["revision", "part", "operation", "digest"]);
@@ -202,7 +203,7 @@
     Ok(ClientReport::table(&changes, &table))
 }
 
-/// `config wait`: asks again until the revision is in force everywhere.
+/// `config wait`: polls until the revision is active on all VMs.
 pub async fn wait(
     connection: &AdminConnection,
     revision: Revision,
@@ -236,14 +237,14 @@
         })
         .collect();
     ClientError::RevisionPending(format!(
-        "revision {} is not in force everywhere after {}; look at these VMs, or wait again:\n  {}",
+        "revision {} is not active on all VMs after {}; check these VMs, or wait again:\n  {}",
         report.revision,
         humantime::format_duration(timeout),
         rows.join("\n  ")
     ))
 }
 
-/// `explain`.
+/// `explain`: trace of a request from all daemons that processed it.
 pub async fn explain(
     connection: &AdminConnection,
     request: RequestId,
@@ -251,7 +252,7 @@
     let known =
         request.chars().all(|letter| letter.is_ascii_alphanumeric() || "-_.".contains(letter));
     if request.is_empty() || !known {
-        let remedy = "give the answer's X-Oleandermount-Request-Id as it stands there";
+        let remedy = "give the exact value of X-Oleandermount-Request-Id from the response";
         return Err(ClientError::Usage(format!("\"{request}\" is no request id: {remedy}")));
     }
     let report: ExplainReport = connection.query(&format!("/v1/explain/{request}")).await?;
--- a/src/operator_client/report.rs
+++ b/src/operator_client/report.rs
@@ -1,8 +1,8 @@
-//! What a command found, as JSON and as a table.
+//! Result of a command, as JSON and as text.
 
 use {super::table::TextTable, serde::Serialize, serde_json::Value as JsonValue};
 
-/// A command's result in both forms.
+/// Result of a command in both formats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientReport {
     json: JsonValue,
@@ -10,23 +10,23 @@
 }
 
 impl ClientReport {
-    /// A result that is shown as a table.
+    /// Creates a result that is displayed as a table.
     pub fn table(value: &impl Serialize, table: &TextTable) -> Self {
         ClientReport::text(value, table.render())
     }
 
-    /// A result that is shown as lines of text.
+    /// Creates a result that is displayed as lines of text.
     pub fn text(value: &impl Serialize, text: String) -> Self {
         let json = serde_json::to_value(value).expect("results have string keys only");
         ClientReport { json, table: text }
     }
 
-    /// The result as one line of JSON.
+    /// Formats the result as one line of JSON.
     pub fn json_text(&self) -> String {
         format!("{}\n", self.json)
     }
 
-    /// The result for people.
+    /// Returns the table or text to display.
     pub fn table_text(&self) -> String {
         self.table.clone()
     }
--- a/src/operator_client/table.rs
+++ b/src/operator_client/table.rs
@@ -1,6 +1,6 @@
-//! Plain tables for terminals.
+//! Plain-text tables for terminals.
 
-/// A table with a head row.
+/// A table with a header row.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TextTable {
     head: Vec<String>,
@@ -8,18 +8,18 @@
 }
 
 impl TextTable {
-    /// A table with these columns and no rows.
+    /// Creates a table without rows; titles are converted to upper case.
     pub fn new(head: &[&str]) -> Self {
         let head = head.iter().map(|title| title.to_uppercase()).collect();
         TextTable { head, rows: Vec::new() }
     }
 
-    /// Adds a row with one cell for each column.
+    /// Adds a row; missing cells at its end stay empty.
     pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
 
-    /// The table as text, columns padded to their widest cell.
+    /// Formats the table, with columns padded to their widest cell.
     pub fn render(&self) -> String {
         let widths: Vec<usize> = (0..self.head.len())
             .map(|column| {
@@ -40,7 +40,7 @@
     }
 }
 
-/// A value, or a dash where there is none.
+/// Formats a value; `None` becomes a dash.
 pub fn or_dash(value: Option<impl ToString>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| value.to_string())
 }
