--- a/examples/quickstart/setup.rs
+++ b/examples/quickstart/setup.rs
@@ -103,13 +103,13 @@
         register.servers.retain(|server| match server.kind {
             ServerKind::Engine => true,
             ServerKind::Service => server.id.ends_with("-1"),
-            ServerKind::PromptKeep => false,
+            ServerKind::CacheStore => false,
         });
         let weights = register.models[0].weights.clone();
         for server in &mut register.servers {
             let address = match server.kind {
                 ServerKind::Service => self.start_service(&server.id, group)?,
-                ServerKind::Engine | ServerKind::PromptKeep => {
+                ServerKind::Engine | ServerKind::CacheStore => {
                     self.start_engine(&server.id, &weights, group)?
                 }
             };
--- a/src/inventory/register.rs
+++ b/src/inventory/register.rs
@@ -93,7 +93,8 @@
     /// Runs a plain service.
     Service,
     /// Stores KV cache for engines.
-    PromptKeep,
+    #[serde(rename = "prompt_keep")]
+    CacheStore,
 }
 
 /// Register entry of a backend server.
--- a/src/inventory/validate/register_checks.rs
+++ b/src/inventory/validate/register_checks.rs
@@ -143,10 +143,10 @@
         (ServerKind::Engine, true) => {
             faults.push(path.clone(), FaultKind::EngineWithoutModel { id })
         }
-        (ServerKind::Service | ServerKind::PromptKeep, false) => {
+        (ServerKind::Service | ServerKind::CacheStore, false) => {
             faults.push(models_path.clone(), FaultKind::UnexpectedModels { id });
         }
-        (ServerKind::Engine, false) | (ServerKind::Service | ServerKind::PromptKeep, true) => {}
+        (ServerKind::Engine, false) | (ServerKind::Service | ServerKind::CacheStore, true) => {}
     }
     for (index, model) in record.models.iter().enumerate() {
         if !register.models.ids.contains(model) {
@@ -172,10 +172,10 @@
                 faults.push(path.key("service"), fault);
             }
         }
-        (ServerKind::Engine | ServerKind::PromptKeep, Some(_)) => {
+        (ServerKind::Engine | ServerKind::CacheStore, Some(_)) => {
             faults.push(path.key("service"), FaultKind::UnexpectedService { id });
         }
-        (ServerKind::Engine | ServerKind::PromptKeep, None) => {}
+        (ServerKind::Engine | ServerKind::CacheStore, None) => {}
     }
 }
 
--- a/src/pipeline/core.rs
+++ b/src/pipeline/core.rs
@@ -56,7 +56,7 @@
 fn policy_view(config: &ActiveConfig) -> PolicyView {
     let register = &config.register;
     let servers =
-        register.servers.iter().filter(|one| one.kind != ServerKind::PromptKeep).map(|one| {
+        register.servers.iter().filter(|one| one.kind != ServerKind::CacheStore).map(|one| {
             let view = ServerView {
                 failure_domain: one.failure_domain.clone(),
                 kind: one.kind,
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -270,7 +270,7 @@
         let make = move || if fair { FairQueue::default() } else { FairQueue::in_arrival_order() };
         self.table.configure(&view, daemons, make);
         let prompt_keeps =
-            view.servers.values().filter(|server| server.kind == ServerKind::PromptKeep);
+            view.servers.values().filter(|server| server.kind == ServerKind::CacheStore);
         self.prompt_keeps = prompt_keeps.count();
         self.view = view;
         self.apply_reachable();
--- a/tests/sample_files.rs
+++ b/tests/sample_files.rs
@@ -23,7 +23,7 @@
         let text = sample(name);
         let register = check_register(&text).expect("a valid register");
         let rules = check_rules(&text, &register).expect("valid rules");
-        let kinds = [ServerKind::Engine, ServerKind::Service, ServerKind::PromptKeep];
+        let kinds = [ServerKind::Engine, ServerKind::Service, ServerKind::CacheStore];
         let counted =
             kinds.map(|kind| register.servers.iter().filter(|server| server.kind == kind).count());
         assert_eq!(counted, sizes, "{name}");
