--- a/tests/fakes/fake_operator.rs
+++ b/tests/fakes/fake_operator.rs
@@ -1,4 +1,4 @@
-//! A daemon's operators' interface over a made-up log, for tests of the client.
+//! Operators' API of a daemon on top of an in-memory log, for tests of the client.
 
 use {
     futures::future::BoxFuture,
@@ -23,18 +23,18 @@
     tokio::{net::TcpListener, sync::watch},
 };
 
-/// What becomes of a proposal.
+/// Outcome of all proposals to a fake daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// It is committed and its answer arrives.
+    /// The proposal is committed and its response arrives.
     Answered,
-    /// It is committed and its answer is lost.
+    /// The proposal is committed and its response is lost.
     ResponseLost,
-    /// No quorum can be reached.
+    /// No quorum is reachable.
     NoQuorum,
 }
 
-/// The log that several daemons share.
+/// In-memory log shared by several fake daemons.
 pub struct FakeLog {
     config: watch::Sender<Arc<ActiveConfig>>,
     outcomes: Mutex<BTreeMap<String, CommandOutcome>>,
@@ -150,8 +150,9 @@
     fn revisions(&self) -> BoxFuture<'_, Vec<VmRevision>> {
         let revision = Some(self.config.borrow().revision);
         let row = VmRevision { vm: "a".to_owned(), failure_domain: "b".to_owned(), revision };
-        let silent = VmRevision { revision: None, vm: "silent".to_owned(), ..row.clone() };
-        Box::pin(async move { vec![row, silent] })
+        let unresponsive =
+            VmRevision { revision: None, vm: "unresponsive".to_owned(), ..row.clone() };
+        Box::pin(async move { vec![row, unresponsive] })
     }
 
     fn drain(&self, vm: VmId) -> BoxFuture<'_, Result<(), SourceError>> {
@@ -166,7 +167,7 @@
     }
 }
 
-/// Serves one daemon's operators' interface until the test's runtime ends; gives its URL.
+/// Serves the operators' API of one daemon until the test's runtime ends, and returns its URL.
 pub async fn serve_operator(
     log: &Arc<FakeLog>,
     outcome: ProposalOutcome,
--- a/tests/log_budget.rs
+++ b/tests/log_budget.rs
@@ -1,7 +1,7 @@
-//! A flood of records holds nobody up, stays within its bound, and leaves room for what failed.
+//! The bounded logger does not block, limits its output and reserves capacity for failures.
 //!
-//! Without the bound a reader of standard output that stalls would stop every request: each record
-//! would wait for it.
+//! Without the bounded queue, a stalled reader of standard output would block every request that
+//! writes a record.
 
 use {
     log::{Level, LevelFilter, Log, Record},
@@ -30,9 +30,10 @@
     }
 }
 
-/// Nobody empties the queue while all is logged: were anything to wait, this test would not end.
+/// Logs more records than the queue can hold while no writer empties it. If logging blocked, this
+/// test would not terminate.
 #[test]
-fn failures_survive_a_flood() {
+fn failures_are_kept_under_load() {
     let budget = LogBudget {
         queue: 64,
         routine_per_second: 10.0,
@@ -55,15 +56,15 @@
     let bytes = sink.0.lock().expect("no writer panics").clone();
     let text = String::from_utf8(bytes).expect("records are text");
     assert!((0..20).all(|number| text.contains(&format!("\"failed {number}\""))), "{text}");
-    assert!(text.lines().count() <= 65, "the queue and the line that tells of the gap");
+    assert!(text.lines().count() <= 65, "the queue and the record of dropped records");
     assert!(text.contains("log records left out") && text.contains("\"count\":"), "{text}");
 }
 
-/// A reader that goes away ends the writer, and logging goes on without it.
+/// A write error ends the writer; logging continues without blocking.
 #[test]
-fn reader_goes_away() {
-    struct Gone;
-    impl Write for Gone {
+fn logging_continues_after_write_error() {
+    struct ClosedPipe;
+    impl Write for ClosedPipe {
         fn write(&mut self, _bytes: &[u8]) -> io::Result<usize> {
             Err(io::ErrorKind::BrokenPipe.into())
         }
@@ -74,16 +75,16 @@
     }
     let (log, writer) = BoundedLog::new(LevelFilter::Info, LogBudget::default());
     record(&log, Level::Warn, "one");
-    writer.run(Gone);
+    writer.run(ClosedPipe);
     (0..5_000).for_each(|_| record(&log, Level::Warn, "more"));
 }
 
-/// What operators saw without it: a caller who asked for paths that do not exist, thousands of times a
-/// second, filled the disk of whoever collects the logs. Warnings have a budget too, and all records
-/// together one in bytes, half of which routine records leave to what failed.
+/// Without limits, a caller that requests thousands of unknown paths per second fills the disk of the
+/// log collector. Warnings are limited as well, and so are the bytes of all records, half of which
+/// are reserved for warnings and errors.
 #[test]
-fn budgets_bound_all_records() {
-    let kept = |budget: LogBudget, level: Level, text: &str| {
+fn limits_apply_to_all_records() {
+    let logged = |budget: LogBudget, level: Level, text: &str| {
         let (log, writer) = BoundedLog::new(LevelFilter::Info, budget);
         (0..1_000).for_each(|_| record(&log, level, text));
         record(&log, Level::Error, "the last failure");
@@ -95,12 +96,12 @@
         (text.lines().filter(|line| line.contains("test")).count(), text.len(), text)
     };
     let few = LogBudget { failures_per_second: 5.0, ..LogBudget::default() };
-    let (lines, _, _) = kept(few, Level::Warn, "failed");
-    // A machine that stands still for ten seconds meanwhile earns the budget ten times more.
+    let (lines, _, _) = logged(few, Level::Warn, "failed");
+    // If the machine pauses for ten seconds during the test, the limit is refilled ten times.
     assert!((5..100).contains(&lines), "{lines} of 1,000 warnings");
     let short =
         LogBudget { routine_per_second: 1e6, bytes_per_second: 20_000.0, ..LogBudget::default() };
-    let (_, bytes, text) = kept(short, Level::Info, &"long ".repeat(100));
+    let (_, bytes, text) = logged(short, Level::Info, &"long ".repeat(100));
     assert!(bytes < 300_000, "{bytes} of some 600,000 bytes");
-    assert!(text.contains("the last failure"), "routine records leave it room");
+    assert!(text.contains("the last failure"), "capacity is reserved for failures");
 }
--- a/tests/operator_client.rs
+++ b/tests/operator_client.rs
@@ -1,4 +1,4 @@
-//! The operators' client against the operators' interface: outcomes, exit codes and remedies.
+//! The operators' client against the operators' API: outcomes, exit codes and remedies.
 
 #[path = "fakes/fake_operator.rs"]
 mod fake_operator;
@@ -41,10 +41,10 @@
         .env("OLEANDERMOUNT_ADMIN_URLS", urls.join(","));
     let output = tokio::task::spawn_blocking(move || client.output())
         .await
-        .expect("it does not panic")
+        .expect("the task does not panic")
         .expect("the client starts");
     ClientRun {
-        code: output.status.code().expect("it exits by itself"),
+        code: output.status.code().expect("the client is not killed by a signal"),
         out: String::from_utf8(output.stdout).expect("UTF-8"),
         err: String::from_utf8(output.stderr).expect("UTF-8"),
     }
@@ -64,10 +64,10 @@
     assert!(status.code == 0 && status.out.contains("does not answer"), "{}", status.out);
 }
 
-/// Two operators apply from the same revision. The first to commit wins; the other's command ends
-/// with 1 and names the winner's digest, and nothing of it comes into force.
+/// Two operators apply changes based on the same revision. The first commit succeeds; the second
+/// command exits with 1, reports the digest of the first change and has no effect.
 #[tokio::test]
-async fn the_second_operator_gets_the_winners_digest() {
+async fn conflict_reports_winning_digest() {
     let log = FakeLog::new();
     let url = serve_operator(&log, ProposalOutcome::Answered, LifeState::Serving).await;
     run(&[&url], "inventory apply samples/tuul.toml --expect-revision 0").await;
@@ -78,12 +78,12 @@
     assert_eq!(log.config().revision, 1);
 }
 
-/// The answer to a change is lost after the commit. Alone, the command ends with 3 and prints the
-/// operation id. Other operators go on, to a register that the change would not fit any more; sent
-/// again under its id it still gets its first result, since that is what happened. With a second
-/// address the client asks there by itself.
+/// The response to a change is lost after the commit. With a single address, the command exits with 3
+/// and prints the operation id. A resend with this id returns the original result even after other
+/// operators have activated a register with which the change is no longer valid. With a second
+/// address, the client resends the change there.
 #[tokio::test]
-async fn a_lost_answer_is_found_again_by_its_operation_id() {
+async fn resend_returns_original_result() {
     let log = FakeLog::new();
     let lossy = serve_operator(&log, ProposalOutcome::ResponseLost, LifeState::Serving).await;
     let good = serve_operator(&log, ProposalOutcome::Answered, LifeState::Serving).await;
@@ -100,7 +100,7 @@
 
     let folder = tempfile::tempdir().expect("a folder");
     let few = folder.path().join("few.toml");
-    fs::write(&few, "weight_loads = 2\n").expect("it can be written");
+    fs::write(&few, "weight_loads = 2\n").expect("the file can be written");
     run(&[&good], &format!("rules apply {} --expect-revision 2", few.display())).await;
     run(&[&good], "inventory apply samples/abay.toml --expect-revision 3").await;
     assert_eq!(log.config().revision, 4);
@@ -108,10 +108,10 @@
     assert_eq!((again.code, &again.json()["revision"]), (0, &JsonValue::from(2)), "{}", again.err);
 }
 
-/// Without a quorum the command ends with 1 and says that nothing happened. When a try before it
-/// may have happened, that promise cannot be made: 3.
+/// Without a quorum, the command exits with 1 and reports that it had no effect. If an earlier attempt
+/// at another address may have been committed, the outcome is unknown and the exit code is 3.
 #[tokio::test]
-async fn no_quorum_promises_only_what_is_true() {
+async fn no_quorum_after_lost_response_is_unknown() {
     let log = FakeLog::new();
     let lossy = serve_operator(&log, ProposalOutcome::ResponseLost, LifeState::Serving).await;
     let alone = serve_operator(&log, ProposalOutcome::NoQuorum, LifeState::Serving).await;
@@ -123,7 +123,7 @@
 }
 
 #[tokio::test]
-async fn rules_that_do_not_fit_are_refused_with_lines() {
+async fn inconsistent_rules_are_refused_with_lines() {
     let log = FakeLog::new();
     let url = serve_operator(&log, ProposalOutcome::Answered, LifeState::Serving).await;
     run(&[&url], "inventory apply samples/tuul.toml --expect-revision 0").await;
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn each_failure_has_its_exit_code() {
+async fn failures_have_exit_codes() {
     let log = FakeLog::new();
     let url = serve_operator(&log, ProposalOutcome::Answered, LifeState::Draining).await;
     let closed = "http://127.0.0.1:1".to_owned();
@@ -153,51 +153,51 @@
         (&url, 2, "check no/such/file", "correct the path"),
         (&url, 2, "explain r/1", "request id"),
         (&url, 2, "no-such-command", "no-such-command"),
-        (&url, 3, "config wait --revision 0 --timeout 1ms", "silent"),
+        (&url, 3, "config wait --revision 0 --timeout 1ms", "unresponsive"),
         (&closed, 3, "servers", "--admin"),
         (&closed, 3, "inventory apply samples/tuul.toml --expect-revision 0", "cannot connect"),
     ];
-    for (url, code, line, word) in cases {
+    for (url, code, line, text) in cases {
         let run = run(&[url], line).await;
         assert_eq!(run.code, code, "{line}: {}", run.err);
-        assert!(format!("{}{}", run.out, run.err).contains(word), "{line}: {}", run.err);
+        assert!(format!("{}{}", run.out, run.err).contains(text), "{line}: {}", run.err);
     }
 }
 
-async fn raw(url: &str, request: String) -> String {
+async fn exchange_raw(url: &str, request: String) -> String {
     let address = url.strip_prefix("http://").expect("a URL of the fake");
-    let mut stream = TcpStream::connect(address).await.expect("it listens");
-    stream.write_all(request.as_bytes()).await.expect("it reads");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.expect("it answers and closes");
-    answer
+    let mut stream = TcpStream::connect(address).await.expect("the fake listens");
+    stream.write_all(request.as_bytes()).await.expect("the fake reads the request");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.expect("the fake responds and closes");
+    response
 }
 
 #[tokio::test]
-async fn readiness_and_bad_bodies() {
+async fn readiness_and_invalid_requests() {
     let log = FakeLog::new();
     let url = serve_operator(&log, ProposalOutcome::Answered, LifeState::Draining).await;
     let ask = |path: &str| format!("GET {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
-    assert!(raw(&url, ask("/readyz")).await.starts_with("HTTP/1.1 503"));
-    assert!(raw(&url, ask("/healthz")).await.starts_with("HTTP/1.1 200"));
-    assert!(raw(&url, ask("/v1/organisations?limit=x")).await.starts_with("HTTP/1.1 400"));
-    let rows = raw(&url, ask("/v1/organisations?limit=9999")).await;
+    assert!(exchange_raw(&url, ask("/readyz")).await.starts_with("HTTP/1.1 503"));
+    assert!(exchange_raw(&url, ask("/healthz")).await.starts_with("HTTP/1.1 200"));
+    assert!(exchange_raw(&url, ask("/v1/organisations?limit=x")).await.starts_with("HTTP/1.1 400"));
+    let rows = exchange_raw(&url, ask("/v1/organisations?limit=9999")).await;
     assert_eq!(rows.matches("\"id\"").count(), 1000);
-    assert!(raw(&url, ask("/metrics")).await.contains("oleandermount_config_revision 0"));
+    assert!(exchange_raw(&url, ask("/metrics")).await.contains("oleandermount_config_revision 0"));
     let put = |path: &str, body: &str| {
         let length = body.len();
         format!(
             "PUT {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}"
         )
     };
-    assert!(raw(&url, put("/v1/register", "{")).await.starts_with("HTTP/1.1 400"));
+    assert!(exchange_raw(&url, put("/v1/register", "{")).await.starts_with("HTTP/1.1 400"));
     let large = put("/v1/drain", &" ".repeat(20_000)).replacen("PUT", "POST", 1);
-    assert!(raw(&url, large).await.starts_with("HTTP/1.1 413"));
+    assert!(exchange_raw(&url, large).await.starts_with("HTTP/1.1 413"));
     assert_eq!(log.config().revision, 0);
 }
 
 #[tokio::test]
-async fn keys_are_made_and_the_authority_kept() {
+async fn keys_are_created_and_authority_reused() {
     let folder = tempfile::tempdir().expect("a folder");
     let out = folder.path().display().to_string();
     let file = |name: &str| -> PathBuf { Path::new(&out).join(name) };
@@ -210,11 +210,15 @@
     let certificate = fs::read(file("a-1.pem")).expect("written");
     let renewed = run(&[&none], &format!("keys create --out {out} --vm a-1")).await;
     assert_eq!(renewed.code, 0, "{}", renewed.err);
-    assert_eq!(fs::read(file("authority.pem")).expect("kept"), authority);
+    assert_eq!(fs::read(file("authority.pem")).expect("reused"), authority);
     assert_ne!(fs::read(file("a-1.pem")).expect("renewed"), certificate);
-    fs::remove_file(file("authority.key")).expect("it was there");
-    let half = run(&[&none], &format!("keys create --out {out} --vm c-1")).await;
-    assert!(half.code == 2 && half.err.contains("restore the other"), "{}", half.err);
+    fs::remove_file(file("authority.key")).expect("the key exists");
+    let incomplete = run(&[&none], &format!("keys create --out {out} --vm c-1")).await;
+    assert!(
+        incomplete.code == 2 && incomplete.err.contains("restore the other"),
+        "{}",
+        incomplete.err
+    );
     let key = run(&[&none], "keys organisation --json").await.json();
     let text = key["key"].as_str().expect("a key");
     assert_eq!(key["digest"], JsonValue::from(digest(text)));
--- a/tests/sample_files.rs
+++ b/tests/sample_files.rs
@@ -1,4 +1,5 @@
-//! The sample files are valid and have the sizes of today; the faulty one shows all its faults.
+//! The sample files are valid and have the expected sizes; all faults of the invalid one are
+//! reported.
 
 use {
     oleandermount::inventory::{
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn samples_have_todays_sizes() {
+fn samples_have_expected_sizes() {
     let cases = [
         ("tuul.toml", [9, 3, 1], 2, DecisionObjective::FirstToken),
         ("abay.toml", [18, 3, 1], 3, DecisionObjective::Reuse),
@@ -36,15 +37,15 @@
 }
 
 #[test]
-fn toml_and_json_are_one_canonical_text() {
+fn toml_and_json_have_equal_canonical_text() {
     let register = check_register(&sample("tuul.toml")).expect("a valid register");
     let json = canonical_json(&register);
-    let again = check_register(&json).expect("its JSON form is valid too");
+    let again = check_register(&json).expect("the JSON form is valid");
     assert_eq!(register, again);
     assert_eq!(digest(&json), digest(&canonical_json(&again)));
 }
 
-/// Each expected fault: its key, and a word of its message.
+/// Expected faults of the register: the key, and a part of the message.
 const REGISTER_FAULTS: [(&str, &str); 21] = [
     ("failure_domains[1].id", "listed twice"),
     ("vms[0].failure_domain", "ub-nord"),
@@ -69,6 +70,7 @@
     ("organisations[2].key_digests[0]", "blue-orchard"),
 ];
 
+/// Expected faults of the rules: the key, and a part of the message.
 const RULE_FAULTS: [(&str, &str); 13] = [
     ("objective", "fastest"),
     ("weight_loads", "from 1"),
@@ -86,38 +88,38 @@
 ];
 
 fn expect_all(part: &str, found: &[InventoryFault], expected: &[(&str, &str)]) {
-    let wanted: BTreeSet<String> =
+    let expected_keys: BTreeSet<String> =
         expected.iter().map(|(key, _)| format!("{part}.{key}")).collect();
-    let named: BTreeSet<String> = found.iter().map(|fault| fault.key.clone()).collect();
-    assert_eq!(named, wanted);
-    for (key, word) in expected {
+    let found_keys: BTreeSet<String> = found.iter().map(|fault| fault.key.clone()).collect();
+    assert_eq!(found_keys, expected_keys);
+    for (key, text) in expected {
         let key = format!("{part}.{key}");
-        let fault = found.iter().find(|fault| fault.key == key).expect("it is named");
-        assert!(fault.message.contains(word), "{fault} does not say {word}");
+        let fault = found.iter().find(|fault| fault.key == key).expect("the fault is reported");
+        assert!(fault.message.contains(text), "{fault} does not contain {text}");
         assert!(fault.message.contains("; "), "{fault} has no remedy");
     }
 }
 
 #[test]
-fn all_faults_of_a_file_come_in_one_run() {
+fn all_faults_are_reported_in_one_run() {
     let text = sample("faulty.toml");
-    let found = check_register(&text).expect_err("the register is faulty");
+    let found = check_register(&text).expect_err("the register is invalid");
     expect_all("register", &found, &REGISTER_FAULTS);
-    let capacity = found.iter().find(|fault| fault.key.ends_with("capacity")).expect("named");
+    let capacity = found.iter().find(|fault| fault.key.ends_with("capacity")).expect("reported");
     let line = text.lines().position(|line| line.starts_with("capacity")).expect("in the file");
     assert_eq!(capacity.line, line + 1);
 
     let register = check_register(&sample("tuul.toml")).expect("a valid register");
-    let found = check_rules(&text, &register).expect_err("the rules are faulty");
+    let found = check_rules(&text, &register).expect_err("the rules are invalid");
     expect_all("rules", &found, &RULE_FAULTS);
 }
 
 #[test]
-fn json_faults_have_lines_too() {
+fn json_faults_have_lines() {
     let text = "{\n \"failure_domains\": [{\"id\": \"a\"}],\n \"vms\": [\n  {\"id\": \"a-1\",\n   \
                 \"failure_domain\": \"b\",\n   \"peer_address\": \"127.0.0.1:1\"}]\n}";
     let found = check_register(text).expect_err("domain b is not listed");
     assert_eq!((found[0].line, found[0].key.as_str()), (5, "vms[0].failure_domain"));
-    assert_eq!(check_register("{\n\"vms\": [\n").expect_err("cut short")[0].line, 3);
+    assert_eq!(check_register("{\n\"vms\": [\n").expect_err("truncated")[0].line, 3);
     assert_eq!(check_register("a = 1\nb = \n").expect_err("no value")[0].line, 2);
 }
--- a/tests/seam_purity.rs
+++ b/tests/seam_purity.rs
@@ -1,4 +1,5 @@
-//! Decision modules stay free of I/O and clocks, so that tests in virtual time run the daemon's code.
+//! The modules `policy` and `control` use no I/O and no clocks, so that simulations can run the code
+//! of the daemon in virtual time.
 
 use std::{
     fs,
@@ -22,7 +23,7 @@
 fn sources(folder: &Path) -> Vec<PathBuf> {
     fs::read_dir(folder)
         .expect("the folder exists")
-        .map(|entry| entry.expect("it can be listed").path())
+        .map(|entry| entry.expect("the folder can be listed").path())
         .flat_map(|path| if path.is_dir() { sources(&path) } else { vec![path] })
         .collect()
 }
--- a/tests/settings_errors.rs
+++ b/tests/settings_errors.rs
@@ -1,4 +1,4 @@
-//! Wrong options stop the start, all of them in one run, each with its value and remedy.
+//! Invalid options prevent the start; all of them are reported, each with value and remedy.
 
 use {
     oleandermount::{
@@ -22,34 +22,36 @@
 }
 
 #[test]
-fn name_domain_and_keys_are_enough() {
-    let file = tempfile::NamedTempFile::new().expect("a file");
+fn minimal_options_are_accepted() {
+    let file = tempfile::NamedTempFile::new().expect("a temporary file");
     let path = file.path().display();
     let keys = format!("--authority {path} --certificate {path} --key {path}");
-    let options = parse(&format!("--vm a-1 --failure-domain a {keys}")).expect("all is given");
+    let options = parse(&format!("--vm a-1 --failure-domain a {keys}"))
+        .expect("all required options are given");
     assert_eq!(options.identity.role, DaemonRole::Entry);
     assert_eq!(options.network.listen.to_string(), "127.0.0.1:8080");
     assert!(options.keys.is_some() && options.group.data_dir.is_none());
     assert!(options.runtime.grace >= Duration::from_secs(60));
 }
 
-/// A unit file sets variables; the start stops with 2 and names the flag, the value and the remedy.
+/// Environment variables, as set in a systemd unit, are validated like flags: the exit code is 2, and
+/// the message contains the flag, the value and the remedy.
 #[test]
-fn variables_are_checked_like_flags() {
+fn environment_variables_are_validated() {
     let output = Command::new(env!("CARGO_BIN_EXE_oleandermountd"))
         .env("OLEANDERMOUNT_VM", "a-1")
         .env("OLEANDERMOUNT_FAILURE_DOMAIN", "a")
         .env("OLEANDERMOUNT_GRACE", "soon")
         .output()
-        .expect("the daemon starts and stops");
-    let said = String::from_utf8(output.stderr).expect("UTF-8");
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.contains("--grace has the value \"soon\": give a duration"), "{said}");
-    assert!(said.contains("--key is missing") && !said.contains("--vm is missing"), "{said}");
+        .expect("the daemon starts and exits");
+    let errors = String::from_utf8(output.stderr).expect("UTF-8");
+    assert_eq!(output.status.code(), Some(2), "{errors}");
+    assert!(errors.contains("--grace has the value \"soon\": give a duration"), "{errors}");
+    assert!(errors.contains("--key is missing") && !errors.contains("--vm is missing"), "{errors}");
 }
 
 #[test]
-fn each_wrong_value_names_itself() {
+fn errors_contain_option_and_value() {
     let cases = [
         ("--vm", "--vm sp@ce", "sp@ce"),
         ("--role", "--role boss", "boss"),
@@ -72,16 +74,16 @@
         let fault = faults
             .iter()
             .find(|fault| fault.option() == option)
-            .unwrap_or_else(|| panic!("{line} is not named in {faults:?}"));
-        let shown = fault.to_string();
-        assert!(shown.contains(&format!("\"{value}\": ")), "no value or remedy in {shown}");
+            .unwrap_or_else(|| panic!("{line} is not reported in {faults:?}"));
+        let message = fault.to_string();
+        assert!(message.contains(&format!("\"{value}\": ")), "no value or remedy in {message}");
     }
 }
 
 #[test]
-fn all_faults_come_in_one_run() {
+fn all_faults_are_reported_in_one_run() {
     let faults = faults("--role control --listen x --grace y --peers b-1=127.0.0.1:9");
-    let named: Vec<&str> = faults.iter().map(OptionFault::option).collect();
+    let reported: Vec<&str> = faults.iter().map(OptionFault::option).collect();
     for option in [
         "--vm",
         "--failure-domain",
@@ -92,12 +94,12 @@
         "--key",
         "--grace",
     ] {
-        assert!(named.contains(&option), "{option} is not among {named:?}");
+        assert!(reported.contains(&option), "{option} is not among {reported:?}");
     }
 }
 
 #[test]
-fn counters_exist_before_the_first_event() {
+fn counters_start_at_zero() {
     let text = metrics::install().expect("the only recorder").render();
     let reasons = RefusalReason::ALL.map(RefusalReason::as_str);
     for reason in reasons.into_iter().chain(metrics::refusal::ALL) {
@@ -112,7 +114,7 @@
 }
 
 #[test]
-fn a_log_record_is_one_json_line() {
+fn log_record_is_one_json_line() {
     let values = [("request_id", "r-1"), ("note", "two\nlines")];
     let record = log::Record::builder()
         .args(format_args!("a \"quoted\"\nmessage"))
--- a/tests/stale_weight_order.rs
+++ b/tests/stale_weight_order.rs
@@ -1,6 +1,8 @@
-//! A leader is frozen between its decision to load weights and the sending. It wakes after another
-//! leader has ordered a later version; an engine that does not check numbers would go back to the
-//! older one. Past its time an order must not leave, also when the connection was made meanwhile.
+//! An expired weight order is not sent.
+//!
+//! If the process of a leader is paused between deciding on an order and sending it, another leader
+//! may order a later version in the meantime. An engine that does not check fencing numbers would
+//! then revert to the older version. The deadline therefore applies after connecting as well.
 
 #[path = "../examples/fakes/engine.rs"]
 mod engine;
@@ -16,17 +18,17 @@
 };
 
 #[tokio::test]
-async fn order_past_its_time_is_not_sent() {
+async fn expired_order_is_not_sent() {
     let behaviour = EngineBehaviour { checks_fencing: false, ..Default::default() };
-    let engine = FakeEngine::start(behaviour).await.expect("it starts");
+    let engine = FakeEngine::start(behaviour).await.expect("the engine starts");
     let model = || "basket-llm".to_owned();
-    let order = |weights: &str, before: Instant| {
-        let number = FencingNumber::default();
-        client::order_weights(engine.address(), model(), weights.to_owned(), number, before)
+    let order = |weights: &str, send_before: Instant| {
+        let fencing = FencingNumber::default();
+        client::order_weights(engine.address(), model(), weights.to_owned(), fencing, send_before)
     };
-    let soon = Instant::now() + Duration::from_secs(600);
-    order("v2", soon).await.expect("it is in time");
+    let future = Instant::now() + Duration::from_secs(600);
+    order("v2", future).await.expect("the order has not expired");
     assert_eq!(order("v1", Instant::now()).await, Err(BackendError::Stale));
-    let report = client::load(engine.address(), "e".to_owned()).await.expect("it answers");
+    let report = client::load(engine.address(), "e".to_owned()).await.expect("the engine responds");
     assert_eq!(report.weights.get(&model()).map(String::as_str), Some("v2"));
 }
