--- a/src/operator_client.rs
+++ b/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! The operators' client: commands, the connection to daemons, and what is printed.
+//! Command-line client for operators: commands, connections to daemons, and output.
 
 pub mod changes;
 pub mod commands;
@@ -6,7 +6,7 @@
 pub mod error;
 pub mod explain_log;
 pub mod local;
-pub mod questions;
+pub mod queries;
 pub mod report;
 pub mod table;
 
@@ -22,8 +22,8 @@
     std::{ffi::OsString, process::ExitCode},
 };
 
-/// Runs one command and prints what came of it: results to standard output, the rest to standard
-/// error.
+/// Runs one command. Prints results to standard output and errors to standard error; with `--json`,
+/// errors are printed to standard output as well.
 pub fn run(arguments: &[OsString]) -> ExitCode {
     let args = Args::from(arguments).set_name("oleandermountctl");
     let invocation = match commands::options().run_inner(args) {
@@ -54,10 +54,10 @@
     ExitCode::from(u8::try_from(code).unwrap_or(u8::MAX))
 }
 
-/// Runs one command.
+/// Runs one command and returns its report.
 ///
 /// # Errors
-/// What the command was refused for, or why its outcome is not known.
+/// Why the command failed, or why its outcome is unknown.
 pub fn execute(invocation: ClientInvocation) -> Result<ClientReport, ClientError> {
     match invocation.command {
         ClientCommand::KeysCreate { out, vms } => local::create_keys(&out, &vms),
@@ -67,10 +67,10 @@
             explain_log::explain(&logs, &request)
         }
         command => {
-            let runtime = tokio::runtime::Builder::new_current_thread()
-                .enable_all()
-                .build()
-                .map_err(|error| ClientError::Local(format!("no runtime starts: {error}")))?;
+            let runtime =
+                tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(
+                    |error| ClientError::Local(format!("cannot start the runtime: {error}")),
+                )?;
             let connection = AdminConnection::new(&invocation.connection.admin)?;
             runtime.block_on(execute_remote(command, &connection))
         }
@@ -82,27 +82,31 @@
     connection: &AdminConnection,
 ) -> Result<ClientReport, ClientError> {
     match command {
-        ClientCommand::InventoryApply(order) => changes::apply_register(connection, order).await,
-        ClientCommand::RulesApply(order) => changes::apply_rules(connection, order).await,
+        ClientCommand::InventoryApply(options) => {
+            changes::apply_register(connection, options).await
+        }
+        ClientCommand::RulesApply(options) => changes::apply_rules(connection, options).await,
         ClientCommand::ReplicaReplace { vm } => {
-            changes::order(connection, "/v1/replicas/replace", vm).await
+            changes::post_order(connection, "/v1/replicas/replace", vm).await
         }
         ClientCommand::ReplicaRemove { vm } => {
-            changes::order(connection, "/v1/replicas/remove", vm).await
+            changes::post_order(connection, "/v1/replicas/remove", vm).await
         }
-        ClientCommand::Drain { vm } => changes::order(connection, "/v1/drain", vm).await,
-        ClientCommand::ConfigShow => questions::config(connection).await,
-        ClientCommand::ConfigHistory => questions::history(connection).await,
+        ClientCommand::Drain { vm } => changes::post_order(connection, "/v1/drain", vm).await,
+        ClientCommand::ConfigShow => queries::config(connection).await,
+        ClientCommand::ConfigHistory => queries::history(connection).await,
         ClientCommand::ConfigWait { revision, timeout } => {
-            questions::wait(connection, revision, timeout).await
+            queries::wait(connection, revision, timeout).await
         }
-        ClientCommand::Status => questions::status(connection).await,
-        ClientCommand::Servers => questions::servers(connection).await,
-        ClientCommand::Organisations { limit } => questions::organisations(connection, limit).await,
-        ClientCommand::ReplicaList => questions::replicas(connection).await,
-        ClientCommand::Explain { request, .. } => questions::explain(connection, request).await,
+        ClientCommand::Status => queries::status(connection).await,
+        ClientCommand::Servers => queries::servers(connection).await,
+        ClientCommand::Organisations { limit } => queries::organisations(connection, limit).await,
+        ClientCommand::ReplicaList => queries::replicas(connection).await,
+        ClientCommand::Explain { request, .. } => queries::explain(connection, request).await,
         ClientCommand::KeysCreate { .. }
         | ClientCommand::KeysOrganisation
-        | ClientCommand::Check { .. } => unreachable!("local commands are run without a daemon"),
+        | ClientCommand::Check { .. } => {
+            unreachable!("local commands are executed without a connection")
+        }
     }
 }
--- a/src/roles/entry.rs
+++ b/src/roles/entry.rs
@@ -322,7 +322,7 @@
             match reader.parse(body) {
                 Ok(table) => {
                     log::info!(document = number, routes = table.routes.len();
-                        "{}", events::ROUTES_IN_FORCE);
+                        "{}", events::ROUTES_ACTIVATED);
                     self.index = Some(Arc::new(RouteIndex::new(Arc::new(table))));
                 }
                 // Documents are validated before they are accepted, so another release accepted it.
--- a/tests/fakes/fake_operator.rs
+++ b/tests/fakes/fake_operator.rs
@@ -1,4 +1,4 @@
-//! A daemon's operators' interface over a made-up log, for tests of the client.
+//! Operators' API of a daemon on top of an in-memory log, for tests of the client.
 
 use {
     futures::future::BoxFuture,
@@ -23,18 +23,18 @@
     tokio::{net::TcpListener, sync::watch},
 };
 
-/// What becomes of a proposal.
+/// Outcome of all proposals to a fake daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FakeFate {
-    /// It is committed and its answer arrives.
+pub enum ProposalOutcome {
+    /// The proposal is committed and its response arrives.
     Answered,
-    /// It is committed and its answer is lost.
-    AnswerLost,
-    /// No quorum can be reached.
+    /// The proposal is committed and its response is lost.
+    ResponseLost,
+    /// No quorum is reachable.
     NoQuorum,
 }
 
-/// The log that several daemons share.
+/// In-memory log shared by several fake daemons.
 pub struct FakeLog {
     config: watch::Sender<Arc<ActiveConfig>>,
     outcomes: Mutex<BTreeMap<String, CommandOutcome>>,
@@ -83,19 +83,19 @@
 
 struct FakeControl {
     log: Arc<FakeLog>,
-    fate: FakeFate,
+    outcome: ProposalOutcome,
 }
 
 impl ControlPort for FakeControl {
     fn propose(&self, command: Command) -> BoxFuture<'_, Result<CommandOutcome, ProposeError>> {
         Box::pin(async move {
-            match self.fate {
-                FakeFate::Answered => Ok(self.log.commit(command)),
-                FakeFate::AnswerLost => {
+            match self.outcome {
+                ProposalOutcome::Answered => Ok(self.log.commit(command)),
+                ProposalOutcome::ResponseLost => {
                     self.log.commit(command);
                     Err(ProposeError::OutcomeUnknown)
                 }
-                FakeFate::NoQuorum => Err(ProposeError::NoQuorum),
+                ProposalOutcome::NoQuorum => Err(ProposeError::NoQuorum),
             }
         })
     }
@@ -150,8 +150,9 @@
     fn revisions(&self) -> BoxFuture<'_, Vec<VmRevision>> {
         let revision = Some(self.config.borrow().revision);
         let row = VmRevision { vm: "a".to_owned(), failure_domain: "b".to_owned(), revision };
-        let silent = VmRevision { revision: None, vm: "silent".to_owned(), ..row.clone() };
-        Box::pin(async move { vec![row, silent] })
+        let unresponsive =
+            VmRevision { revision: None, vm: "unresponsive".to_owned(), ..row.clone() };
+        Box::pin(async move { vec![row, unresponsive] })
     }
 
     fn drain(&self, vm: VmId) -> BoxFuture<'_, Result<(), SourceError>> {
@@ -166,13 +167,17 @@
     }
 }
 
-/// Serves one daemon's operators' interface until the test's runtime ends; gives its URL.
-pub async fn serve_operator(log: &Arc<FakeLog>, fate: FakeFate, state: DaemonState) -> String {
+/// Serves the operators' API of one daemon until the test's runtime ends, and returns its URL.
+pub async fn serve_operator(
+    log: &Arc<FakeLog>,
+    outcome: ProposalOutcome,
+    state: DaemonState,
+) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
     let config = log.config.subscribe();
     let operator = OperatorState {
-        control: Arc::new(FakeControl { log: Arc::clone(log), fate }),
+        control: Arc::new(FakeControl { log: Arc::clone(log), outcome }),
         config: config.clone(),
         source: Arc::new(FakeSource { state, config }),
         metrics: metrics::install().expect("the only recorder"),
