--- a/examples/policy_report/baselines.rs
+++ b/examples/policy_report/baseline_router.rs
@@ -4,8 +4,8 @@
 
 use {
     super::{
-        draw::{DrawSource, mix},
-        router::{RoutePolicy, RouterSeat},
+        random_source::{RandomSource, mix_hash},
+        route_policy::{RoutePolicy, RouterIdentity},
     },
     oleandermount::{
         ids::{AttemptId, RequestId, ServerId},
@@ -29,7 +29,7 @@
 
 /// How a plain router picks a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum PlainRule {
+pub enum BaselineRule {
     /// One after the other.
     RoundRobin,
     /// The fewest requests by its last report and own requests in flight.
@@ -47,9 +47,9 @@
 }
 
 /// A router that follows one plain rule.
-pub struct PlainRouter {
-    rule: PlainRule,
-    source: DrawSource,
+pub struct BaselineRouter {
+    rule: BaselineRule,
+    source: RandomSource,
     turn: usize,
     view: Arc<PolicyView>,
     down: BTreeSet<ServerId>,
@@ -65,13 +65,13 @@
     deadlines: BTreeSet<(Instant, RequestId)>,
 }
 
-impl PlainRouter {
+impl BaselineRouter {
     /// A router that knows no servers yet.
-    pub fn new(rule: PlainRule, seat: &RouterSeat) -> Self {
-        PlainRouter {
+    pub fn new(rule: BaselineRule, identity: &RouterIdentity) -> Self {
+        BaselineRouter {
             rule,
-            source: DrawSource::new(seat.seed, "plain"),
-            turn: seat.seed as usize % 1_000,
+            source: RandomSource::new(identity.seed, "plain"),
+            turn: identity.seed as usize % 1_000,
             view: Arc::default(),
             down: BTreeSet::new(),
             reachable: None,
@@ -138,16 +138,19 @@
         let count = |of: &BTreeMap<ServerId, u32>, id: &ServerId| of.get(id).copied().unwrap_or(0);
         let load = |id: &ServerId| count(&self.reported, id) + count(&self.in_flight, id);
         let picked = match (self.rule, work) {
-            (PlainRule::PrefixHash, RequestWork::Model { levels, .. }) => {
+            (BaselineRule::PrefixHash, RequestWork::Model { levels, .. }) => {
                 let key = levels.get(HASHED_LEVEL).or(levels.last()).map_or(0, |level| level.hash);
-                pool.iter().max_by_key(|id| id.bytes().fold(key, |hash, b| mix(hash, b.into())))
+                pool.iter()
+                    .max_by_key(|id| id.bytes().fold(key, |hash, b| mix_hash(hash, b.into())))
             }
-            (PlainRule::LeastLoaded, _) => {
+            (BaselineRule::LeastLoaded, _) => {
                 let start = self.turn % pool.len();
                 let turned = pool[start..].iter().chain(&pool[..start]);
                 turned.min_by_key(|id| load(id))
             }
-            (PlainRule::RoundRobin | PlainRule::PrefixHash, _) => pool.get(self.turn % pool.len()),
+            (BaselineRule::RoundRobin | BaselineRule::PrefixHash, _) => {
+                pool.get(self.turn % pool.len())
+            }
         };
         picked.map(|id| (*id).clone())
     }
@@ -227,7 +230,7 @@
     }
 }
 
-impl RoutePolicy for PlainRouter {
+impl RoutePolicy for BaselineRouter {
     fn handle(&mut self, now: Instant, input: PolicyInput) -> Vec<PolicyAction> {
         match input {
             PolicyInput::Configure(view) => self.view = view,
--- a/examples/policy_report/callers.rs
+++ b/examples/policy_report/caller_record.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        draw::{DrawSource, mix},
+        random_source::{RandomSource, mix_hash},
         site::{MODEL, ORGANISATION_SHARES, SERVICE},
-        traffic::{AskedRequest, AskedWork},
+        traffic::{CallerRequest, CallerWork},
     },
     oleandermount::policy::{RequestTicket, RequestWork},
     std::time::{Duration, Instant},
@@ -33,59 +33,59 @@
 /// One request and its caller.
 pub struct CallerRecord {
     /// What it asked for.
-    pub asked: AskedRequest,
+    pub request: CallerRequest,
     /// Asks so far.
-    pub asks: u32,
+    pub submissions: u32,
     /// The daemon that has the present ask; none while the caller waits to come back.
     pub daemon: Option<usize>,
     /// When the present ask reached its daemon.
-    pub asked_at: Duration,
+    pub submitted_at: Duration,
     /// When the caller stops waiting for the first token.
     pub deadline: Duration,
     /// When the first token of the present ask reached the caller.
     pub first_token: Option<Duration>,
     /// When the last answer reached the caller, and what it was. Set once.
-    pub settled: Option<(Duration, CallerOutcome)>,
+    pub outcome: Option<(Duration, CallerOutcome)>,
     /// From each refused ask to its refusal, as the daemon saw it.
-    pub refusal_waits: Vec<Duration>,
+    pub refusal_delays: Vec<Duration>,
     /// Sendings to servers.
     pub sent: u32,
     /// Sendings that may have run, which a request that may not be repeated has at most once.
-    pub ran: u32,
+    pub possible_runs: u32,
 }
 
 impl CallerRecord {
     /// A caller that has not asked yet.
-    pub fn new(asked: AskedRequest) -> Self {
+    pub fn new(request: CallerRequest) -> Self {
         CallerRecord {
-            deadline: asked.at + asked.patience,
-            asked_at: asked.at,
-            asked,
-            asks: 0,
+            deadline: request.at + request.first_token_limit,
+            submitted_at: request.at,
+            request,
+            submissions: 0,
             daemon: None,
             first_token: None,
-            settled: None,
-            refusal_waits: Vec::new(),
+            outcome: None,
+            refusal_delays: Vec::new(),
             sent: 0,
-            ran: 0,
+            possible_runs: 0,
         }
     }
 
     /// Notes that an ask reached `daemon`.
     pub fn ask(&mut self, now: Duration, daemon: usize) {
-        self.asks += 1;
+        self.submissions += 1;
         self.daemon = Some(daemon);
-        self.asked_at = now;
+        self.submitted_at = now;
         self.first_token = None;
-        if self.asked.poison {
-            self.deadline = now + self.asked.patience;
+        if self.request.poison {
+            self.deadline = now + self.request.first_token_limit;
         }
     }
 
     /// The ticket of the present ask.
     pub fn ticket(&self, index: usize, epoch: Instant) -> RequestTicket {
-        let work = match &self.asked.work {
-            AskedWork::Model { levels, output_tokens } => RequestWork::Model {
+        let work = match &self.request.work {
+            CallerWork::Model { levels, output_tokens } => RequestWork::Model {
                 model: MODEL.into(),
                 adapter: None,
                 prompt_tokens: levels.last().map_or(0, |level| level.tokens),
@@ -93,67 +93,71 @@
                 // Callers give a limit, not the length that the answer will have.
                 max_output_tokens: output_tokens * 2,
             },
-            AskedWork::Service { .. } => RequestWork::Service { service: SERVICE.into() },
+            CallerWork::Service { .. } => RequestWork::Service { service: SERVICE.into() },
         };
         RequestTicket {
-            request: request_name(index, self.asks),
-            organisation: organisation_name(self.asked.organisation),
-            class: self.asked.class,
+            request: request_name(index, self.submissions),
+            organisation: organisation_name(self.request.organisation),
+            class: self.request.class,
             deadline: epoch + self.deadline,
-            repeatable: self.asked.repeatable,
-            fingerprint: mix(0xf1f1, index as u64),
+            repeatable: self.request.repeatable,
+            fingerprint: mix_hash(0xf1f1, index as u64),
             work,
         }
     }
 
     /// Takes a refusal; answers when the caller's next ask reaches a daemon, if it comes back.
-    pub fn refuse(
+    pub fn handle_refusal(
         &mut self,
         now: Duration,
         reason: &'static str,
         retry_after: Option<Duration>,
-        source: &mut DrawSource,
+        source: &mut RandomSource,
     ) -> Option<Duration> {
         self.daemon = None;
-        self.refusal_waits.push(now - self.asked_at);
+        self.refusal_delays.push(now - self.submitted_at);
         let heard = now + CALLER_DELAY;
-        let back = if self.asked.poison {
-            (self.asks < POISON_ASKS)
+        let back = if self.request.poison {
+            (self.submissions < POISON_ASKS)
                 .then(|| heard + retry_after.unwrap_or(POISON_PAUSE) + CALLER_DELAY)
         } else {
             // A person's client adds a little to what it is told.
             retry_after
                 .map(|wait| heard + wait.mul_f64(1.0 + 0.1 * source.unit()) + CALLER_DELAY)
-                .filter(|_| self.first_token.is_none() && self.asks < ASKS)
+                .filter(|_| self.first_token.is_none() && self.submissions < ASKS)
                 .filter(|back| *back < self.deadline)
         };
         if back.is_none() {
-            self.settled = Some((heard, CallerOutcome::Refused(reason)));
+            self.outcome = Some((heard, CallerOutcome::Refused(reason)));
         }
         back
     }
 
     /// Takes the loss of the daemon; answers when the next ask reaches another, if there is one.
-    pub fn lose_daemon(&mut self, now: Duration, source: &mut DrawSource) -> Option<Duration> {
+    pub fn handle_daemon_loss(
+        &mut self,
+        now: Duration,
+        source: &mut RandomSource,
+    ) -> Option<Duration> {
         self.daemon = None;
         let heard = now + CALLER_DELAY;
-        if !self.asked.repeatable || self.asks >= ASKS {
-            self.settled = Some((heard, CallerOutcome::Refused("daemon_lost")));
+        if !self.request.repeatable || self.submissions >= ASKS {
+            self.outcome = Some((heard, CallerOutcome::Refused("daemon_lost")));
             return None;
         }
         let back = heard + BROKEN_PAUSE.mul_f64(1.0 + 3.0 * source.unit());
         if self.first_token.is_some() {
             // The caller had its first token in time, and wants the whole answer again.
-            self.deadline = back + self.asked.patience;
+            self.deadline = back + self.request.first_token_limit;
         }
         Some(back)
     }
 
     /// From the first ask to the first token, as the caller sees it; for answered requests.
-    pub fn first_token_wait(&self) -> Option<Duration> {
-        match &self.settled {
+    pub fn first_token_latency(&self) -> Option<Duration> {
+        match &self.outcome {
             Some((at, CallerOutcome::Answered)) => {
-                Some(self.first_token.unwrap_or(*at) - self.asked.at)
+                Some(self.first_token.unwrap_or(*at) - self.request.at)
             }
             _ => None,
         }
@@ -161,16 +165,17 @@
 
     /// Whether the whole answer came and its first token was in time.
     pub fn in_time(&self) -> bool {
-        self.first_token_wait().is_some_and(|wait| wait <= self.asked.patience + CALLER_DELAY)
+        self.first_token_latency()
+            .is_some_and(|wait| wait <= self.request.first_token_limit + CALLER_DELAY)
     }
 
     /// Tokens of prompt and answer; plain service calls count none.
     pub fn tokens(&self) -> u64 {
-        match &self.asked.work {
-            AskedWork::Model { levels, output_tokens } => {
+        match &self.request.work {
+            CallerWork::Model { levels, output_tokens } => {
                 u64::from(levels.last().map_or(0, |level| level.tokens) + output_tokens)
             }
-            AskedWork::Service { .. } => 0,
+            CallerWork::Service { .. } => 0,
         }
     }
 }
--- a/examples/policy_report/fleet.rs
+++ b/examples/policy_report/fleet_simulation.rs
@@ -5,14 +5,14 @@
 
 use {
     super::{
-        callers::{CallerOutcome, CallerRecord, parse_name},
-        draw::DrawSource,
-        engine::{ServerEvent, ServerJob, ServerModel},
-        loads::{DigestReach, LoadScene, SiteFault},
-        router::{RoutePolicy, RouterMaker, RouterSeat},
+        caller_record::{CallerOutcome, CallerRecord, parse_name},
+        load_scenario::{DigestScope, LoadScenario, SiteFault},
+        random_source::RandomSource,
+        route_policy::{RoutePolicy, RouterIdentity, RouterMaker},
+        run_metrics::RunMetrics,
+        simulated_server::{ServerEvent, ServerJob, SimulatedServer},
         site::{MODEL, SitePlan, WEIGHTS},
-        tally::RunTally,
-        traffic::AskedWork,
+        traffic::CallerWork,
     },
     oleandermount::{
         ids::AttemptId,
@@ -71,7 +71,7 @@
 }
 
 struct ServerNode {
-    model: ServerModel,
+    model: SimulatedServer,
     armed: Option<Duration>,
     failing: bool,
     sequence: u64,
@@ -87,7 +87,7 @@
 }
 
 /// A run under way.
-pub struct FleetRun<'a> {
+pub struct FleetSimulation<'a> {
     plan: SitePlan,
     view: Arc<PolicyView>,
     make: &'a RouterMaker<'a>,
@@ -104,38 +104,38 @@
     cut: Option<usize>,
     cache_loss: f64,
     report_lag: Duration,
-    digest_reach: DigestReach,
-    source: DrawSource,
-    tally: RunTally,
+    digest_scope: DigestScope,
+    source: RandomSource,
+    run_metrics: RunMetrics,
 }
 
 /// Runs `scene` with the routers that `make` makes, and says what callers got.
-pub fn run_scene(scene: LoadScene, seed: u64, make: &RouterMaker<'_>) -> RunTally {
-    let mut run = FleetRun::new(scene, seed, make);
+pub fn run_scenario(scenario: LoadScenario, seed: u64, make: &RouterMaker<'_>) -> RunMetrics {
+    let mut run = FleetSimulation::new(scenario, seed, make);
     run.start();
     run.drain();
     run.finish()
 }
 
-impl<'a> FleetRun<'a> {
-    fn new(scene: LoadScene, seed: u64, make: &'a RouterMaker<'a>) -> Self {
-        let mut source = DrawSource::new(seed, "fleet");
-        let plan = scene.plan;
+impl<'a> FleetSimulation<'a> {
+    fn new(scenario: LoadScenario, seed: u64, make: &'a RouterMaker<'a>) -> Self {
+        let mut source = RandomSource::new(seed, "fleet");
+        let plan = scenario.plan;
         let daemons = (0..plan.daemons.len())
             .map(|index| DaemonNode {
-                router: make(&router_seat(&plan, index, &mut source)),
+                router: make(&router_identity(&plan, index, &mut source)),
                 life: 1,
                 up: true,
                 armed: None,
             })
             .collect();
-        let servers = plan.servers.iter().map(|seat| ServerNode {
-            model: ServerModel::new(seat.traits.clone(), 1),
+        let servers = plan.servers.iter().map(|placement| ServerNode {
+            model: SimulatedServer::new(placement.properties.clone(), 1),
             armed: None,
             failing: false,
             sequence: 0,
         });
-        let mut run = FleetRun {
+        let mut run = FleetSimulation {
             view: Arc::new(plan.view()),
             make,
             epoch: Instant::now(),
@@ -148,20 +148,20 @@
                 .servers
                 .iter()
                 .enumerate()
-                .map(|(index, seat)| (seat.id.clone(), index))
+                .map(|(index, placement)| (placement.id.clone(), index))
                 .collect(),
             attempts: BTreeMap::new(),
-            unsettled: scene.asked.len(),
-            callers: scene.asked.into_iter().map(CallerRecord::new).collect(),
+            unsettled: scenario.requests.len(),
+            callers: scenario.requests.into_iter().map(CallerRecord::new).collect(),
             cut: None,
-            cache_loss: scene.cache_loss,
-            report_lag: scene.report_lag,
-            digest_reach: scene.digest_reach,
+            cache_loss: scenario.cache_loss,
+            report_lag: scenario.report_lag,
+            digest_scope: scenario.digest_scope,
             source,
-            tally: RunTally::new(scene.warm_up),
+            run_metrics: RunMetrics::new(scenario.warm_up),
             plan,
         };
-        for (at, fault) in scene.faults {
+        for (at, fault) in scenario.faults {
             run.at(at, FleetEvent::Fault { fault });
         }
         run
@@ -177,12 +177,12 @@
             self.at(offset, FleetEvent::Report { server });
         }
         for request in 0..self.callers.len() {
-            self.at(self.callers[request].asked.at, FleetEvent::Ask { request });
+            self.at(self.callers[request].request.at, FleetEvent::Ask { request });
         }
     }
 
     fn drain(&mut self) {
-        let last = self.callers.last().map_or(Duration::ZERO, |caller| caller.asked.at);
+        let last = self.callers.last().map_or(Duration::ZERO, |caller| caller.request.at);
         while self.unsettled > 0 {
             let ((at, _), event) = self.queue.pop_first().expect("reports never end");
             if at > last + DRAIN_LIMIT {
@@ -193,10 +193,10 @@
         }
     }
 
-    fn finish(self) -> RunTally {
-        let mut tally = self.tally;
-        tally.callers = self.callers;
-        tally
+    fn finish(self) -> RunMetrics {
+        let mut run_metrics = self.run_metrics;
+        run_metrics.callers = self.callers;
+        run_metrics
     }
 
     fn at(&mut self, at: Duration, event: FleetEvent) {
@@ -246,7 +246,7 @@
     fn ask(&mut self, request: usize) {
         let count = self.daemons.len();
         let caller = &mut self.callers[request];
-        let first = caller.asked.entry + caller.asks as usize;
+        let first = caller.request.entry + caller.submissions as usize;
         let up = (0..count).map(|step| (first + step) % count).find(|i| self.daemons[*i].up);
         let Some(daemon) = up else {
             self.at(self.now + CONNECT_TIMEOUT, FleetEvent::Ask { request });
@@ -255,7 +255,7 @@
         caller.ask(self.now, daemon);
         let ticket = caller.ticket(request, self.epoch);
         let give_up = caller.deadline + FAR_DELAY;
-        let ask = caller.asks;
+        let ask = caller.submissions;
         self.at(give_up.max(self.now), FleetEvent::GiveUp { request, ask });
         self.deliver(daemon, PolicyInput::Arrive(ticket));
     }
@@ -264,16 +264,17 @@
     fn give_up(&mut self, request: usize, ask: u32) {
         let caller = &mut self.callers[request];
         let (Some(daemon), None) = (caller.daemon, caller.first_token) else { return };
-        if caller.asks != ask || caller.settled.is_some() {
+        if caller.submissions != ask || caller.outcome.is_some() {
             return;
         }
-        let name = super::callers::request_name(request, ask);
+        let name = super::caller_record::request_name(request, ask);
         self.refused(request, "caller_gone", None);
         self.deliver(daemon, PolicyInput::CallerDisconnected { request: name });
     }
 
     fn refused(&mut self, request: usize, reason: &'static str, retry_after: Option<Duration>) {
-        let back = self.callers[request].refuse(self.now, reason, retry_after, &mut self.source);
+        let back =
+            self.callers[request].handle_refusal(self.now, reason, retry_after, &mut self.source);
         self.come_back(request, back);
     }
 
@@ -337,9 +338,9 @@
             PolicyInput::Finished { attempt, .. } => {
                 let Some(record) = self.attempts.remove(attempt) else { return false };
                 let caller = &mut self.callers[record.request];
-                if caller.asks == record.ask && caller.settled.is_none() {
-                    let heard = self.now + super::callers::CALLER_DELAY;
-                    caller.settled = Some((heard, CallerOutcome::Answered));
+                if caller.submissions == record.ask && caller.outcome.is_none() {
+                    let heard = self.now + super::caller_record::CALLER_DELAY;
+                    caller.outcome = Some((heard, CallerOutcome::Answered));
                     caller.daemon = None;
                     self.unsettled -= 1;
                 }
@@ -355,8 +356,8 @@
         debug_assert_eq!(record.daemon, daemon);
         record.relayed += tokens;
         let caller = &mut self.callers[record.request];
-        if caller.asks == record.ask && caller.settled.is_none() {
-            let heard = self.now + super::callers::CALLER_DELAY;
+        if caller.submissions == record.ask && caller.outcome.is_none() {
+            let heard = self.now + super::caller_record::CALLER_DELAY;
             caller.first_token.get_or_insert(heard);
         }
         true
@@ -369,13 +370,14 @@
             PolicyAction::Refuse { request, reason, retry_after, .. } => {
                 let (index, ask) = parse_name(&request);
                 let caller = &self.callers[index];
-                if caller.asks == ask && caller.settled.is_none() && caller.daemon.is_some() {
+                if caller.submissions == ask && caller.outcome.is_none() && caller.daemon.is_some()
+                {
                     self.refused(index, reason.as_str(), retry_after);
                 }
             }
             PolicyAction::Probe { server } => self.probe(daemon, server),
             PolicyAction::Publish(digest) => self.publish(daemon, digest),
-            PolicyAction::CountRetry { .. } => self.tally.retries += 1,
+            PolicyAction::CountRetry { .. } => self.run_metrics.retries += 1,
         }
     }
 
@@ -383,9 +385,9 @@
         let domain = self.plan.daemons[daemon].domain;
         for peer in 0..self.daemons.len() {
             let home = self.plan.daemons[peer].domain;
-            let told = match self.digest_reach {
-                DigestReach::OwnDomain => home == domain,
-                DigestReach::AllDomains => self.reaches(domain, home),
+            let told = match self.digest_scope {
+                DigestScope::OwnDomain => home == domain,
+                DigestScope::AllDomains => self.reaches(domain, home),
             };
             if told && peer != daemon {
                 self.input(peer, DIGEST_LAG, PolicyInput::Digest(digest.clone()));
@@ -412,16 +414,16 @@
         let server = self.server_index[&order.server];
         let caller = &mut self.callers[request];
         caller.sent += 1;
-        caller.ran += 1;
-        if !caller.asked.repeatable && caller.ran > 1 {
-            self.tally.breaches.push(format!("{} sent twice", order.request));
+        caller.possible_runs += 1;
+        if !caller.request.repeatable && caller.possible_runs > 1 {
+            self.run_metrics.violations.push(format!("{} sent twice", order.request));
         }
-        if caller.first_token.is_some() && caller.asks == ask && order.resume_after == 0 {
-            self.tally.breaches.push(format!("{} streamed twice", order.request));
+        if caller.first_token.is_some() && caller.submissions == ask && order.resume_after == 0 {
+            self.run_metrics.violations.push(format!("{} streamed twice", order.request));
         }
-        let (levels, output_tokens, service_time) = match &caller.asked.work {
-            AskedWork::Model { levels, output_tokens } => (levels.clone(), *output_tokens, None),
-            AskedWork::Service { run } => (Vec::new(), 1, Some(*run)),
+        let (levels, output_tokens, service_time) = match &caller.request.work {
+            CallerWork::Model { levels, output_tokens } => (levels.clone(), *output_tokens, None),
+            CallerWork::Service { run } => (Vec::new(), 1, Some(*run)),
         };
         let job = ServerJob {
             attempt: order.attempt,
@@ -430,7 +432,7 @@
             output_tokens,
             resume_after: order.resume_after,
             service_time,
-            poison: caller.asked.poison,
+            poison: caller.request.poison,
         };
         let life = self.daemons[daemon].life;
         let record = AttemptRecord { request, ask, daemon, life, server, relayed: 0 };
@@ -453,7 +455,7 @@
     fn fail(&mut self, attempt: AttemptId, wait: Duration, failure: AttemptFailure) {
         let Some(record) = self.attempts.get(&attempt) else { return };
         if failure == AttemptFailure::NotConnected {
-            self.callers[record.request].ran -= 1;
+            self.callers[record.request].possible_runs -= 1;
         }
         let (daemon, relayed_tokens) = (record.daemon, record.relayed);
         if self.daemons[daemon].life == record.life {
@@ -474,11 +476,11 @@
     }
 }
 
-fn router_seat(plan: &SitePlan, daemon: usize, source: &mut DrawSource) -> RouterSeat {
-    let seat = &plan.daemons[daemon];
-    RouterSeat {
-        daemon: seat.vm.clone(),
-        failure_domain: plan.domains[seat.domain].clone(),
+fn router_identity(plan: &SitePlan, daemon: usize, source: &mut RandomSource) -> RouterIdentity {
+    let placement = &plan.daemons[daemon];
+    RouterIdentity {
+        daemon: placement.vm.clone(),
+        failure_domain: plan.domains[placement.domain].clone(),
         seed: source.seed(),
     }
 }
--- a/examples/policy_report/fleet/faults.rs
+++ b/examples/policy_report/fleet_simulation/faults.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-impl FleetRun<'_> {
+impl FleetSimulation<'_> {
     pub(super) fn strike(&mut self, fault: SiteFault) {
         match fault {
             SiteFault::SetSpeed { server, speed } => {
-                self.servers[server].model.traits.speed = speed;
+                self.servers[server].model.properties.speed = speed;
             }
             SiteFault::SetFailing { server, failing } => self.servers[server].failing = failing,
             SiteFault::RestartDaemons { daemons, down } => {
@@ -15,7 +15,7 @@
                     self.at(self.now + down, FleetEvent::DaemonUp { daemon });
                 }
             }
-            SiteFault::Cut { domain } => {
+            SiteFault::Partition { domain } => {
                 self.cut = Some(domain);
                 self.at(self.now + FINDING_LAG, FleetEvent::CutFound);
             }
@@ -41,16 +41,16 @@
         }
         for request in 0..self.callers.len() {
             let caller = &mut self.callers[request];
-            if caller.daemon == Some(daemon) && caller.settled.is_none() {
-                let back = caller.lose_daemon(self.now, &mut self.source);
+            if caller.daemon == Some(daemon) && caller.outcome.is_none() {
+                let back = caller.handle_daemon_loss(self.now, &mut self.source);
                 self.come_back(request, back);
             }
         }
     }
 
     pub(super) fn daemon_up(&mut self, daemon: usize) {
-        let seat = router_seat(&self.plan, daemon, &mut self.source);
-        let router = (self.make)(&seat);
+        let identity = router_identity(&self.plan, daemon, &mut self.source);
+        let router = (self.make)(&identity);
         let node = &mut self.daemons[daemon];
         node.router = router;
         node.life += 1;
--- a/examples/policy_report/fleet/servers.rs
+++ b/examples/policy_report/fleet_simulation/servers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl FleetRun<'_> {
+impl FleetSimulation<'_> {
     pub(super) fn accept(&mut self, server: usize, job: ServerJob) {
         if !self.attempts.contains_key(&job.attempt) {
             return;
@@ -72,13 +72,13 @@
         fresh: &[(u64, u32)],
     ) {
         if let Some(record) = self.attempts.get(&attempt) {
-            let asked = &self.callers[record.request].asked;
-            self.tally.prefill(asked, cached, prompt, fresh);
+            let request = &self.callers[record.request].request;
+            self.run_metrics.record_prefill(request, cached, prompt, fresh);
         }
     }
 
     fn crash(&mut self, server: usize, crasher: AttemptId) {
-        self.tally.servers_lost += 1;
+        self.run_metrics.servers_lost += 1;
         let node = &mut self.servers[server];
         node.armed = None;
         let lost = node.model.crash();
@@ -132,7 +132,7 @@
             running: model.running() as u32,
             waiting: waiting as u32,
             waiting_tokens,
-            cache_used: model.cache.fill(),
+            cache_used: model.cache.utilization(),
             leaving: false,
         }
     }
--- a/examples/policy_report/harness.rs
+++ b/examples/policy_report/harness.rs
@@ -24,25 +24,25 @@
 // Each test uses a part of it.
 #![allow(dead_code)]
 
-pub mod baselines;
-pub mod cache;
-pub mod callers;
-pub mod draw;
-pub mod engine;
-pub mod fleet;
-pub mod loads;
-pub mod router;
+pub mod baseline_router;
+pub mod caller_record;
+pub mod fleet_simulation;
+pub mod load_scenario;
+pub mod prefix_cache;
+pub mod random_source;
+pub mod route_policy;
+pub mod run_metrics;
+pub mod simulated_server;
 pub mod site;
-pub mod tally;
 pub mod traffic;
 
 use {
-    baselines::{PlainRouter, PlainRule},
-    fleet::run_scene,
-    loads::LoadScene,
+    baseline_router::{BaselineRouter, BaselineRule},
+    fleet_simulation::run_scenario,
+    load_scenario::LoadScenario,
     oleandermount::policy::{Dispatcher, DispatcherSettings, PolicySafeguard, SafeguardSet},
-    router::{RoutePolicy, RouterSeat},
-    tally::RunTally,
+    route_policy::{RoutePolicy, RouterIdentity},
+    run_metrics::RunMetrics,
 };
 
 /// Who decides in a run.
@@ -51,63 +51,67 @@
     /// The dispatcher that the daemon runs.
     Chosen,
     /// A baseline.
-    Plain(PlainRule),
+    Baseline(BaselineRule),
 }
 
 impl PolicyName {
     /// All policies, in the order of the report.
     pub const ALL: [PolicyName; 4] = [
         PolicyName::Chosen,
-        PolicyName::Plain(PlainRule::RoundRobin),
-        PolicyName::Plain(PlainRule::LeastLoaded),
-        PolicyName::Plain(PlainRule::PrefixHash),
+        PolicyName::Baseline(BaselineRule::RoundRobin),
+        PolicyName::Baseline(BaselineRule::LeastLoaded),
+        PolicyName::Baseline(BaselineRule::PrefixHash),
     ];
 
     /// The name in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             PolicyName::Chosen => "chosen",
-            PolicyName::Plain(PlainRule::RoundRobin) => "round_robin",
-            PolicyName::Plain(PlainRule::LeastLoaded) => "least_loaded",
-            PolicyName::Plain(PlainRule::PrefixHash) => "prefix_hash",
+            PolicyName::Baseline(BaselineRule::RoundRobin) => "round_robin",
+            PolicyName::Baseline(BaselineRule::LeastLoaded) => "least_loaded",
+            PolicyName::Baseline(BaselineRule::PrefixHash) => "prefix_hash",
         }
     }
 
     /// Runs `scene` under this policy.
-    pub fn run(self, scene: LoadScene, seed: u64) -> RunTally {
-        run_scene(scene, seed, &|seat| -> Box<dyn RoutePolicy> {
+    pub fn run(self, scenario: LoadScenario, seed: u64) -> RunMetrics {
+        run_scenario(scenario, seed, &|identity| -> Box<dyn RoutePolicy> {
             match self {
-                PolicyName::Chosen => Box::new(Dispatcher::new(settings(seat))),
-                PolicyName::Plain(rule) => Box::new(PlainRouter::new(rule, seat)),
+                PolicyName::Chosen => Box::new(Dispatcher::new(settings(identity))),
+                PolicyName::Baseline(rule) => Box::new(BaselineRouter::new(rule, identity)),
             }
         })
     }
 }
 
 /// The dispatcher's settings at one seat.
-pub fn settings(seat: &RouterSeat) -> DispatcherSettings {
+pub fn settings(identity: &RouterIdentity) -> DispatcherSettings {
     DispatcherSettings {
-        daemon: seat.daemon.clone(),
-        failure_domain: seat.failure_domain.clone(),
-        seed: seat.seed,
+        daemon: identity.daemon.clone(),
+        failure_domain: identity.failure_domain.clone(),
+        seed: identity.seed,
         disabled: SafeguardSet::default(),
     }
 }
 
 /// Runs `scene` under the dispatcher with `disabled` safeguards off; none is off in a daemon.
-pub fn run_without(scene: LoadScene, seed: u64, disabled: &SafeguardSet) -> RunTally {
-    run_scene(scene, seed, &|seat| {
+pub fn run_without(scenario: LoadScenario, seed: u64, disabled: &SafeguardSet) -> RunMetrics {
+    run_scenario(scenario, seed, &|identity| {
         let disabled = disabled.clone();
-        Box::new(Dispatcher::new(DispatcherSettings { disabled, ..settings(seat) }))
+        Box::new(Dispatcher::new(DispatcherSettings { disabled, ..settings(identity) }))
     })
 }
 
 /// Runs `scene` with all safeguards, and with `off` switched off: a pattern's test has to tell the
 /// two apart.
-pub fn with_and_without(scene: LoadScene, seed: u64, off: PolicySafeguard) -> (RunTally, RunTally) {
+pub fn with_and_without(
+    scenario: LoadScenario,
+    seed: u64,
+    off: PolicySafeguard,
+) -> (RunMetrics, RunMetrics) {
     let all_on = SafeguardSet::default();
     (
-        run_without(scene.clone(), seed, &all_on),
-        run_without(scene, seed, &[off].into_iter().collect()),
+        run_without(scenario.clone(), seed, &all_on),
+        run_without(scenario, seed, &[off].into_iter().collect()),
     )
 }
--- a/examples/policy_report/loads.rs
+++ b/examples/policy_report/load_scenario.rs
@@ -4,7 +4,8 @@
     super::{
         site::{SiteName, SitePlan},
         traffic::{
-            AskedRequest, AskedWork, TrafficMix, TrafficSpec, draw_calls, draw_traffic, patience,
+            CallerRequest, CallerWork, TrafficMix, TrafficSpec, first_token_limit,
+            generate_service_calls, generate_traffic,
         },
     },
     oleandermount::{inventory::RequestClass, policy::PrefixLevel},
@@ -41,18 +42,18 @@
     /// Daemons stop at once and come back after `down` knowing nothing.
     RestartDaemons { daemons: Vec<usize>, down: Duration },
     /// A failure domain is cut off from the others.
-    Cut { domain: usize },
+    Partition { domain: usize },
     /// The cut ends.
     Heal,
 }
 
 /// All that a run is made of.
 #[derive(Clone, Debug)]
-pub struct LoadScene {
+pub struct LoadScenario {
     /// The site.
     pub plan: SitePlan,
     /// Callers' requests, in order of their first ask.
-    pub asked: Vec<AskedRequest>,
+    pub requests: Vec<CallerRequest>,
     /// Faults with their moments.
     pub faults: Vec<(Duration, SiteFault)>,
     /// Requests asked before this moment are served but not measured: caches start empty.
@@ -62,25 +63,25 @@
     /// How late a load report comes.
     pub report_lag: Duration,
     /// Whom digests reach.
-    pub digest_reach: DigestReach,
+    pub digest_scope: DigestScope,
 }
 
 /// Whom a daemon's digests reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DigestReach {
+pub enum DigestScope {
     /// The daemons of its own failure domain.
     OwnDomain,
     /// Three daemons of each other domain as well, which today are all.
     AllDomains,
 }
 
-impl LoadScene {
+impl LoadScenario {
     /// Adds sessions with `rate` model requests a second from `from` to the end.
     pub fn add_traffic(&mut self, seed: u64, rate: f64, from: Duration, mix: TrafficMix) {
-        let until = self.asked.last().map_or(from, |request| request.at);
+        let until = self.requests.last().map_or(from, |request| request.at);
         let spec = TrafficSpec { purpose: "added", rate, from, until, mix };
-        self.asked.extend(draw_traffic(seed, &spec));
-        self.asked.sort_by_key(|request| request.at);
+        self.requests.extend(generate_traffic(seed, &spec));
+        self.requests.sort_by_key(|request| request.at);
     }
 }
 
@@ -157,8 +158,8 @@
     }
 
     /// Draws the load for a site from `seed`, with sessions over `length`.
-    pub fn scene(self, site: SiteName, seed: u64, length: Duration) -> LoadScene {
-        let mut draft = SceneDraft::new(site, seed, length);
+    pub fn scenario(self, site: SiteName, seed: u64, length: Duration) -> LoadScenario {
+        let mut draft = ScenarioBuilder::new(site, seed, length);
         match self {
             LoadName::Steady => draft.steady(),
             LoadName::Burst => draft.bursts(),
@@ -179,30 +180,30 @@
     }
 }
 
-struct SceneDraft {
+struct ScenarioBuilder {
     seed: u64,
     site: SiteName,
     length: Duration,
-    scene: LoadScene,
+    scenario: LoadScenario,
 }
 
-impl SceneDraft {
+impl ScenarioBuilder {
     fn new(site: SiteName, seed: u64, length: Duration) -> Self {
-        let scene = LoadScene {
+        let scenario = LoadScenario {
             plan: SitePlan::new(site),
-            asked: Vec::new(),
+            requests: Vec::new(),
             faults: Vec::new(),
             warm_up: length / 8,
             cache_loss: CACHE_LOSS,
             report_lag: REPORT_LAG,
-            digest_reach: DigestReach::AllDomains,
+            digest_scope: DigestScope::AllDomains,
         };
-        SceneDraft { seed, site, length, scene }
+        ScenarioBuilder { seed, site, length, scenario }
     }
 
-    fn finish(mut self) -> LoadScene {
-        self.scene.asked.sort_by_key(|request| request.at);
-        self.scene
+    fn finish(mut self) -> LoadScenario {
+        self.scenario.requests.sort_by_key(|request| request.at);
+        self.scenario
     }
 
     /// Model requests a second of a full site.
@@ -211,7 +212,7 @@
             SiteName::Tuul => TUUL_FULL,
             SiteName::Abay => ABAY_FULL,
         };
-        rate * self.scene.plan.engines() as f64
+        rate * self.scenario.plan.engines() as f64
     }
 
     fn add(&mut self, purpose: &'static str, share: f64, span: (f64, f64), mix: TrafficMix) {
@@ -222,13 +223,13 @@
             until: self.length.mul_f64(span.1),
             mix,
         };
-        self.scene.asked.extend(draw_traffic(self.seed, &spec));
+        self.scenario.requests.extend(generate_traffic(self.seed, &spec));
     }
 
     fn usual(&mut self, share: f64) {
-        self.add("usual", share, (0.0, 1.0), TrafficMix::Usual(self.site));
+        self.add("usual", share, (0.0, 1.0), TrafficMix::SiteTraffic(self.site));
         let rate = self.full_rate() * share;
-        self.scene.asked.extend(draw_calls(self.seed, rate, self.length));
+        self.scenario.requests.extend(generate_service_calls(self.seed, rate, self.length));
     }
 
     fn steady_share(&self) -> f64 {
@@ -250,14 +251,14 @@
         let steady = self.steady_share();
         self.usual(steady / 2.0);
         for (purpose, start) in [("burst 1", 0.25), ("burst 2", 0.5), ("burst 3", 0.75)] {
-            let mix = TrafficMix::Usual(self.site);
+            let mix = TrafficMix::SiteTraffic(self.site);
             self.add(purpose, 3.0, (start, start + 0.04), mix);
         }
     }
 
     fn hot_caller(&mut self) {
         self.steady();
-        self.add("flood", 1.5, (0.25, 0.9), TrafficMix::OneCaller(HOT_ORGANISATION));
+        self.add("flood", 1.5, (0.25, 0.9), TrafficMix::OneOrganisation(HOT_ORGANISATION));
     }
 
     fn hot_clients(&mut self) {
@@ -274,12 +275,12 @@
     fn slow_server(&mut self) {
         self.steady();
         let fault = SiteFault::SetSpeed { server: SLOW_SERVER, speed: 0.2 };
-        self.scene.faults.push((self.length.mul_f64(0.125), fault));
+        self.scenario.faults.push((self.length.mul_f64(0.125), fault));
     }
 
     fn without_slow_server(&mut self) {
         self.steady();
-        self.scene.plan.servers.remove(SLOW_SERVER);
+        self.scenario.plan.servers.remove(SLOW_SERVER);
     }
 
     fn long_jobs(&mut self) {
@@ -291,39 +292,39 @@
         self.steady();
         let level = |hash, tokens| PrefixLevel { hash, tokens };
         let levels = vec![level(0xbad, 2_000), level(0xbad1, 5_000), level(0xbad2, 5_200)];
-        self.scene.asked.push(AskedRequest {
+        self.scenario.requests.push(CallerRequest {
             at: self.length.mul_f64(0.2),
             entry: 0,
             organisation: 3,
             class: RequestClass::Interactive,
-            patience: patience(RequestClass::Interactive),
+            first_token_limit: first_token_limit(RequestClass::Interactive),
             repeatable: true,
-            work: AskedWork::Model { levels, output_tokens: 100 },
+            work: CallerWork::Model { levels, output_tokens: 100 },
             poison: true,
         });
     }
 
     fn restarts(&mut self) {
         self.steady();
-        let daemons = self.scene.plan.daemons.len();
+        let daemons = self.scenario.plan.daemons.len();
         let domain: Vec<usize> = (0..daemons).filter(|index| index % 3 == 0).collect();
         let down = Duration::from_secs(1);
         let herd = |daemons| SiteFault::RestartDaemons { daemons, down };
-        self.scene.faults.push((self.length.mul_f64(0.3), herd(domain)));
-        self.scene.faults.push((self.length.mul_f64(0.6), herd((0..daemons).collect())));
+        self.scenario.faults.push((self.length.mul_f64(0.3), herd(domain)));
+        self.scenario.faults.push((self.length.mul_f64(0.6), herd((0..daemons).collect())));
     }
 
     fn mixed_speeds(&mut self) {
         self.steady();
-        for (index, seat) in self.scene.plan.servers.iter_mut().enumerate() {
+        for (index, placement) in self.scenario.plan.servers.iter_mut().enumerate() {
             // Means 1.0 over each four servers.
-            seat.traits.speed = [1.6, 0.8, 1.2, 0.4][index % 4];
+            placement.properties.speed = [1.6, 0.8, 1.2, 0.4][index % 4];
         }
     }
 
     fn cut_domain(&mut self) {
         self.steady();
-        self.scene.faults.push((self.length.mul_f64(0.3), SiteFault::Cut { domain: 1 }));
-        self.scene.faults.push((self.length.mul_f64(0.7), SiteFault::Heal));
+        self.scenario.faults.push((self.length.mul_f64(0.3), SiteFault::Partition { domain: 1 }));
+        self.scenario.faults.push((self.length.mul_f64(0.7), SiteFault::Heal));
     }
 }
--- a/examples/policy_report/main.rs
+++ b/examples/policy_report/main.rs
@@ -1,18 +1,18 @@
 //! Drives the dispatcher and three plain routers in virtual time over the same arrivals, and prints
 //! what callers got. `harness` tells what the model is and what it leaves out.
 
-mod aims;
 #[path = "harness.rs"]
 mod harness;
 mod report;
+mod targets;
 
 use {
     bpaf::Bpaf,
     harness::{
         PolicyName,
-        loads::{DigestReach, LoadName},
+        load_scenario::{DigestScope, LoadName},
+        run_metrics::RunMetrics,
         site::SiteName,
-        tally::RunTally,
     },
     oleandermount::policy::SafeguardSet,
     report::RunLabel,
@@ -75,7 +75,7 @@
     let seeds = options.seed..options.seed + options.seeds;
     if options.aims {
         let run = |_, load, policy, seed| run_load(&options, load, policy, seed);
-        for line in aims::aim_lines(options.site, seeds, &run) {
+        for line in targets::target_lines(options.site, seeds, &run) {
             writeln!(out, "{line}")?;
         }
         return Ok(());
@@ -93,17 +93,17 @@
     Ok(())
 }
 
-fn run_load(options: &ReportOptions, load: LoadName, policy: PolicyName, seed: u64) -> RunTally {
-    let mut scene = load.scene(options.site, seed, Duration::from_secs(options.length));
+fn run_load(options: &ReportOptions, load: LoadName, policy: PolicyName, seed: u64) -> RunMetrics {
+    let mut scenario = load.scenario(options.site, seed, Duration::from_secs(options.length));
     if options.no_cache_events {
-        scene.cache_loss = 1.0;
+        scenario.cache_loss = 1.0;
     }
     if options.near_digests {
-        scene.digest_reach = DigestReach::OwnDomain;
+        scenario.digest_scope = DigestScope::OwnDomain;
     }
     match policy {
-        PolicyName::Chosen => harness::run_without(scene, seed, &options.without),
-        PolicyName::Plain(_) => policy.run(scene, seed),
+        PolicyName::Chosen => harness::run_without(scenario, seed, &options.without),
+        PolicyName::Baseline(_) => policy.run(scenario, seed),
     }
 }
 
@@ -114,7 +114,7 @@
     load: LoadName,
     policy: PolicyName,
 ) -> std::io::Result<()> {
-    let tally = run_load(options, load, policy, seed);
+    let run_metrics = run_load(options, load, policy, seed);
     let label = RunLabel {
         site: options.site.as_str(),
         load: load.as_str(),
@@ -122,8 +122,8 @@
         seed,
     };
     let lines = match options.json {
-        true => report::json_lines(label, &tally),
-        false => report::table_rows(label, &tally),
+        true => report::json_lines(label, &run_metrics),
+        false => report::table_rows(label, &run_metrics),
     };
     for line in lines {
         writeln!(out, "{line}")?;
--- a/examples/policy_report/cache.rs
+++ b/examples/policy_report/prefix_cache.rs
@@ -55,7 +55,7 @@
     }
 
     /// Share of the cache in use.
-    pub fn fill(&self) -> f64 {
+    pub fn utilization(&self) -> f64 {
         self.used as f64 / self.limit as f64
     }
 
--- a/examples/policy_report/draw.rs
+++ b/examples/policy_report/random_source.rs
@@ -7,13 +7,13 @@
 };
 
 /// A seeded source of the draws that loads and faults are made of.
-pub struct DrawSource(Xoshiro256PlusPlus);
+pub struct RandomSource(Xoshiro256PlusPlus);
 
-impl DrawSource {
+impl RandomSource {
     /// A source for one purpose; sources of other purposes do not disturb it.
     pub fn new(seed: u64, purpose: &str) -> Self {
-        let salt = purpose.bytes().fold(0, |salt, byte| mix(salt, u64::from(byte)));
-        DrawSource(Xoshiro256PlusPlus::seed_from_u64(mix(seed, salt)))
+        let salt = purpose.bytes().fold(0, |salt, byte| mix_hash(salt, u64::from(byte)));
+        RandomSource(Xoshiro256PlusPlus::seed_from_u64(mix_hash(seed, salt)))
     }
 
     /// Uniform in 0 to 1, 1 excluded.
@@ -22,17 +22,17 @@
     }
 
     /// Uniform in `range`.
-    pub fn within(&mut self, range: Range<u32>) -> u32 {
+    pub fn in_range(&mut self, range: Range<u32>) -> u32 {
         range.start + (self.unit() * f64::from(range.end - range.start)) as u32
     }
 
     /// The gap to the next event of a Poisson process with `rate` events a second.
-    pub fn gap(&mut self, rate: f64) -> Duration {
+    pub fn exponential_gap(&mut self, rate: f64) -> Duration {
         Duration::from_secs_f64(-(1.0 - self.unit()).ln() / rate)
     }
 
     /// An index drawn with the given weights.
-    pub fn weighted(&mut self, weights: &[f64]) -> usize {
+    pub fn weighted_index(&mut self, weights: &[f64]) -> usize {
         let mut left = self.unit() * weights.iter().sum::<f64>();
         for (index, weight) in weights.iter().enumerate() {
             left -= weight;
@@ -50,7 +50,7 @@
 }
 
 /// Chains `value` onto `hash`.
-pub fn mix(hash: u64, value: u64) -> u64 {
+pub fn mix_hash(hash: u64, value: u64) -> u64 {
     let mut mixed = hash ^ value.wrapping_add(0x9e37_79b9_7f4a_7c15).wrapping_add(hash << 6);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/examples/policy_report/report.rs
+++ b/examples/policy_report/report.rs
@@ -2,8 +2,8 @@
 
 use {
     super::harness::{
-        callers::organisation_name,
-        tally::{ReportClass, RunTally, ratio},
+        caller_record::organisation_name,
+        run_metrics::{ReportClass, RunMetrics, ratio},
     },
     serde_json::{Map, Value, json},
     std::time::Duration,
@@ -23,8 +23,8 @@
 }
 
 /// The lines of a run, one for each class that asked anything.
-pub fn json_lines(label: RunLabel, tally: &RunTally) -> Vec<String> {
-    classes(tally).map(|class| class_object(label, tally, class).to_string()).collect()
+pub fn json_lines(label: RunLabel, run_metrics: &RunMetrics) -> Vec<String> {
+    classes(run_metrics).map(|class| class_object(label, run_metrics, class).to_string()).collect()
 }
 
 /// The head of the table.
@@ -48,17 +48,17 @@
 }
 
 /// The rows of a run.
-pub fn table_rows(label: RunLabel, tally: &RunTally) -> Vec<String> {
-    classes(tally).map(|class| table_row(label, tally, class)).collect()
+pub fn table_rows(label: RunLabel, run_metrics: &RunMetrics) -> Vec<String> {
+    classes(run_metrics).map(|class| table_row(label, run_metrics, class)).collect()
 }
 
-fn classes(tally: &RunTally) -> impl Iterator<Item = ReportClass> {
-    ReportClass::ALL.into_iter().filter(|class| !tally.class(*class).is_empty())
+fn classes(run_metrics: &RunMetrics) -> impl Iterator<Item = ReportClass> {
+    ReportClass::ALL.into_iter().filter(|class| !run_metrics.callers_of_class(*class).is_empty())
 }
 
-fn class_object(label: RunLabel, tally: &RunTally, class: ReportClass) -> Value {
-    let figures = tally.figures(class);
-    let work = tally.work.get(&class).copied().unwrap_or_default();
+fn class_object(label: RunLabel, run_metrics: &RunMetrics, class: ReportClass) -> Value {
+    let figures = run_metrics.class_metrics(class);
+    let work = run_metrics.work.get(&class).copied().unwrap_or_default();
     let shares: Map<String, Value> = figures
         .shares
         .iter()
@@ -71,7 +71,7 @@
         "policy": label.policy,
         "seed": label.seed,
         "class": class.as_str(),
-        "asked": figures.asked,
+        "asked": figures.requests,
         "answered": figures.answered,
         "goodput": rounded(figures.goodput()),
         "p50_first_token_ms": millis(figures.p50),
@@ -81,16 +81,16 @@
         "prompt_tokens": work.prompt,
         "recomputed_tokens": work.recomputed,
         "refused": figures.refused,
-        "sent_per_asked": rounded(ratio(figures.sent, figures.asked)),
-        "servers_lost": tally.servers_lost,
+        "sent_per_asked": rounded(ratio(figures.sent, figures.requests)),
+        "servers_lost": run_metrics.servers_lost,
         "share_by_organisation": shares,
-        "breaches": tally.breaches.len(),
+        "breaches": run_metrics.violations.len(),
     })
 }
 
-fn table_row(label: RunLabel, tally: &RunTally, class: ReportClass) -> String {
-    let figures = tally.figures(class);
-    let work = tally.work.get(&class).copied().unwrap_or_default();
+fn table_row(label: RunLabel, run_metrics: &RunMetrics, class: ReportClass) -> String {
+    let figures = run_metrics.class_metrics(class);
+    let work = run_metrics.work.get(&class).copied().unwrap_or_default();
     let refused: Vec<String> =
         figures.refused.iter().map(|(reason, count)| format!("{reason} {count}")).collect();
     format!(
@@ -98,15 +98,15 @@
         label.load,
         label.policy,
         class.as_str(),
-        figures.asked,
+        figures.requests,
         figures.goodput(),
         millis(figures.p50).unwrap_or(f64::NAN),
         millis(figures.p99).unwrap_or(f64::NAN),
         millis(figures.p99_misses).unwrap_or(f64::NAN),
         ratio(work.cached, work.prompt),
         work.recomputed,
-        ratio(figures.sent, figures.asked),
-        tally.servers_lost,
+        ratio(figures.sent, figures.requests),
+        run_metrics.servers_lost,
         refused.join(", "),
     )
 }
--- a/examples/policy_report/router.rs
+++ b/examples/policy_report/route_policy.rs
@@ -25,7 +25,7 @@
 
 /// One life of one daemon's router.
 #[derive(Clone, Debug)]
-pub struct RouterSeat {
+pub struct RouterIdentity {
     /// The VM.
     pub daemon: String,
     /// Its failure domain.
@@ -35,4 +35,4 @@
 }
 
 /// Makes the router of a daemon's life.
-pub type RouterMaker<'a> = dyn Fn(&RouterSeat) -> Box<dyn RoutePolicy> + 'a;
+pub type RouterMaker<'a> = dyn Fn(&RouterIdentity) -> Box<dyn RoutePolicy> + 'a;
--- a/examples/policy_report/tally.rs
+++ b/examples/policy_report/run_metrics.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        callers::{CallerOutcome, CallerRecord},
+        caller_record::{CallerOutcome, CallerRecord},
         site::ORGANISATION_SHARES,
-        traffic::{AskedRequest, AskedWork},
+        traffic::{CallerRequest, CallerWork},
     },
     oleandermount::inventory::RequestClass,
     std::{
@@ -45,10 +45,10 @@
     }
 
     /// The class that a request counts for.
-    pub fn of(asked: &AskedRequest) -> Self {
-        match asked.work {
-            AskedWork::Model { .. } => ReportClass::Model(asked.class),
-            AskedWork::Service { .. } => ReportClass::Service,
+    pub fn of(request: &CallerRequest) -> Self {
+        match request.work {
+            CallerWork::Model { .. } => ReportClass::Model(request.class),
+            CallerWork::Service { .. } => ReportClass::Service,
         }
     }
 }
@@ -65,7 +65,7 @@
 }
 
 /// Everything noted in a run.
-pub struct RunTally {
+pub struct RunMetrics {
     /// Requests first asked before this moment are not measured.
     pub warm_up: Duration,
     /// All callers, filled at the end.
@@ -77,28 +77,28 @@
     /// Retries that the policy counted.
     pub retries: u32,
     /// What must never happen and did; empty unless the policy is wrong.
-    pub breaches: Vec<String>,
+    pub violations: Vec<String>,
     computed: BTreeSet<u64>,
 }
 
-impl RunTally {
+impl RunMetrics {
     /// A tally of nothing.
     pub fn new(warm_up: Duration) -> Self {
-        RunTally {
+        RunMetrics {
             warm_up,
             callers: Vec::new(),
             work: BTreeMap::new(),
             servers_lost: 0,
             retries: 0,
-            breaches: Vec::new(),
+            violations: Vec::new(),
             computed: BTreeSet::new(),
         }
     }
 
     /// Notes a prefill that ended.
-    pub fn prefill(
+    pub fn record_prefill(
         &mut self,
-        asked: &AskedRequest,
+        request: &CallerRequest,
         cached: u32,
         prompt: u32,
         fresh: &[(u64, u32)],
@@ -109,33 +109,33 @@
                 recomputed += u64::from(*tokens);
             }
         }
-        if asked.at < self.warm_up || asked.poison {
+        if request.at < self.warm_up || request.poison {
             return;
         }
-        let work = self.work.entry(ReportClass::of(asked)).or_default();
+        let work = self.work.entry(ReportClass::of(request)).or_default();
         work.prompt += u64::from(prompt);
         work.cached += u64::from(cached);
         work.recomputed += recomputed;
     }
 
     /// Callers that are measured; the one whose request crashes servers is not.
-    pub fn measured(&self) -> impl Iterator<Item = &CallerRecord> {
+    pub fn measured_callers(&self) -> impl Iterator<Item = &CallerRecord> {
         let warm_up = self.warm_up;
-        self.callers.iter().filter(move |c| c.asked.at >= warm_up && !c.asked.poison)
+        self.callers.iter().filter(move |c| c.request.at >= warm_up && !c.request.poison)
     }
 
     /// Measured callers of one class.
-    pub fn class(&self, class: ReportClass) -> Vec<&CallerRecord> {
-        self.measured().filter(|caller| ReportClass::of(&caller.asked) == class).collect()
+    pub fn callers_of_class(&self, class: ReportClass) -> Vec<&CallerRecord> {
+        self.measured_callers().filter(|caller| ReportClass::of(&caller.request) == class).collect()
     }
 
     /// What measured callers of one class got.
-    pub fn figures(&self, class: ReportClass) -> CallerFigures {
-        CallerFigures::of(&self.class(class))
+    pub fn class_metrics(&self, class: ReportClass) -> CallerMetrics {
+        CallerMetrics::of(&self.callers_of_class(class))
     }
 
     /// Prompt work of all classes.
-    pub fn all_work(&self) -> PromptWork {
+    pub fn total_prompt_work(&self) -> PromptWork {
         self.work.values().fold(PromptWork::default(), |sum, work| PromptWork {
             prompt: sum.prompt + work.prompt,
             cached: sum.cached + work.cached,
@@ -144,28 +144,32 @@
     }
 
     /// Measured requests whose whole answer came, out of all.
-    pub fn answered_part(&self) -> f64 {
-        let answered = self.measured().filter(|caller| caller.first_token_wait().is_some());
-        ratio(answered.count() as u64, self.measured().count() as u64)
+    pub fn answered_ratio(&self) -> f64 {
+        let answered =
+            self.measured_callers().filter(|caller| caller.first_token_latency().is_some());
+        ratio(answered.count() as u64, self.measured_callers().count() as u64)
     }
 
     /// Sendings to servers for each ask, a caller's coming back included.
-    pub fn sent_per_ask(&self) -> f64 {
-        let asks = self.measured().map(|caller| u64::from(caller.asks)).sum();
-        ratio(self.measured().map(|caller| u64::from(caller.sent)).sum(), asks)
+    pub fn sends_per_submission(&self) -> f64 {
+        let submissions = self.measured_callers().map(|caller| u64::from(caller.submissions)).sum();
+        ratio(self.measured_callers().map(|caller| u64::from(caller.sent)).sum(), submissions)
     }
 
     /// Sendings to servers for each request asked.
-    pub fn sent_per_asked(&self) -> f64 {
-        ratio(self.measured().map(|c| u64::from(c.sent)).sum(), self.measured().count() as u64)
+    pub fn sends_per_request(&self) -> f64 {
+        ratio(
+            self.measured_callers().map(|c| u64::from(c.sent)).sum(),
+            self.measured_callers().count() as u64,
+        )
     }
 }
 
 /// What callers of one group got.
 #[derive(Clone, Debug, Default)]
-pub struct CallerFigures {
+pub struct CallerMetrics {
     /// Requests.
-    pub asked: u64,
+    pub requests: u64,
     /// Requests whose whole answer came.
     pub answered: u64,
     /// Requests whose whole answer came with its first token in time.
@@ -184,24 +188,24 @@
     pub shares: Vec<f64>,
 }
 
-impl CallerFigures {
+impl CallerMetrics {
     /// Figures of a group.
     pub fn of(callers: &[&CallerRecord]) -> Self {
         let mut waits = Vec::new();
-        let mut figures = CallerFigures { asked: callers.len() as u64, ..Self::default() };
+        let mut figures = CallerMetrics { requests: callers.len() as u64, ..Self::default() };
         let mut tokens = vec![0; ORGANISATION_SHARES.len()];
         let mut misses = Vec::new();
         for caller in callers {
             figures.sent += u64::from(caller.sent);
-            match caller.first_token_wait() {
+            match caller.first_token_latency() {
                 Some(wait) => {
                     waits.push(wait);
                     figures.answered += 1;
                     figures.in_time += u64::from(caller.in_time());
-                    tokens[caller.asked.organisation] += caller.tokens();
+                    tokens[caller.request.organisation] += caller.tokens();
                 }
                 None => {
-                    misses.push(caller.asked.patience);
+                    misses.push(caller.request.first_token_limit);
                     *figures.refused.entry(last_reason(caller)).or_default() += 1;
                 }
             }
@@ -215,19 +219,19 @@
         figures
     }
 
-    /// [`CallerFigures::p99`] in milliseconds; endless if nobody was answered.
+    /// [`CallerMetrics::p99`] in milliseconds; endless if nobody was answered.
     pub fn p99_ms(&self) -> f64 {
         self.p99.map_or(f64::INFINITY, |p99| p99.as_secs_f64() * 1_000.0)
     }
 
     /// Answered in time out of asked.
     pub fn goodput(&self) -> f64 {
-        ratio(self.in_time, self.asked)
+        ratio(self.in_time, self.requests)
     }
 }
 
 fn last_reason(caller: &CallerRecord) -> &'static str {
-    match &caller.settled {
+    match &caller.outcome {
         Some((_, CallerOutcome::Refused(reason))) => reason,
         Some((_, CallerOutcome::Answered)) | None => "unanswered",
     }
--- a/examples/policy_report/engine.rs
+++ b/examples/policy_report/simulated_server.rs
@@ -1,7 +1,7 @@
 //! The model of a backend server: slots, chunked prefill, decode, prefix cache, crash.
 
 use {
-    super::cache::PrefixCache,
+    super::prefix_cache::PrefixCache,
     oleandermount::{ids::AttemptId, policy::PrefixLevel},
     std::{collections::BTreeMap, time::Duration},
 };
@@ -19,7 +19,7 @@
 
 /// The fixed properties of a server.
 #[derive(Clone, Debug)]
-pub struct ServerTraits {
+pub struct ServerProperties {
     /// Requests that run at once.
     pub slots: usize,
     /// Prompt tokens a second when nothing else runs.
@@ -80,13 +80,13 @@
 }
 
 /// One server in virtual time.
-pub struct ServerModel {
+pub struct SimulatedServer {
     /// Its present life.
     pub incarnation: u64,
     /// Whether it answers.
     pub alive: bool,
     /// Its fixed properties; `speed` may be changed by a fault.
-    pub traits: ServerTraits,
+    pub properties: ServerProperties,
     /// What it holds.
     pub cache: PrefixCache,
     waiting: BTreeMap<JobOrder, ServerJob>,
@@ -96,14 +96,14 @@
     arrivals: u64,
 }
 
-impl ServerModel {
+impl SimulatedServer {
     /// An idle server with an empty cache.
-    pub fn new(traits: ServerTraits, incarnation: u64) -> Self {
-        ServerModel {
+    pub fn new(properties: ServerProperties, incarnation: u64) -> Self {
+        SimulatedServer {
             incarnation,
             alive: true,
-            cache: PrefixCache::new(traits.cache_tokens),
-            traits,
+            cache: PrefixCache::new(properties.cache_tokens),
+            properties,
             waiting: BTreeMap::new(),
             prefilling: BTreeMap::new(),
             streams: BTreeMap::new(),
@@ -136,7 +136,7 @@
             .chain(self.prefilling.values().map(|state| state.job.attempt))
             .chain(self.streams.keys().copied())
             .collect();
-        *self = ServerModel::new(self.traits.clone(), self.incarnation + 1);
+        *self = SimulatedServer::new(self.properties.clone(), self.incarnation + 1);
         self.alive = false;
         lost
     }
@@ -158,7 +158,7 @@
         (self.waiting.len(), waiting + started)
     }
 
-    /// When [`ServerModel::advance`] is due next.
+    /// When [`SimulatedServer::advance`] is due next.
     pub fn next_event(&self) -> Option<Duration> {
         let stream = self.streams.values().map(|stream| stream.next).min();
         self.chunk.as_ref().map(|chunk| chunk.2).into_iter().chain(stream).min()
@@ -174,11 +174,11 @@
     }
 
     fn admit(&mut self, now: Duration) {
-        while self.running() < self.traits.slots {
+        while self.running() < self.properties.slots {
             let Some((order, job)) = self.waiting.pop_first() else { return };
             match job.service_time {
                 Some(time) => {
-                    let next = now + time.div_f64(self.traits.speed);
+                    let next = now + time.div_f64(self.properties.speed);
                     let state =
                         StreamState { job, cached: 0, interval: time, left: 1, step: 1, next };
                     self.streams.insert(state.job.attempt, state);
@@ -204,7 +204,8 @@
             state.left = prompt - state.cached + state.job.resume_after;
         }
         let tokens = state.left.min(CHUNK_TOKENS);
-        let rate = self.traits.prefill_rate * self.traits.speed / (1.0 + PREFILL_SLOWING * streams);
+        let rate = self.properties.prefill_rate * self.properties.speed
+            / (1.0 + PREFILL_SLOWING * streams);
         self.chunk =
             Some((*order, tokens, now + Duration::from_secs_f64(f64::from(tokens) / rate)));
     }
@@ -238,7 +239,7 @@
         self.cache.store(&job.levels);
         let left = job.output_tokens.saturating_sub(job.resume_after + 1);
         let interval = (TOKEN_INTERVAL + INTERVAL_GROWTH * self.streams.len() as u32)
-            .div_f64(self.traits.speed);
+            .div_f64(self.properties.speed);
         let step = left.min(PROGRESS_TOKENS);
         let attempt = job.attempt;
         let stream = StreamState { job, cached, interval, left, step, next: now + interval * step };
--- a/examples/policy_report/site.rs
+++ b/examples/policy_report/site.rs
@@ -1,7 +1,7 @@
 //! The two users' sites: failure domains, daemons, servers and organisations.
 
 use {
-    super::engine::ServerTraits,
+    super::simulated_server::ServerProperties,
     oleandermount::{
         ids::{FailureDomainId, ServerId, VmId},
         inventory::{DecisionObjective, ServerKind},
@@ -42,7 +42,7 @@
 
 /// One daemon's place.
 #[derive(Clone, Debug)]
-pub struct DaemonSeat {
+pub struct DaemonPlacement {
     /// Its VM.
     pub vm: VmId,
     /// Its failure domain, as an index.
@@ -51,7 +51,7 @@
 
 /// One backend server's place and properties.
 #[derive(Clone, Debug)]
-pub struct ServerSeat {
+pub struct ServerPlacement {
     /// Its name.
     pub id: ServerId,
     /// Its failure domain, as an index.
@@ -59,7 +59,7 @@
     /// What it does.
     pub kind: ServerKind,
     /// How fast it is.
-    pub traits: ServerTraits,
+    pub properties: ServerProperties,
 }
 
 /// A whole site.
@@ -70,9 +70,9 @@
     /// Names of the failure domains.
     pub domains: Vec<FailureDomainId>,
     /// Daemons, spread evenly over the domains.
-    pub daemons: Vec<DaemonSeat>,
+    pub daemons: Vec<DaemonPlacement>,
     /// Servers, spread evenly over the domains.
-    pub servers: Vec<ServerSeat>,
+    pub servers: Vec<ServerPlacement>,
 }
 
 impl SitePlan {
@@ -83,22 +83,26 @@
             SiteName::Abay => (["addis-a", "addis-b", "addis-c"], 9, 18),
         };
         let daemons = (0..daemons)
-            .map(|index| DaemonSeat { vm: format!("entry-{index}"), domain: index % 3 })
+            .map(|index| DaemonPlacement { vm: format!("entry-{index}"), domain: index % 3 })
             .collect();
-        let engine =
-            ServerTraits { slots: 16, prefill_rate: 12_000.0, cache_tokens: 120_000, speed: 1.0 };
-        let service = ServerTraits { slots: SERVICE_SLOTS, ..engine.clone() };
-        let engines = (0..engines).map(|index| ServerSeat {
+        let engine = ServerProperties {
+            slots: 16,
+            prefill_rate: 12_000.0,
+            cache_tokens: 120_000,
+            speed: 1.0,
+        };
+        let service = ServerProperties { slots: SERVICE_SLOTS, ..engine.clone() };
+        let engines = (0..engines).map(|index| ServerPlacement {
             id: format!("engine-{index:02}"),
             domain: index % 3,
             kind: ServerKind::Engine,
-            traits: engine.clone(),
+            properties: engine.clone(),
         });
-        let services = (0..3).map(|index| ServerSeat {
+        let services = (0..3).map(|index| ServerPlacement {
             id: format!("service-{index}"),
             domain: index,
             kind: ServerKind::Service,
-            traits: service.clone(),
+            properties: service.clone(),
         });
         let servers = engines.chain(services).collect();
         SitePlan { name, domains: domains.map(String::from).into(), daemons, servers }
@@ -106,17 +110,20 @@
 
     /// Engines alone.
     pub fn engines(&self) -> usize {
-        self.servers.iter().filter(|seat| seat.kind == ServerKind::Engine).count()
+        self.servers.iter().filter(|placement| placement.kind == ServerKind::Engine).count()
     }
 
     /// The configuration that every router gets.
     pub fn view(&self) -> PolicyView {
         let mut daemons: BTreeMap<FailureDomainId, BTreeMap<VmId, f64>> = BTreeMap::new();
-        for seat in &self.daemons {
-            let domain = self.domains[seat.domain].clone();
-            daemons.entry(domain).or_default().insert(seat.vm.clone(), 1.0);
+        for placement in &self.daemons {
+            let domain = self.domains[placement.domain].clone();
+            daemons.entry(domain).or_default().insert(placement.vm.clone(), 1.0);
         }
-        let servers = self.servers.iter().map(|seat| (seat.id.clone(), self.server_view(seat)));
+        let servers = self
+            .servers
+            .iter()
+            .map(|placement| (placement.id.clone(), self.server_view(placement)));
         PolicyView {
             revision: 1,
             objective: match self.name {
@@ -130,14 +137,14 @@
         }
     }
 
-    fn server_view(&self, seat: &ServerSeat) -> ServerView {
-        let engine = seat.kind == ServerKind::Engine;
+    fn server_view(&self, placement: &ServerPlacement) -> ServerView {
+        let engine = placement.kind == ServerKind::Engine;
         ServerView {
-            failure_domain: self.domains[seat.domain].clone(),
-            kind: seat.kind,
+            failure_domain: self.domains[placement.domain].clone(),
+            kind: placement.kind,
             models: if engine { vec![MODEL.into()] } else { Vec::new() },
             service: (!engine).then(|| SERVICE.into()),
-            slots: seat.traits.slots as u32,
+            slots: placement.properties.slots as u32,
         }
     }
 }
--- a/examples/policy_report/aims.rs
+++ b/examples/policy_report/targets.rs
@@ -3,49 +3,49 @@
 use {
     super::harness::{
         PolicyName,
-        baselines::PlainRule,
-        callers::CallerRecord,
-        loads::{HOT_ORGANISATION, LoadName},
+        baseline_router::BaselineRule,
+        caller_record::CallerRecord,
+        load_scenario::{HOT_ORGANISATION, LoadName},
+        run_metrics::{BATCH, CallerMetrics, INTERACTIVE, ReportClass, RunMetrics, ratio},
         site::{ORGANISATION_SHARES, SiteName},
-        tally::{BATCH, CallerFigures, INTERACTIVE, ReportClass, RunTally, ratio},
     },
     std::{collections::BTreeMap, time::Duration},
 };
 
 /// Runs one load under one policy.
-pub type SceneRunner<'a> = dyn Fn(SiteName, LoadName, PolicyName, u64) -> RunTally + 'a;
+pub type ScenarioRunner<'a> = dyn Fn(SiteName, LoadName, PolicyName, u64) -> RunMetrics + 'a;
 
 /// What a figure has to be.
 #[derive(Clone, Copy, Debug)]
-pub enum AimLimit {
+pub enum TargetBound {
     /// No more than this.
     AtMost(f64),
     /// No less than this.
     AtLeast(f64),
     /// Printed beside the aims; no limit is set.
-    Shown,
+    ReportOnly,
 }
 
 /// One aim's figure in one run.
-struct AimFigure {
+struct TargetValue {
     name: String,
-    limit: AimLimit,
+    limit: TargetBound,
     value: f64,
 }
 
 /// All runs of one seed.
 struct SeedRuns {
-    runs: BTreeMap<(LoadName, PolicyName), RunTally>,
+    runs: BTreeMap<(LoadName, PolicyName), RunMetrics>,
 }
 
 /// Runs `seeds` at `site` and gives the printed lines.
-pub fn aim_lines(
+pub fn target_lines(
     site: SiteName,
     seeds: std::ops::Range<u64>,
-    run: &SceneRunner<'_>,
+    run: &ScenarioRunner<'_>,
 ) -> Vec<String> {
     let mut order = Vec::new();
-    let mut values: BTreeMap<String, (AimLimit, Vec<f64>)> = BTreeMap::new();
+    let mut values: BTreeMap<String, (TargetBound, Vec<f64>)> = BTreeMap::new();
     for seed in seeds {
         for figure in SeedRuns::new(site, seed, run).figures() {
             if !values.contains_key(&figure.name) {
@@ -57,29 +57,29 @@
     let head = format!("{:<58} {:>9} {:>9} {:>9}  met", "aim", "limit", "median", "worst");
     let lines = order.iter().map(|name| {
         let (limit, values) = &values[name];
-        aim_line(name, *limit, values.clone())
+        target_line(name, *limit, values.clone())
     });
     std::iter::once(head).chain(lines).collect()
 }
 
-fn aim_line(name: &str, limit: AimLimit, mut values: Vec<f64>) -> String {
+fn target_line(name: &str, limit: TargetBound, mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let median = (values[(values.len() - 1) / 2] + values[values.len() / 2]) / 2.0;
     let (first, last) = (values[0], values[values.len() - 1]);
     let (limit, worst, met) = match limit {
-        AimLimit::AtMost(most) => {
+        TargetBound::AtMost(most) => {
             (format!("<= {most}"), last, if last <= most { "yes" } else { "NO" })
         }
-        AimLimit::AtLeast(least) => {
+        TargetBound::AtLeast(least) => {
             (format!(">= {least}"), first, if first >= least { "yes" } else { "NO" })
         }
-        AimLimit::Shown => (String::new(), last, ""),
+        TargetBound::ReportOnly => (String::new(), last, ""),
     };
     format!("{name:<58} {limit:>9} {median:>9.3} {worst:>9.3}  {met}")
 }
 
 impl SeedRuns {
-    fn new(site: SiteName, seed: u64, run: &SceneRunner<'_>) -> Self {
+    fn new(site: SiteName, seed: u64, run: &ScenarioRunner<'_>) -> Self {
         let mut runs = BTreeMap::new();
         for load in LoadName::ALL {
             for policy in PolicyName::ALL {
@@ -89,7 +89,7 @@
         SeedRuns { runs }
     }
 
-    fn figures(&self) -> Vec<AimFigure> {
+    fn figures(&self) -> Vec<TargetValue> {
         let mut figures = Vec::new();
         for load in [LoadName::Steady, LoadName::MixedSpeeds] {
             figures.extend(self.first_token_figures(load, 0.7));
@@ -102,31 +102,32 @@
         figures.extend(self.control_figures());
         figures.extend(self.overload_figures());
         figures.extend(self.failure_figures());
-        let breaches = self.runs.iter().filter(|((_, policy), _)| *policy == PolicyName::Chosen);
-        let breaches = breaches.map(|(_, tally)| tally.breaches.len()).sum::<usize>() as f64;
-        figures.push(at_most("all loads: sent or streamed twice", 0.0, breaches));
+        let violations = self.runs.iter().filter(|((_, policy), _)| *policy == PolicyName::Chosen);
+        let violations =
+            violations.map(|(_, run_metrics)| run_metrics.violations.len()).sum::<usize>() as f64;
+        figures.push(at_most("all loads: sent or streamed twice", 0.0, violations));
         figures
     }
 
-    fn run(&self, load: LoadName, policy: PolicyName) -> &RunTally {
+    fn run(&self, load: LoadName, policy: PolicyName) -> &RunMetrics {
         &self.runs[&(load, policy)]
     }
 
-    fn chosen(&self, load: LoadName) -> &RunTally {
+    fn chosen(&self, load: LoadName) -> &RunMetrics {
         self.run(load, PolicyName::Chosen)
     }
 
-    fn interactive(&self, load: LoadName, policy: PolicyName) -> CallerFigures {
-        self.run(load, policy).figures(INTERACTIVE)
+    fn interactive(&self, load: LoadName, policy: PolicyName) -> CallerMetrics {
+        self.run(load, policy).class_metrics(INTERACTIVE)
     }
 
     /// The least of a figure over the baselines.
-    fn best_plain(&self, load: LoadName, figure: impl Fn(CallerFigures) -> f64) -> f64 {
+    fn best_plain(&self, load: LoadName, figure: impl Fn(CallerMetrics) -> f64) -> f64 {
         let plain = PolicyName::ALL.into_iter().filter(|policy| *policy != PolicyName::Chosen);
         plain.map(|policy| figure(self.interactive(load, policy))).fold(f64::INFINITY, f64::min)
     }
 
-    fn first_token_figures(&self, load: LoadName, limit: f64) -> Vec<AimFigure> {
+    fn first_token_figures(&self, load: LoadName, limit: f64) -> Vec<TargetValue> {
         let name = load.as_str();
         let chosen = self.interactive(load, PolicyName::Chosen);
         let answered = seconds(chosen.p99) / self.best_plain(load, |plain| seconds(plain.p99));
@@ -145,11 +146,13 @@
         ]
     }
 
-    fn reuse_figures(&self, load: LoadName) -> Vec<AimFigure> {
+    fn reuse_figures(&self, load: LoadName) -> Vec<TargetValue> {
         let name = load.as_str();
-        let chosen = self.chosen(load).all_work();
-        let hash = self.run(load, PolicyName::Plain(PlainRule::PrefixHash)).all_work();
-        let least = self.run(load, PolicyName::Plain(PlainRule::LeastLoaded)).all_work();
+        let chosen = self.chosen(load).total_prompt_work();
+        let hash =
+            self.run(load, PolicyName::Baseline(BaselineRule::PrefixHash)).total_prompt_work();
+        let least =
+            self.run(load, PolicyName::Baseline(BaselineRule::LeastLoaded)).total_prompt_work();
         let gain = ratio(chosen.cached, chosen.prompt) - ratio(hash.cached, hash.prompt);
         let by_hash = ratio(chosen.recomputed, hash.recomputed);
         let by_least = ratio(chosen.recomputed, least.recomputed);
@@ -160,17 +163,17 @@
         ]
     }
 
-    fn hot_caller_figures(&self) -> Vec<AimFigure> {
+    fn hot_caller_figures(&self) -> Vec<TargetValue> {
         let with = self.chosen(LoadName::HotCaller);
         let without = self.chosen(LoadName::Steady);
         let others = (0..ORGANISATION_SHARES.len()).filter(|index| *index != HOT_ORGANISATION);
-        let p99 = |tally: &RunTally, wanted: &dyn Fn(usize) -> bool| {
-            let callers: Vec<&CallerRecord> = tally
-                .class(INTERACTIVE)
+        let p99 = |run_metrics: &RunMetrics, wanted: &dyn Fn(usize) -> bool| {
+            let callers: Vec<&CallerRecord> = run_metrics
+                .callers_of_class(INTERACTIVE)
                 .into_iter()
-                .filter(|caller| wanted(caller.asked.organisation))
+                .filter(|caller| wanted(caller.request.organisation))
                 .collect();
-            let figures = CallerFigures::of(&callers);
+            let figures = CallerMetrics::of(&callers);
             (seconds(figures.p99), figures.goodput())
         };
         let worst = others
@@ -185,14 +188,14 @@
         ]
     }
 
-    fn control_figures(&self) -> Vec<AimFigure> {
+    fn control_figures(&self) -> Vec<TargetValue> {
         let p99 = |load| seconds(self.interactive(load, PolicyName::Chosen).p99);
         let slow = p99(LoadName::SlowServer) / p99(LoadName::SlowServerAbsent);
         let long = p99(LoadName::LongAmongShort) / p99(LoadName::LongJobsAbsent);
         let goodput = |load| self.interactive(load, PolicyName::Chosen).goodput();
         let slow_loss = goodput(LoadName::SlowServerAbsent) - goodput(LoadName::SlowServer);
         let long_loss = goodput(LoadName::LongJobsAbsent) - goodput(LoadName::LongAmongShort);
-        let batch = self.chosen(LoadName::LongAmongShort).figures(BATCH);
+        let batch = self.chosen(LoadName::LongAmongShort).class_metrics(BATCH);
         vec![
             at_most("slow_server: interactive p99 / without the server", 1.3, slow),
             shown("slow_server: interactive goodput lost", slow_loss),
@@ -201,24 +204,25 @@
             at_least(
                 "long_among_short: long jobs answered / asked",
                 0.99,
-                ratio(batch.answered, batch.asked),
+                ratio(batch.answered, batch.requests),
             ),
         ]
     }
 
-    fn overload_figures(&self) -> Vec<AimFigure> {
+    fn overload_figures(&self) -> Vec<TargetValue> {
         let overload = self.chosen(LoadName::Overload);
         let saturation = self.chosen(LoadName::Saturation);
-        let in_time =
-            |tally: &RunTally| model_callers(tally).filter(|c| c.in_time()).count() as u64;
-        let tokens = |tally: &RunTally| {
-            model_callers(tally).filter(|c| c.in_time()).map(|c| c.tokens()).sum::<u64>()
+        let in_time = |run_metrics: &RunMetrics| {
+            model_callers(run_metrics).filter(|c| c.in_time()).count() as u64
+        };
+        let tokens = |run_metrics: &RunMetrics| {
+            model_callers(run_metrics).filter(|c| c.in_time()).map(|c| c.tokens()).sum::<u64>()
         };
         let mut waits: Vec<Duration> =
-            model_callers(overload).flat_map(|c| c.refusal_waits.iter().copied()).collect();
+            model_callers(overload).flat_map(|c| c.refusal_delays.iter().copied()).collect();
         let at_once = waits.iter().filter(|wait| **wait <= PROMPT).count() as u64;
         let share = ratio(at_once, waits.len() as u64);
-        let slowest = super::harness::tally::percentile(&mut waits, 0.99);
+        let slowest = super::harness::run_metrics::percentile(&mut waits, 0.99);
         let (first, later) = come_back_parts(overload);
         vec![
             at_least(
@@ -237,13 +241,14 @@
         ]
     }
 
-    fn failure_figures(&self) -> Vec<AimFigure> {
+    fn failure_figures(&self) -> Vec<TargetValue> {
         let crash = self.chosen(LoadName::CrashRequest);
-        let unanswered = |tally: &RunTally| {
-            tally.measured().filter(|c| c.first_token_wait().is_none()).count() as f64
+        let unanswered = |run_metrics: &RunMetrics| {
+            run_metrics.measured_callers().filter(|c| c.first_token_latency().is_none()).count()
+                as f64
         };
         let lost = f64::from(crash.servers_lost);
-        let sent = |load| self.chosen(load).sent_per_asked();
+        let sent = |load| self.chosen(load).sends_per_request();
         vec![
             at_most("crash_request: servers lost", 2.0, lost),
             at_most("crash_request: innocent requests unanswered", 0.0, unanswered(crash)),
@@ -262,28 +267,30 @@
 const PROMPT: Duration = Duration::from_millis(10);
 
 /// The part of interactive requests answered in time at the first ask, and of those that came back.
-fn come_back_parts(tally: &RunTally) -> (f64, f64) {
-    let callers = tally.class(INTERACTIVE);
-    let first = callers.iter().filter(|c| c.asks == 1 && c.in_time()).count() as u64;
-    let came_back = callers.iter().filter(|c| c.asks > 1).count() as u64;
-    let later = callers.iter().filter(|c| c.asks > 1 && c.in_time()).count() as u64;
+fn come_back_parts(run_metrics: &RunMetrics) -> (f64, f64) {
+    let callers = run_metrics.callers_of_class(INTERACTIVE);
+    let first = callers.iter().filter(|c| c.submissions == 1 && c.in_time()).count() as u64;
+    let came_back = callers.iter().filter(|c| c.submissions > 1).count() as u64;
+    let later = callers.iter().filter(|c| c.submissions > 1 && c.in_time()).count() as u64;
     (ratio(first, callers.len() as u64), ratio(later, came_back))
 }
 
-fn model_callers(tally: &RunTally) -> impl Iterator<Item = &CallerRecord> {
-    tally.measured().filter(|caller| ReportClass::of(&caller.asked) != ReportClass::Service)
+fn model_callers(run_metrics: &RunMetrics) -> impl Iterator<Item = &CallerRecord> {
+    run_metrics
+        .measured_callers()
+        .filter(|caller| ReportClass::of(&caller.request) != ReportClass::Service)
 }
 
-fn at_most(name: &str, most: f64, value: f64) -> AimFigure {
-    AimFigure { name: name.into(), limit: AimLimit::AtMost(most), value }
+fn at_most(name: &str, most: f64, value: f64) -> TargetValue {
+    TargetValue { name: name.into(), limit: TargetBound::AtMost(most), value }
 }
 
-fn at_least(name: &str, least: f64, value: f64) -> AimFigure {
-    AimFigure { name: name.into(), limit: AimLimit::AtLeast(least), value }
+fn at_least(name: &str, least: f64, value: f64) -> TargetValue {
+    TargetValue { name: name.into(), limit: TargetBound::AtLeast(least), value }
 }
 
-fn shown(name: &str, value: f64) -> AimFigure {
-    AimFigure { name: name.into(), limit: AimLimit::Shown, value }
+fn shown(name: &str, value: f64) -> TargetValue {
+    TargetValue { name: name.into(), limit: TargetBound::ReportOnly, value }
 }
 
 /// A missing percentile counts as endless: nobody was answered.
--- a/examples/policy_report/traffic.rs
+++ b/examples/policy_report/traffic.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        draw::{DrawSource, mix},
+        random_source::{RandomSource, mix_hash},
         site::{ORGANISATION_SHARES, SiteName},
     },
     oleandermount::{inventory::RequestClass, policy::PrefixLevel},
@@ -20,7 +20,7 @@
 
 /// What a request asks for.
 #[derive(Clone, Debug)]
-pub enum AskedWork {
+pub enum CallerWork {
     /// A model's answer; the last level is the whole prompt.
     Model { levels: Vec<PrefixLevel>, output_tokens: u32 },
     /// A plain service's answer after `run` at a usual server.
@@ -29,7 +29,7 @@
 
 /// One request as its caller has it in mind.
 #[derive(Clone, Debug)]
-pub struct AskedRequest {
+pub struct CallerRequest {
     /// When it reaches its first daemon.
     pub at: Duration,
     /// Which daemon the balancer picks; each resend goes to the next one.
@@ -39,11 +39,11 @@
     /// How urgent it is.
     pub class: RequestClass,
     /// Time from the first ask to the latest useful first token.
-    pub patience: Duration,
+    pub first_token_limit: Duration,
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// What it asks for.
-    pub work: AskedWork,
+    pub work: CallerWork,
     /// Whether it crashes each engine that runs it; its caller then asks again whatever it hears.
     pub poison: bool,
 }
@@ -67,9 +67,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficMix {
     /// The site's usual mix over all organisations and clients.
-    Usual(SiteName),
+    SiteTraffic(SiteName),
     /// Chats of one organisation.
-    OneCaller(usize),
+    OneOrganisation(usize),
     /// Single chats of one client of the largest organisation.
     HotClient(u32),
     /// Long batch jobs.
@@ -77,7 +77,7 @@
 }
 
 /// The time to a useful first token.
-pub fn patience(class: RequestClass) -> Duration {
+pub fn first_token_limit(class: RequestClass) -> Duration {
     Duration::from_secs(match class {
         RequestClass::Interactive => 5,
         RequestClass::Standard => 20,
@@ -86,46 +86,46 @@
 }
 
 /// Draws a stream's requests, in no order.
-pub fn draw_traffic(seed: u64, spec: &TrafficSpec) -> Vec<AskedRequest> {
-    let mut source = DrawSource::new(seed, spec.purpose);
-    let mut asked = Vec::new();
+pub fn generate_traffic(seed: u64, spec: &TrafficSpec) -> Vec<CallerRequest> {
+    let mut source = RandomSource::new(seed, spec.purpose);
+    let mut requests = Vec::new();
     let session_rate = spec.rate / session_length(spec.mix);
-    let mut at = spec.from + source.gap(session_rate);
+    let mut at = spec.from + source.exponential_gap(session_rate);
     while at < spec.until {
-        draw_session(&mut source, spec.mix, at, &mut asked);
-        at += source.gap(session_rate);
+        generate_session(&mut source, spec.mix, at, &mut requests);
+        at += source.exponential_gap(session_rate);
     }
-    asked.retain(|request| request.at < spec.until);
-    asked
+    requests.retain(|request| request.at < spec.until);
+    requests
 }
 
 /// Draws calls to the plain services.
-pub fn draw_calls(seed: u64, model_rate: f64, until: Duration) -> Vec<AskedRequest> {
-    let mut source = DrawSource::new(seed, "calls");
-    let mut asked = Vec::new();
-    let mut at = source.gap(model_rate * SERVICE_SHARE);
+pub fn generate_service_calls(seed: u64, model_rate: f64, until: Duration) -> Vec<CallerRequest> {
+    let mut source = RandomSource::new(seed, "calls");
+    let mut requests = Vec::new();
+    let mut at = source.exponential_gap(model_rate * SERVICE_SHARE);
     while at < until {
-        asked.push(AskedRequest {
+        requests.push(CallerRequest {
             at,
-            entry: source.within(0..1_000) as usize,
-            organisation: source.weighted(&ORGANISATION_SHARES),
+            entry: source.in_range(0..1_000) as usize,
+            organisation: source.weighted_index(&ORGANISATION_SHARES),
             class: RequestClass::Interactive,
-            patience: patience(RequestClass::Interactive),
+            first_token_limit: first_token_limit(RequestClass::Interactive),
             repeatable: source.unit() >= BOOKING_SHARE,
-            work: AskedWork::Service { run: Duration::from_millis(source.within(5..60).into()) },
+            work: CallerWork::Service { run: Duration::from_millis(source.in_range(5..60).into()) },
             poison: false,
         });
-        at += source.gap(model_rate * SERVICE_SHARE);
+        at += source.exponential_gap(model_rate * SERVICE_SHARE);
     }
-    asked
+    requests
 }
 
 /// Requests of a session on average.
 fn session_length(mix: TrafficMix) -> f64 {
     match mix {
-        TrafficMix::Usual(SiteName::Tuul) => 2.4,
-        TrafficMix::Usual(SiteName::Abay) => 2.2,
-        TrafficMix::OneCaller(_) => 3.0,
+        TrafficMix::SiteTraffic(SiteName::Tuul) => 2.4,
+        TrafficMix::SiteTraffic(SiteName::Abay) => 2.2,
+        TrafficMix::OneOrganisation(_) => 3.0,
         TrafficMix::HotClient(_) | TrafficMix::LongJobs => 1.0,
     }
 }
@@ -155,73 +155,80 @@
         SessionKind { class, turns: 1..2, first: 16_000..32_000, later: 0..1, answer: 200..500 }
     }
 
-    fn draw(source: &mut DrawSource, mix: TrafficMix) -> Self {
+    fn draw(source: &mut RandomSource, mix: TrafficMix) -> Self {
         match mix {
-            TrafficMix::Usual(SiteName::Tuul) => match source.weighted(&[80.0, 18.0, 2.0]) {
-                0 => SessionKind::chat(1..6),
-                1 => SessionKind::check(1..2),
-                _ => SessionKind::long(),
-            },
-            TrafficMix::Usual(SiteName::Abay) => match source.weighted(&[55.0, 42.0, 3.0]) {
-                0 => SessionKind::chat(1..5),
-                1 => SessionKind::check(1..4),
-                _ => SessionKind::long(),
-            },
-            TrafficMix::OneCaller(_) => SessionKind::chat(1..6),
+            TrafficMix::SiteTraffic(SiteName::Tuul) => {
+                match source.weighted_index(&[80.0, 18.0, 2.0]) {
+                    0 => SessionKind::chat(1..6),
+                    1 => SessionKind::check(1..2),
+                    _ => SessionKind::long(),
+                }
+            }
+            TrafficMix::SiteTraffic(SiteName::Abay) => {
+                match source.weighted_index(&[55.0, 42.0, 3.0]) {
+                    0 => SessionKind::chat(1..5),
+                    1 => SessionKind::check(1..4),
+                    _ => SessionKind::long(),
+                }
+            }
+            TrafficMix::OneOrganisation(_) => SessionKind::chat(1..6),
             TrafficMix::HotClient(_) => SessionKind::chat(1..2),
             TrafficMix::LongJobs => SessionKind::long(),
         }
     }
 }
 
-fn draw_session(
-    source: &mut DrawSource,
+fn generate_session(
+    source: &mut RandomSource,
     mix: TrafficMix,
     start: Duration,
-    asked: &mut Vec<AskedRequest>,
+    requests: &mut Vec<CallerRequest>,
 ) {
     let kind = SessionKind::draw(source, mix);
     let (organisation, client) = draw_client(source, mix);
     let mut levels = shared_levels(organisation, client);
     let chat = source.seed();
     let mut at = start;
-    for turn in 0..source.within(kind.turns.clone()) {
-        let grown = source.within(if turn == 0 { kind.first.clone() } else { kind.later.clone() });
+    for turn in 0..source.in_range(kind.turns.clone()) {
+        let grown =
+            source.in_range(if turn == 0 { kind.first.clone() } else { kind.later.clone() });
         let last = levels.last().expect("two levels are shared");
         let level = PrefixLevel {
             hash: mix_levels(last.hash, chat, turn.into()),
             tokens: last.tokens + grown,
         };
         levels.push(level);
-        let output_tokens = source.within(kind.answer.clone());
-        asked.push(AskedRequest {
+        let output_tokens = source.in_range(kind.answer.clone());
+        requests.push(CallerRequest {
             at,
-            entry: source.within(0..1_000) as usize,
+            entry: source.in_range(0..1_000) as usize,
             organisation,
             class: kind.class,
-            patience: patience(kind.class),
+            first_token_limit: first_token_limit(kind.class),
             repeatable: true,
-            work: AskedWork::Model { levels: levels.clone(), output_tokens },
+            work: CallerWork::Model { levels: levels.clone(), output_tokens },
             poison: false,
         });
-        at += Duration::from_millis(source.within(THINK_MS).into());
+        at += Duration::from_millis(source.in_range(THINK_MS).into());
     }
 }
 
-fn draw_client(source: &mut DrawSource, mix: TrafficMix) -> (usize, u32) {
+fn draw_client(source: &mut RandomSource, mix: TrafficMix) -> (usize, u32) {
     let zipf: Vec<f64> = (0..CLIENTS).map(|rank| 1.0 / f64::from(rank + 1)).collect();
     match mix {
-        TrafficMix::Usual(_) | TrafficMix::LongJobs => {
-            (source.weighted(&ORGANISATION_SHARES), source.weighted(&zipf) as u32)
+        TrafficMix::SiteTraffic(_) | TrafficMix::LongJobs => {
+            (source.weighted_index(&ORGANISATION_SHARES), source.weighted_index(&zipf) as u32)
+        }
+        TrafficMix::OneOrganisation(organisation) => {
+            (organisation, source.weighted_index(&zipf) as u32)
         }
-        TrafficMix::OneCaller(organisation) => (organisation, source.weighted(&zipf) as u32),
         TrafficMix::HotClient(client) => (0, client),
     }
 }
 
 /// The organisation's system prompt and the client's standing order.
 fn shared_levels(organisation: usize, client: u32) -> Vec<PrefixLevel> {
-    let system = mix(0x5e1f, organisation as u64);
+    let system = mix_hash(0x5e1f, organisation as u64);
     let order = mix_levels(system, 0x0de7, client.into());
     let system_tokens = 1_500 + (system % 1_500) as u32;
     let order_tokens = 2_000 + (order % 4_000) as u32;
@@ -232,5 +239,5 @@
 }
 
 fn mix_levels(below: u64, salt: u64, index: u64) -> u64 {
-    mix(mix(below, salt), index)
+    mix_hash(mix_hash(below, salt), index)
 }
--- a/tests/burst_arrivals.rs
+++ b/tests/burst_arrivals.rs
@@ -5,7 +5,8 @@
 
 use {
     harness::{
-        PolicyName, baselines::PlainRule, loads::LoadName, site::SiteName, tally::INTERACTIVE,
+        PolicyName, baseline_router::BaselineRule, load_scenario::LoadName,
+        run_metrics::INTERACTIVE, site::SiteName,
     },
     std::time::Duration,
 };
@@ -21,11 +22,11 @@
 /// hardest, and chats wait behind long prompts.
 #[test]
 fn chats_meet_deadlines_during_bursts() {
-    let plain = PolicyName::Plain(PlainRule::PrefixHash);
+    let plain = PolicyName::Baseline(BaselineRule::PrefixHash);
     for seed in [1, 2, 3] {
         let run = |policy: PolicyName| {
-            let scene = LoadName::Burst.scene(SiteName::Tuul, seed, LENGTH);
-            policy.run(scene, seed).figures(INTERACTIVE).goodput()
+            let scenario = LoadName::Burst.scenario(SiteName::Tuul, seed, LENGTH);
+            policy.run(scenario, seed).class_metrics(INTERACTIVE).goodput()
         };
         let (own, baseline) = (run(PolicyName::Chosen), run(plain));
         println!("seed {seed}: goodput {own}, plain {baseline}");
--- a/tests/crash_request.rs
+++ b/tests/crash_request.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use {
-    harness::{loads::LoadName, site::SiteName, with_and_without},
+    harness::{load_scenario::LoadName, site::SiteName, with_and_without},
     oleandermount::policy::PolicySafeguard,
     std::time::Duration,
 };
@@ -18,9 +18,9 @@
 #[test]
 fn crashing_request_is_isolated() {
     for seed in [1, 2, 3] {
-        let scene = LoadName::CrashRequest.scene(SiteName::Tuul, seed, LENGTH);
-        let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::Suspect);
-        let (lost, answered) = (tally.servers_lost, tally.answered_part());
+        let scenario = LoadName::CrashRequest.scenario(SiteName::Tuul, seed, LENGTH);
+        let (run_metrics, baseline) = with_and_without(scenario, seed, PolicySafeguard::Suspect);
+        let (lost, answered) = (run_metrics.servers_lost, run_metrics.answered_ratio());
         println!("seed {seed}: lost {lost} not {}, answered {answered}", baseline.servers_lost);
         assert!(lost <= 2 && answered >= 0.99, "seed {seed}: lost {lost}, answered {answered}");
         assert!(baseline.servers_lost > 2, "seed {seed}: the baseline passes as well");
--- a/tests/flooding_organisation.rs
+++ b/tests/flooding_organisation.rs
@@ -5,9 +5,9 @@
 
 use {
     harness::{
-        loads::{HOT_ORGANISATION, LoadName},
+        load_scenario::{HOT_ORGANISATION, LoadName},
+        run_metrics::{CallerMetrics, INTERACTIVE, RunMetrics},
         site::SiteName,
-        tally::{CallerFigures, INTERACTIVE, RunTally},
         with_and_without,
     },
     oleandermount::policy::PolicySafeguard,
@@ -19,10 +19,10 @@
 /// Required goodput of the other organisations.
 const GOODPUT: f64 = 0.99;
 
-fn others(tally: &RunTally) -> f64 {
-    let mut callers = tally.class(INTERACTIVE);
-    callers.retain(|caller| caller.asked.organisation != HOT_ORGANISATION);
-    CallerFigures::of(&callers).goodput()
+fn others(run_metrics: &RunMetrics) -> f64 {
+    let mut callers = run_metrics.callers_of_class(INTERACTIVE);
+    callers.retain(|caller| caller.request.organisation != HOT_ORGANISATION);
+    CallerMetrics::of(&callers).goodput()
 }
 
 /// A small organisation sends one and a half times the capacity of the site. The other
@@ -32,9 +32,9 @@
 #[test]
 fn other_organisations_are_unaffected() {
     for seed in [1, 2] {
-        let scene = LoadName::HotCaller.scene(SiteName::Tuul, seed, LENGTH);
-        let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::Fairness);
-        let (own, baseline) = (others(&tally), others(&baseline));
+        let scenario = LoadName::HotCaller.scenario(SiteName::Tuul, seed, LENGTH);
+        let (run_metrics, baseline) = with_and_without(scenario, seed, PolicySafeguard::Fairness);
+        let (own, baseline) = (others(&run_metrics), others(&baseline));
         println!("seed {seed}: others' goodput {own}, by arrival {baseline}");
         assert!(own >= GOODPUT, "seed {seed}: others' goodput {own}");
         assert!(baseline < GOODPUT, "seed {seed}: the baseline passes as well: {baseline}");
--- a/tests/hot_prefix.rs
+++ b/tests/hot_prefix.rs
@@ -5,7 +5,8 @@
 
 use {
     harness::{
-        loads::LoadName, site::SiteName, tally::INTERACTIVE, traffic::TrafficMix, with_and_without,
+        load_scenario::LoadName, run_metrics::INTERACTIVE, site::SiteName, traffic::TrafficMix,
+        with_and_without,
     },
     oleandermount::policy::PolicySafeguard,
     std::time::Duration,
@@ -25,11 +26,12 @@
 #[test]
 fn hot_prefix_gets_more_servers() {
     for seed in [1, 2] {
-        let mut scene = LoadName::Steady.scene(SiteName::Abay, seed, LENGTH);
-        scene.add_traffic(seed, HOT_RATE, LENGTH / 3, TrafficMix::HotClient(100));
-        let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::PrefixReplication);
-        let own = tally.figures(INTERACTIVE).p50.expect("most requests are answered");
-        let baseline = baseline.figures(INTERACTIVE).p50.expect("most requests are answered");
+        let mut scenario = LoadName::Steady.scenario(SiteName::Abay, seed, LENGTH);
+        scenario.add_traffic(seed, HOT_RATE, LENGTH / 3, TrafficMix::HotClient(100));
+        let (run_metrics, baseline) =
+            with_and_without(scenario, seed, PolicySafeguard::PrefixReplication);
+        let own = run_metrics.class_metrics(INTERACTIVE).p50.expect("most requests are answered");
+        let baseline = baseline.class_metrics(INTERACTIVE).p50.expect("most requests are answered");
         println!("seed {seed}: median {own:?}, with one server {baseline:?}");
         assert!(own <= MEDIAN, "seed {seed}: median {own:?}");
         assert!(baseline > MEDIAN, "seed {seed}: the baseline passes as well: {baseline:?}");
--- a/tests/long_jobs.rs
+++ b/tests/long_jobs.rs
@@ -6,10 +6,10 @@
 use {
     harness::{
         PolicyName,
-        baselines::PlainRule,
-        loads::LoadName,
+        baseline_router::BaselineRule,
+        load_scenario::LoadName,
+        run_metrics::{BATCH, INTERACTIVE},
         site::SiteName,
-        tally::{BATCH, INTERACTIVE},
     },
     std::time::Duration,
 };
@@ -25,18 +25,19 @@
 /// jobs.
 #[test]
 fn chats_overtake_long_jobs() {
-    let plain = PolicyName::Plain(PlainRule::PrefixHash);
+    let plain = PolicyName::Baseline(BaselineRule::PrefixHash);
     for seed in [1, 2, 3] {
         let run = |load: LoadName, policy: PolicyName| {
-            policy.run(load.scene(SiteName::Tuul, seed, LENGTH), seed)
+            policy.run(load.scenario(SiteName::Tuul, seed, LENGTH), seed)
         };
-        let tally = run(LoadName::LongAmongShort, PolicyName::Chosen);
-        let jobs = tally.figures(BATCH);
-        let own = tally.figures(INTERACTIVE).p99_ms();
-        let alone = run(LoadName::LongJobsAbsent, PolicyName::Chosen).figures(INTERACTIVE).p99_ms();
-        let baseline = run(LoadName::LongAmongShort, plain).figures(INTERACTIVE).p99_ms();
+        let run_metrics = run(LoadName::LongAmongShort, PolicyName::Chosen);
+        let jobs = run_metrics.class_metrics(BATCH);
+        let own = run_metrics.class_metrics(INTERACTIVE).p99_ms();
+        let alone =
+            run(LoadName::LongJobsAbsent, PolicyName::Chosen).class_metrics(INTERACTIVE).p99_ms();
+        let baseline = run(LoadName::LongAmongShort, plain).class_metrics(INTERACTIVE).p99_ms();
         println!("seed {seed}: p99 {own} ms, without jobs {alone} ms, plain {baseline} ms");
-        assert_eq!(jobs.answered, jobs.asked, "seed {seed}: jobs");
+        assert_eq!(jobs.answered, jobs.requests, "seed {seed}: jobs");
         assert!(own <= alone * MAX_SLOWDOWN, "seed {seed}: {own} ms, without jobs {alone} ms");
         assert!(
             baseline > alone * MAX_SLOWDOWN,
--- a/tests/overload_goodput.rs
+++ b/tests/overload_goodput.rs
@@ -6,9 +6,9 @@
 use {
     harness::{
         PolicyName,
-        loads::LoadName,
+        load_scenario::LoadName,
+        run_metrics::{INTERACTIVE, RunMetrics, percentile},
         site::SiteName,
-        tally::{INTERACTIVE, RunTally, percentile},
         with_and_without,
     },
     oleandermount::policy::PolicySafeguard,
@@ -20,10 +20,10 @@
 /// Maximum time to a refusal that counts as immediate.
 const IMMEDIATE: Duration = Duration::from_millis(10);
 
-fn median_refusal(tally: &RunTally) -> Duration {
-    let callers = tally.class(INTERACTIVE);
+fn median_refusal(run_metrics: &RunMetrics) -> Duration {
+    let callers = run_metrics.callers_of_class(INTERACTIVE);
     let mut waits: Vec<Duration> =
-        callers.iter().flat_map(|caller| caller.refusal_waits.iter().copied()).collect();
+        callers.iter().flat_map(|caller| caller.refusal_delays.iter().copied()).collect();
     percentile(&mut waits, 0.5).expect("an overload causes refusals")
 }
 
@@ -33,12 +33,12 @@
 #[test]
 fn overload_keeps_goodput() {
     let seed = 1;
-    let scene = LoadName::Overload.scene(SiteName::Tuul, seed, LENGTH);
-    let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::Admission);
-    let full = LoadName::Saturation.scene(SiteName::Tuul, seed, LENGTH);
-    let full = PolicyName::Chosen.run(full, seed).figures(INTERACTIVE).in_time;
-    let in_time = tally.figures(INTERACTIVE).in_time;
-    let (wait, baseline_wait) = (median_refusal(&tally), median_refusal(&baseline));
+    let scenario = LoadName::Overload.scenario(SiteName::Tuul, seed, LENGTH);
+    let (run_metrics, baseline) = with_and_without(scenario, seed, PolicySafeguard::Admission);
+    let full = LoadName::Saturation.scenario(SiteName::Tuul, seed, LENGTH);
+    let full = PolicyName::Chosen.run(full, seed).class_metrics(INTERACTIVE).in_time;
+    let in_time = run_metrics.class_metrics(INTERACTIVE).in_time;
+    let (wait, baseline_wait) = (median_refusal(&run_metrics), median_refusal(&baseline));
     println!(
         "seed {seed}: in time {in_time}, full {full}; refused after {wait:?}, {baseline_wait:?}"
     );
--- a/tests/partitioned_domain.rs
+++ b/tests/partitioned_domain.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use {
-    harness::{loads::LoadName, site::SiteName, with_and_without},
+    harness::{load_scenario::LoadName, site::SiteName, with_and_without},
     oleandermount::policy::PolicySafeguard,
     std::time::Duration,
 };
@@ -20,10 +20,11 @@
 #[test]
 fn both_sides_keep_serving() {
     for seed in [1, 2, 3] {
-        let scene = LoadName::CutDomain.scene(SiteName::Tuul, seed, LENGTH);
-        let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::Reachability);
-        let (answered, sent) = (tally.answered_part(), tally.sent_per_asked());
-        let baseline = baseline.sent_per_asked();
+        let scenario = LoadName::CutDomain.scenario(SiteName::Tuul, seed, LENGTH);
+        let (run_metrics, baseline) =
+            with_and_without(scenario, seed, PolicySafeguard::Reachability);
+        let (answered, sent) = (run_metrics.answered_ratio(), run_metrics.sends_per_request());
+        let baseline = baseline.sends_per_request();
         println!("seed {seed}: answered {answered}, sent {sent}, without reachability {baseline}");
         assert!(answered >= 0.98, "seed {seed}: answered {answered}");
         assert!(sent <= MAX_SENT, "seed {seed}: sent {sent}");
--- a/tests/retry_storm.rs
+++ b/tests/retry_storm.rs
@@ -5,7 +5,7 @@
 
 use {
     harness::{
-        loads::{LoadName, SiteFault},
+        load_scenario::{LoadName, SiteFault},
         site::SiteName,
         with_and_without,
     },
@@ -25,15 +25,17 @@
 #[test]
 fn retries_are_bounded() {
     for seed in [1, 2, 3] {
-        let mut scene = LoadName::Steady.scene(SiteName::Tuul, seed, LENGTH);
-        for server in 0..scene.plan.engines() {
+        let mut scenario = LoadName::Steady.scenario(SiteName::Tuul, seed, LENGTH);
+        for server in 0..scenario.plan.engines() {
             for (at, failing) in [(6, true), (16, false)] {
                 let fault = SiteFault::SetFailing { server, failing };
-                scene.faults.push((Duration::from_secs(at), fault));
+                scenario.faults.push((Duration::from_secs(at), fault));
             }
         }
-        let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::RetryBudget);
-        let (sent, baseline) = (tally.sent_per_ask(), baseline.sent_per_ask());
+        let (run_metrics, baseline) =
+            with_and_without(scenario, seed, PolicySafeguard::RetryBudget);
+        let (sent, baseline) =
+            (run_metrics.sends_per_submission(), baseline.sends_per_submission());
         println!("seed {seed}: sent {sent}, without budgets {baseline}");
         assert!(sent <= MAX_SENT, "seed {seed}: sent {sent}");
         assert!(baseline > MAX_SENT, "seed {seed}: the baseline passes as well: {baseline}");
--- a/tests/slow_server.rs
+++ b/tests/slow_server.rs
@@ -5,9 +5,9 @@
 
 use {
     harness::{
-        loads::{LoadName, SiteFault},
+        load_scenario::{LoadName, SiteFault},
+        run_metrics::{INTERACTIVE, RunMetrics},
         site::SiteName,
-        tally::{INTERACTIVE, RunTally},
         with_and_without,
     },
     oleandermount::policy::PolicySafeguard,
@@ -20,9 +20,9 @@
 /// when they slow down, and few more.
 const MAX_MISSES: u64 = 40;
 
-fn misses(tally: &RunTally) -> u64 {
-    let figures = tally.figures(INTERACTIVE);
-    figures.asked - figures.in_time
+fn misses(run_metrics: &RunMetrics) -> u64 {
+    let figures = run_metrics.class_metrics(INTERACTIVE);
+    figures.requests - figures.in_time
 }
 
 /// Two of nine engines become ten times slower but still respond and report. Requests soon go
@@ -32,13 +32,13 @@
 fn slow_servers_get_fewer_requests() {
     let (mut own, mut baseline) = (0, 0);
     for seed in [1, 2, 3] {
-        let mut scene = LoadName::Steady.scene(SiteName::Tuul, seed, LENGTH);
+        let mut scenario = LoadName::Steady.scenario(SiteName::Tuul, seed, LENGTH);
         for server in [1, 4] {
             let fault = SiteFault::SetSpeed { server, speed: 0.1 };
-            scene.faults.push((LENGTH / 5, fault));
+            scenario.faults.push((LENGTH / 5, fault));
         }
-        let (tally, other) = with_and_without(scene, seed, PolicySafeguard::Overdue);
-        own += misses(&tally);
+        let (run_metrics, other) = with_and_without(scenario, seed, PolicySafeguard::Overdue);
+        own += misses(&run_metrics);
         baseline += misses(&other);
     }
     println!("missed {own}, without overdue answers {baseline}");
--- a/tests/stale_reports.rs
+++ b/tests/stale_reports.rs
@@ -5,9 +5,9 @@
 
 use {
     harness::{
-        loads::{LoadName, SiteFault},
+        load_scenario::{LoadName, SiteFault},
+        run_metrics::INTERACTIVE,
         site::SiteName,
-        tally::INTERACTIVE,
         with_and_without,
     },
     oleandermount::policy::PolicySafeguard,
@@ -25,15 +25,15 @@
 #[test]
 fn overdue_answers_outweigh_reports() {
     for seed in [1, 2, 3] {
-        let mut scene = LoadName::Steady.scene(SiteName::Tuul, seed, LENGTH);
-        scene.report_lag = LENGTH * 10;
+        let mut scenario = LoadName::Steady.scenario(SiteName::Tuul, seed, LENGTH);
+        scenario.report_lag = LENGTH * 10;
         for server in 0..3 {
             let fault = SiteFault::SetSpeed { server, speed: 0.02 };
-            scene.faults.push((LENGTH / 6, fault));
+            scenario.faults.push((LENGTH / 6, fault));
         }
-        let (tally, baseline) = with_and_without(scene, seed, PolicySafeguard::Overdue);
-        let own = tally.figures(INTERACTIVE).goodput();
-        let baseline = baseline.figures(INTERACTIVE).goodput();
+        let (run_metrics, baseline) = with_and_without(scenario, seed, PolicySafeguard::Overdue);
+        let own = run_metrics.class_metrics(INTERACTIVE).goodput();
+        let baseline = baseline.class_metrics(INTERACTIVE).goodput();
         println!("seed {seed}: goodput {own}, without overdue answers {baseline}");
         assert!(own >= GOODPUT, "seed {seed}: goodput {own}");
         assert!(baseline < GOODPUT, "seed {seed}: the baseline passes as well: {baseline}");
