--- a/examples/policy_report/load_scenario.rs
+++ b/examples/policy_report/load_scenario.rs
@@ -212,7 +212,7 @@
             SiteName::Tuul => TUUL_FULL,
             SiteName::Abay => ABAY_FULL,
         };
-        rate * self.scenario.plan.engines() as f64
+        rate * self.scenario.plan.engine_count() as f64
     }
 
     fn add(&mut self, purpose: &'static str, share: f64, span: (f64, f64), mix: TrafficMix) {
--- a/examples/policy_report/site.rs
+++ b/examples/policy_report/site.rs
@@ -109,7 +109,7 @@
     }
 
     /// Engines alone.
-    pub fn engines(&self) -> usize {
+    pub fn engine_count(&self) -> usize {
         self.servers.iter().filter(|placement| placement.kind == ServerKind::Engine).count()
     }
 
--- a/tests/retry_storm.rs
+++ b/tests/retry_storm.rs
@@ -26,7 +26,7 @@
 fn retries_are_bounded() {
     for seed in [1, 2, 3] {
         let mut scenario = LoadName::Steady.scenario(SiteName::Tuul, seed, LENGTH);
-        for server in 0..scenario.plan.engines() {
+        for server in 0..scenario.plan.engine_count() {
             for (at, failing) in [(6, true), (16, false)] {
                 let fault = SiteFault::SetFailing { server, failing };
                 scenario.faults.push((Duration::from_secs(at), fault));
