--- a/examples/policy_report/baseline_router.rs
+++ b/examples/policy_report/baseline_router.rs
@@ -22,7 +22,7 @@
 };
 
 /// Sendings of one request at most.
-const SENDINGS: usize = 3;
+const MAX_SENDS: usize = 3;
 /// The level whose hash picks the server: the client's standing order, so that all chats of a
 /// client meet at one server. The organisation's prompt alone would put a large one on one server.
 const HASHED_LEVEL: usize = 1;
@@ -50,12 +50,12 @@
 pub struct BaselineRouter {
     rule: BaselineRule,
     source: RandomSource,
-    turn: usize,
+    rotation: usize,
     view: Arc<PolicyView>,
-    down: BTreeSet<ServerId>,
+    dead_servers: BTreeSet<ServerId>,
     reachable: Option<Vec<String>>,
     /// Requests by server, as last reported.
-    reported: BTreeMap<ServerId, u32>,
+    reported_load: BTreeMap<ServerId, u32>,
     /// Own requests in flight by server.
     in_flight: BTreeMap<ServerId, u32>,
     open: BTreeMap<RequestId, OpenRequest>,
@@ -71,11 +71,11 @@
         BaselineRouter {
             rule,
             source: RandomSource::new(identity.seed, "plain"),
-            turn: identity.seed as usize % 1_000,
+            rotation: identity.seed as usize % 1_000,
             view: Arc::default(),
-            down: BTreeSet::new(),
+            dead_servers: BTreeSet::new(),
             reachable: None,
-            reported: BTreeMap::new(),
+            reported_load: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             open: BTreeMap::new(),
             attempts: BTreeMap::new(),
@@ -93,7 +93,8 @@
 
     fn send(&mut self, now: Instant, request: RequestId) -> Vec<PolicyAction> {
         let open = &self.open[&request];
-        let Some(server) = self.pick(&open.ticket.work.clone(), &open.tried.clone()) else {
+        let Some(server) = self.select_server(&open.ticket.work.clone(), &open.tried.clone())
+        else {
             return self.refuse(request, RefusalReason::NoServer);
         };
         let attempt = (u128::from(self.source.seed()) << 64) | u128::from(self.source.seed());
@@ -118,41 +119,43 @@
         })]
     }
 
-    fn pick(&mut self, work: &RequestWork, tried: &[ServerId]) -> Option<ServerId> {
-        let able = self.view.servers.iter().filter(|(id, server)| {
+    fn select_server(&mut self, work: &RequestWork, tried: &[ServerId]) -> Option<ServerId> {
+        let eligible = self.view.servers.iter().filter(|(id, server)| {
             let domain = &server.failure_domain;
-            !self.down.contains(*id)
+            !self.dead_servers.contains(*id)
                 && self.reachable.as_ref().is_none_or(|reachable| reachable.contains(domain))
                 && match work {
                     RequestWork::Model { model, .. } => server.models.contains(model),
                     RequestWork::Service { service } => server.service.as_ref() == Some(service),
                 }
         });
-        let able: Vec<&ServerId> = able.map(|(id, _)| id).collect();
-        let fresh: Vec<&ServerId> = able.iter().copied().filter(|id| !tried.contains(id)).collect();
-        let pool = if fresh.is_empty() { able } else { fresh };
-        if pool.is_empty() {
+        let eligible: Vec<&ServerId> = eligible.map(|(id, _)| id).collect();
+        let untried: Vec<&ServerId> =
+            eligible.iter().copied().filter(|id| !tried.contains(id)).collect();
+        let candidates = if untried.is_empty() { eligible } else { untried };
+        if candidates.is_empty() {
             return None;
         }
-        self.turn += 1;
+        self.rotation += 1;
         let count = |of: &BTreeMap<ServerId, u32>, id: &ServerId| of.get(id).copied().unwrap_or(0);
-        let load = |id: &ServerId| count(&self.reported, id) + count(&self.in_flight, id);
-        let picked = match (self.rule, work) {
+        let load = |id: &ServerId| count(&self.reported_load, id) + count(&self.in_flight, id);
+        let selected = match (self.rule, work) {
             (BaselineRule::PrefixHash, RequestWork::Model { levels, .. }) => {
                 let key = levels.get(HASHED_LEVEL).or(levels.last()).map_or(0, |level| level.hash);
-                pool.iter()
-                    .max_by_key(|id| id.bytes().fold(key, |hash, b| mix_hash(hash, b.into())))
+                candidates
+                    .iter()
+                    .max_by_key(|id| id.bytes().fold(key, |hash, byte| mix_hash(hash, byte.into())))
             }
             (BaselineRule::LeastLoaded, _) => {
-                let start = self.turn % pool.len();
-                let turned = pool[start..].iter().chain(&pool[..start]);
-                turned.min_by_key(|id| load(id))
+                let start = self.rotation % candidates.len();
+                let rotated = candidates[start..].iter().chain(&candidates[..start]);
+                rotated.min_by_key(|id| load(id))
             }
             (BaselineRule::RoundRobin | BaselineRule::PrefixHash, _) => {
-                pool.get(self.turn % pool.len())
+                candidates.get(self.rotation % candidates.len())
             }
         };
-        picked.map(|id| (*id).clone())
+        selected.map(|id| (*id).clone())
     }
 
     fn fail(
@@ -163,19 +166,19 @@
     ) -> Vec<PolicyAction> {
         let Some(request) = self.attempts.remove(&attempt) else { return Vec::new() };
         let open = &self.open[&request];
-        self.leave(&open.tried[open.tried.len() - 1].clone());
+        self.end_attempt(&open.tried[open.tried.len() - 1].clone());
         let open = &self.open[&request];
         let never_ran = failure == AttemptFailure::NotConnected;
         if open.streaming || !(open.ticket.repeatable || never_ran) {
             return self.refuse(request, RefusalReason::ServerFailed);
         }
-        if open.tried.len() >= SENDINGS {
+        if open.tried.len() >= MAX_SENDS {
             return self.refuse(request, RefusalReason::RetriesExhausted);
         }
         self.send(now, request)
     }
 
-    fn leave(&mut self, server: &str) {
+    fn end_attempt(&mut self, server: &str) {
         if let Some(count) = self.in_flight.get_mut(server) {
             *count -= 1;
         }
@@ -194,20 +197,20 @@
     }
 
     /// Cancels and closes a request whose caller waits no longer.
-    fn give_up(&mut self, request: &str) -> Vec<PolicyAction> {
+    fn cancel_request(&mut self, request: &str) -> Vec<PolicyAction> {
         let Some(open) = self.close(request) else { return Vec::new() };
         let Some(server) = open.tried.last().cloned() else { return Vec::new() };
-        self.leave(&server);
+        self.end_attempt(&server);
         vec![PolicyAction::Cancel { attempt: open.attempt, server }]
     }
 
-    fn expire(&mut self, now: Instant) -> Vec<PolicyAction> {
+    fn refuse_expired(&mut self, now: Instant) -> Vec<PolicyAction> {
         let mut actions = Vec::new();
         while let Some((deadline, request)) = self.deadlines.first().cloned() {
             if deadline > now {
                 break;
             }
-            actions.extend(self.give_up(&request));
+            actions.extend(self.cancel_request(&request));
             actions.extend(self.refuse(request, RefusalReason::DeadlinePassed));
         }
         actions
@@ -225,7 +228,7 @@
         if let Some(request) = self.attempts.get(&attempt).cloned()
             && let Some(open) = self.close(&request)
         {
-            self.leave(&open.tried[open.tried.len() - 1]);
+            self.end_attempt(&open.tried[open.tried.len() - 1]);
         }
     }
 }
@@ -240,18 +243,18 @@
             PolicyInput::Failed { attempt, failure, .. } => {
                 return self.fail(now, attempt, failure);
             }
-            PolicyInput::CallerDisconnected { request } => return self.give_up(&request),
+            PolicyInput::CallerDisconnected { request } => return self.cancel_request(&request),
             PolicyInput::Load(report) => {
-                self.reported.insert(report.server, report.running + report.waiting);
+                self.reported_load.insert(report.server, report.running + report.waiting);
             }
             PolicyInput::Health { server, health: ServerHealth::Alive { .. } } => {
-                self.down.remove(&server);
+                self.dead_servers.remove(&server);
             }
             PolicyInput::Health { server, .. } => {
-                self.down.insert(server);
+                self.dead_servers.insert(server);
             }
             PolicyInput::Reachable { domains } => self.reachable = Some(domains),
-            PolicyInput::Wake => return self.expire(now),
+            PolicyInput::Wake => return self.refuse_expired(now),
             PolicyInput::Progress { .. }
             | PolicyInput::Cache(_)
             | PolicyInput::Digest(_)
--- a/examples/policy_report/caller_record.rs
+++ b/examples/policy_report/caller_record.rs
@@ -13,13 +13,13 @@
 /// One way from a caller to a daemon.
 pub const CALLER_DELAY: Duration = Duration::from_millis(3);
 /// Asks of one request at most, the first included.
-const ASKS: u32 = 4;
+const MAX_SUBMISSIONS: u32 = 4;
 /// Asks of a request that crashes servers; its caller comes back whatever it hears.
-const POISON_ASKS: u32 = 20;
+const MAX_POISON_SUBMISSIONS: u32 = 20;
 /// What that caller waits when it is told no time.
-const POISON_PAUSE: Duration = Duration::from_secs(1);
+const POISON_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// What a caller waits at least after its connection broke; up to four times as long.
-const BROKEN_PAUSE: Duration = Duration::from_millis(200);
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
 /// What became of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
     /// From each refused ask to its refusal, as the daemon saw it.
     pub refusal_delays: Vec<Duration>,
     /// Sendings to servers.
-    pub sent: u32,
+    pub sends: u32,
     /// Sendings that may have run, which a request that may not be repeated has at most once.
     pub possible_runs: u32,
 }
@@ -66,13 +66,13 @@
             first_token: None,
             outcome: None,
             refusal_delays: Vec::new(),
-            sent: 0,
+            sends: 0,
             possible_runs: 0,
         }
     }
 
     /// Notes that an ask reached `daemon`.
-    pub fn ask(&mut self, now: Duration, daemon: usize) {
+    pub fn record_submission(&mut self, now: Duration, daemon: usize) {
         self.submissions += 1;
         self.daemon = Some(daemon);
         self.submitted_at = now;
@@ -116,21 +116,21 @@
     ) -> Option<Duration> {
         self.daemon = None;
         self.refusal_delays.push(now - self.submitted_at);
-        let heard = now + CALLER_DELAY;
-        let back = if self.request.poison {
-            (self.submissions < POISON_ASKS)
-                .then(|| heard + retry_after.unwrap_or(POISON_PAUSE) + CALLER_DELAY)
+        let received_at = now + CALLER_DELAY;
+        let retry_at = if self.request.poison {
+            (self.submissions < MAX_POISON_SUBMISSIONS)
+                .then(|| received_at + retry_after.unwrap_or(POISON_RETRY_DELAY) + CALLER_DELAY)
         } else {
             // A person's client adds a little to what it is told.
             retry_after
-                .map(|wait| heard + wait.mul_f64(1.0 + 0.1 * source.unit()) + CALLER_DELAY)
-                .filter(|_| self.first_token.is_none() && self.submissions < ASKS)
-                .filter(|back| *back < self.deadline)
+                .map(|delay| received_at + delay.mul_f64(1.0 + 0.1 * source.unit()) + CALLER_DELAY)
+                .filter(|_| self.first_token.is_none() && self.submissions < MAX_SUBMISSIONS)
+                .filter(|retry_at| *retry_at < self.deadline)
         };
-        if back.is_none() {
-            self.outcome = Some((heard, CallerOutcome::Refused(reason)));
+        if retry_at.is_none() {
+            self.outcome = Some((received_at, CallerOutcome::Refused(reason)));
         }
-        back
+        retry_at
     }
 
     /// Takes the loss of the daemon; answers when the next ask reaches another, if there is one.
@@ -140,17 +140,17 @@
         source: &mut RandomSource,
     ) -> Option<Duration> {
         self.daemon = None;
-        let heard = now + CALLER_DELAY;
-        if !self.request.repeatable || self.submissions >= ASKS {
-            self.outcome = Some((heard, CallerOutcome::Refused("daemon_lost")));
+        let received_at = now + CALLER_DELAY;
+        if !self.request.repeatable || self.submissions >= MAX_SUBMISSIONS {
+            self.outcome = Some((received_at, CallerOutcome::Refused("daemon_lost")));
             return None;
         }
-        let back = heard + BROKEN_PAUSE.mul_f64(1.0 + 3.0 * source.unit());
+        let retry_at = received_at + MIN_RECONNECT_DELAY.mul_f64(1.0 + 3.0 * source.unit());
         if self.first_token.is_some() {
             // The caller had its first token in time, and wants the whole answer again.
-            self.deadline = back + self.request.first_token_limit;
+            self.deadline = retry_at + self.request.first_token_limit;
         }
-        Some(back)
+        Some(retry_at)
     }
 
     /// From the first ask to the first token, as the caller sees it; for answered requests.
@@ -166,7 +166,7 @@
     /// Whether the whole answer came and its first token was in time.
     pub fn in_time(&self) -> bool {
         self.first_token_latency()
-            .is_some_and(|wait| wait <= self.request.first_token_limit + CALLER_DELAY)
+            .is_some_and(|delay| delay <= self.request.first_token_limit + CALLER_DELAY)
     }
 
     /// Tokens of prompt and answer; plain service calls count none.
@@ -181,14 +181,17 @@
 }
 
 /// The name of one ask of a request.
-pub fn request_name(index: usize, ask: u32) -> String {
-    format!("r{index}.{ask}")
+pub fn request_name(index: usize, submission: u32) -> String {
+    format!("r{index}.{submission}")
 }
 
 /// The request and ask that [`request_name`] named.
-pub fn parse_name(name: &str) -> (usize, u32) {
-    let (index, ask) = name[1..].split_once('.').expect("made by request_name");
-    (index.parse().expect("made by request_name"), ask.parse().expect("made by request_name"))
+pub fn parse_request_name(name: &str) -> (usize, u32) {
+    let (index, submission) = name[1..].split_once('.').expect("made by request_name");
+    (
+        index.parse().expect("made by request_name"),
+        submission.parse().expect("made by request_name"),
+    )
 }
 
 /// The name of an organisation; the largest is the first.
--- a/examples/policy_report/fleet_simulation.rs
+++ b/examples/policy_report/fleet_simulation.rs
@@ -5,7 +5,7 @@
 
 use {
     super::{
-        caller_record::{CallerOutcome, CallerRecord, parse_name},
+        caller_record::{CallerOutcome, CallerRecord, parse_request_name},
         load_scenario::{DigestScope, LoadScenario, SiteFault},
         random_source::RandomSource,
         route_policy::{RoutePolicy, RouterIdentity, RouterMaker},
@@ -29,79 +29,79 @@
 };
 
 /// One way between failure domains, and within one.
-const FAR_DELAY: Duration = Duration::from_micros(500);
-const NEAR_DELAY: Duration = Duration::from_micros(100);
+const INTER_DOMAIN_DELAY: Duration = Duration::from_micros(500);
+const INTRA_DOMAIN_DELAY: Duration = Duration::from_micros(100);
 /// Servers report load and publish cache events this often.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// How late a cache event and a digest come.
 const CACHE_LAG: Duration = Duration::from_millis(1_500);
 const DIGEST_LAG: Duration = Duration::from_millis(50);
 /// How long membership takes to find a server dead, back, or a domain cut off.
-const FINDING_LAG: Duration = Duration::from_secs(1);
+const DETECTION_LAG: Duration = Duration::from_secs(1);
 /// How long a connection attempt across a cut takes to fail.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long a crashed server is away.
-const REVIVAL: Duration = Duration::from_secs(8);
+const RESTART_TIME: Duration = Duration::from_secs(8);
 /// The shortest time between two wakes of a router.
-const WAKE_GRAIN: Duration = Duration::from_micros(200);
+const MIN_WAKEUP_INTERVAL: Duration = Duration::from_micros(200);
 /// What a run may last past its last arrival before it is given up as stuck.
-const DRAIN_LIMIT: Duration = Duration::from_secs(200);
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(200);
 
 enum FleetEvent {
-    Ask { request: usize },
-    GiveUp { request: usize, ask: u32 },
-    Input { daemon: usize, life: u64, input: PolicyInput },
-    Wake { daemon: usize, life: u64 },
-    Job { server: usize, job: ServerJob },
+    Submit { request: usize },
+    CallerTimeout { request: usize, submission: u32 },
+    Input { daemon: usize, incarnation: u64, input: PolicyInput },
+    Wake { daemon: usize, incarnation: u64 },
+    JobArrival { server: usize, job: ServerJob },
     Cancel { server: usize, attempt: AttemptId },
-    Server { server: usize, incarnation: u64 },
+    ServerAdvance { server: usize, incarnation: u64 },
     Report { server: usize },
-    Revive { server: usize },
+    ServerRestart { server: usize },
     Fault { fault: SiteFault },
-    DaemonUp { daemon: usize },
-    CutFound,
+    DaemonRestart { daemon: usize },
+    PartitionChange,
 }
 
 struct DaemonNode {
     router: Box<dyn RoutePolicy>,
-    life: u64,
-    up: bool,
+    incarnation: u64,
+    running: bool,
     /// The earliest `Wake` on its way.
-    armed: Option<Duration>,
+    scheduled_at: Option<Duration>,
 }
 
 struct ServerNode {
-    model: SimulatedServer,
-    armed: Option<Duration>,
+    simulated: SimulatedServer,
+    scheduled_at: Option<Duration>,
     failing: bool,
     sequence: u64,
 }
 
 struct AttemptRecord {
     request: usize,
-    ask: u32,
+    submission: u32,
     daemon: usize,
-    life: u64,
+    incarnation: u64,
     server: usize,
-    relayed: u32,
+    relayed_tokens: u32,
 }
 
 /// A run under way.
 pub struct FleetSimulation<'a> {
     plan: SitePlan,
     view: Arc<PolicyView>,
-    make: &'a RouterMaker<'a>,
+    make_router: &'a RouterMaker<'a>,
     epoch: Instant,
     now: Duration,
     queue: BTreeMap<(Duration, u64), FleetEvent>,
-    queued: u64,
+    scheduled_events: u64,
     daemons: Vec<DaemonNode>,
     servers: Vec<ServerNode>,
     server_index: BTreeMap<String, usize>,
     attempts: BTreeMap<AttemptId, AttemptRecord>,
     callers: Vec<CallerRecord>,
-    unsettled: usize,
-    cut: Option<usize>,
+    open_requests: usize,
+    partitioned: Option<usize>,
     cache_loss: f64,
     report_lag: Duration,
     digest_scope: DigestScope,
@@ -110,38 +110,42 @@
 }
 
 /// Runs `scene` with the routers that `make` makes, and says what callers got.
-pub fn run_scenario(scenario: LoadScenario, seed: u64, make: &RouterMaker<'_>) -> RunMetrics {
-    let mut run = FleetSimulation::new(scenario, seed, make);
+pub fn run_scenario(
+    scenario: LoadScenario,
+    seed: u64,
+    make_router: &RouterMaker<'_>,
+) -> RunMetrics {
+    let mut run = FleetSimulation::new(scenario, seed, make_router);
     run.start();
-    run.drain();
-    run.finish()
+    run.run_to_end();
+    run.into_metrics()
 }
 
 impl<'a> FleetSimulation<'a> {
-    fn new(scenario: LoadScenario, seed: u64, make: &'a RouterMaker<'a>) -> Self {
+    fn new(scenario: LoadScenario, seed: u64, make_router: &'a RouterMaker<'a>) -> Self {
         let mut source = RandomSource::new(seed, "fleet");
         let plan = scenario.plan;
         let daemons = (0..plan.daemons.len())
             .map(|index| DaemonNode {
-                router: make(&router_identity(&plan, index, &mut source)),
-                life: 1,
-                up: true,
-                armed: None,
+                router: make_router(&router_identity(&plan, index, &mut source)),
+                incarnation: 1,
+                running: true,
+                scheduled_at: None,
             })
             .collect();
         let servers = plan.servers.iter().map(|placement| ServerNode {
-            model: SimulatedServer::new(placement.properties.clone(), 1),
-            armed: None,
+            simulated: SimulatedServer::new(placement.properties.clone(), 1),
+            scheduled_at: None,
             failing: false,
             sequence: 0,
         });
         let mut run = FleetSimulation {
             view: Arc::new(plan.view()),
-            make,
+            make_router,
             epoch: Instant::now(),
             now: Duration::ZERO,
             queue: BTreeMap::new(),
-            queued: 0,
+            scheduled_events: 0,
             daemons,
             servers: servers.collect(),
             server_index: plan
@@ -151,9 +155,9 @@
                 .map(|(index, placement)| (placement.id.clone(), index))
                 .collect(),
             attempts: BTreeMap::new(),
-            unsettled: scenario.requests.len(),
+            open_requests: scenario.requests.len(),
             callers: scenario.requests.into_iter().map(CallerRecord::new).collect(),
-            cut: None,
+            partitioned: None,
             cache_loss: scenario.cache_loss,
             report_lag: scenario.report_lag,
             digest_scope: scenario.digest_scope,
@@ -162,187 +166,200 @@
             plan,
         };
         for (at, fault) in scenario.faults {
-            run.at(at, FleetEvent::Fault { fault });
+            run.schedule(at, FleetEvent::Fault { fault });
         }
         run
     }
 
     fn start(&mut self) {
         for daemon in 0..self.daemons.len() {
-            self.introduce(daemon);
+            self.send_initial_state(daemon);
         }
         for server in 0..self.servers.len() {
             // Servers do not report in step.
-            let offset = REPORT_EVERY.mul_f64(self.source.unit());
-            self.at(offset, FleetEvent::Report { server });
+            let offset = REPORT_INTERVAL.mul_f64(self.source.unit());
+            self.schedule(offset, FleetEvent::Report { server });
         }
         for request in 0..self.callers.len() {
-            self.at(self.callers[request].request.at, FleetEvent::Ask { request });
+            self.schedule(self.callers[request].request.at, FleetEvent::Submit { request });
         }
     }
 
-    fn drain(&mut self) {
+    fn run_to_end(&mut self) {
         let last = self.callers.last().map_or(Duration::ZERO, |caller| caller.request.at);
-        while self.unsettled > 0 {
+        while self.open_requests > 0 {
             let ((at, _), event) = self.queue.pop_first().expect("reports never end");
-            if at > last + DRAIN_LIMIT {
+            if at > last + MAX_DRAIN_TIME {
                 break;
             }
             self.now = at;
-            self.step(event);
+            self.process_event(event);
         }
     }
 
-    fn finish(self) -> RunMetrics {
+    fn into_metrics(self) -> RunMetrics {
         let mut run_metrics = self.run_metrics;
         run_metrics.callers = self.callers;
         run_metrics
     }
 
-    fn at(&mut self, at: Duration, event: FleetEvent) {
-        self.queued += 1;
-        self.queue.insert((at, self.queued), event);
+    fn schedule(&mut self, at: Duration, event: FleetEvent) {
+        self.scheduled_events += 1;
+        self.queue.insert((at, self.scheduled_events), event);
     }
 
-    fn step(&mut self, event: FleetEvent) {
+    fn process_event(&mut self, event: FleetEvent) {
         match event {
-            FleetEvent::Ask { request } => self.ask(request),
-            FleetEvent::GiveUp { request, ask } => self.give_up(request, ask),
-            FleetEvent::Input { daemon, life, input } => {
-                if self.daemons[daemon].up && self.daemons[daemon].life == life {
+            FleetEvent::Submit { request } => self.submit_request(request),
+            FleetEvent::CallerTimeout { request, submission } => {
+                self.time_out_caller(request, submission)
+            }
+            FleetEvent::Input { daemon, incarnation, input } => {
+                if self.daemons[daemon].running && self.daemons[daemon].incarnation == incarnation {
                     self.deliver(daemon, input);
                 }
             }
-            FleetEvent::Wake { daemon, life } => {
+            FleetEvent::Wake { daemon, incarnation } => {
                 let node = &mut self.daemons[daemon];
-                if node.up && node.life == life && node.armed.is_some_and(|at| at <= self.now) {
-                    node.armed = None;
+                if node.running
+                    && node.incarnation == incarnation
+                    && node.scheduled_at.is_some_and(|at| at <= self.now)
+                {
+                    node.scheduled_at = None;
                     self.deliver(daemon, PolicyInput::Wake);
                 }
             }
-            FleetEvent::Job { server, job } => self.accept(server, job),
+            FleetEvent::JobArrival { server, job } => self.accept(server, job),
             FleetEvent::Cancel { server, attempt } => {
-                let events = self.servers[server].model.cancel(self.now, attempt);
-                self.server_events(server, events);
+                let events = self.servers[server].simulated.cancel(self.now, attempt);
+                self.handle_server_events(server, events);
             }
-            FleetEvent::Server { server, incarnation } => {
+            FleetEvent::ServerAdvance { server, incarnation } => {
                 let node = &mut self.servers[server];
-                if node.model.incarnation == incarnation && node.armed == Some(self.now) {
-                    node.armed = None;
-                    let events = node.model.advance(self.now);
-                    self.server_events(server, events);
+                if node.simulated.incarnation == incarnation && node.scheduled_at == Some(self.now)
+                {
+                    node.scheduled_at = None;
+                    let events = node.simulated.advance(self.now);
+                    self.handle_server_events(server, events);
                 }
             }
             FleetEvent::Report { server } => self.report(server),
-            FleetEvent::Revive { server } => self.revive(server),
-            FleetEvent::Fault { fault } => self.strike(fault),
-            FleetEvent::DaemonUp { daemon } => self.daemon_up(daemon),
-            FleetEvent::CutFound => self.cut_found(),
+            FleetEvent::ServerRestart { server } => self.restart_server(server),
+            FleetEvent::Fault { fault } => self.inject_fault(fault),
+            FleetEvent::DaemonRestart { daemon } => self.restart_daemon(daemon),
+            FleetEvent::PartitionChange => self.handle_partition_change(),
         }
     }
 
     // Callers.
 
-    fn ask(&mut self, request: usize) {
+    fn submit_request(&mut self, request: usize) {
         let count = self.daemons.len();
         let caller = &mut self.callers[request];
-        let first = caller.request.entry + caller.submissions as usize;
-        let up = (0..count).map(|step| (first + step) % count).find(|i| self.daemons[*i].up);
-        let Some(daemon) = up else {
-            self.at(self.now + CONNECT_TIMEOUT, FleetEvent::Ask { request });
+        let start = caller.request.first_daemon + caller.submissions as usize;
+        let available =
+            (0..count).map(|offset| (start + offset) % count).find(|i| self.daemons[*i].running);
+        let Some(daemon) = available else {
+            self.schedule(self.now + CONNECT_TIMEOUT, FleetEvent::Submit { request });
             return;
         };
-        caller.ask(self.now, daemon);
+        caller.record_submission(self.now, daemon);
         let ticket = caller.ticket(request, self.epoch);
-        let give_up = caller.deadline + FAR_DELAY;
-        let ask = caller.submissions;
-        self.at(give_up.max(self.now), FleetEvent::GiveUp { request, ask });
+        let timeout = caller.deadline + INTER_DOMAIN_DELAY;
+        let submission = caller.submissions;
+        self.schedule(timeout.max(self.now), FleetEvent::CallerTimeout { request, submission });
         self.deliver(daemon, PolicyInput::Arrive(ticket));
     }
 
     /// The caller stops waiting; a policy that watches deadlines has refused it before.
-    fn give_up(&mut self, request: usize, ask: u32) {
+    fn time_out_caller(&mut self, request: usize, submission: u32) {
         let caller = &mut self.callers[request];
         let (Some(daemon), None) = (caller.daemon, caller.first_token) else { return };
-        if caller.submissions != ask || caller.outcome.is_some() {
+        if caller.submissions != submission || caller.outcome.is_some() {
             return;
         }
-        let name = super::caller_record::request_name(request, ask);
-        self.refused(request, "caller_gone", None);
+        let name = super::caller_record::request_name(request, submission);
+        self.deliver_refusal(request, "caller_gone", None);
         self.deliver(daemon, PolicyInput::CallerDisconnected { request: name });
     }
 
-    fn refused(&mut self, request: usize, reason: &'static str, retry_after: Option<Duration>) {
-        let back =
+    fn deliver_refusal(
+        &mut self,
+        request: usize,
+        reason: &'static str,
+        retry_after: Option<Duration>,
+    ) {
+        let retry_at =
             self.callers[request].handle_refusal(self.now, reason, retry_after, &mut self.source);
-        self.come_back(request, back);
+        self.schedule_retry(request, retry_at);
     }
 
-    fn come_back(&mut self, request: usize, back: Option<Duration>) {
-        match back {
-            Some(back) => self.at(back, FleetEvent::Ask { request }),
-            None => self.unsettled -= 1,
+    fn schedule_retry(&mut self, request: usize, retry_at: Option<Duration>) {
+        match retry_at {
+            Some(retry_at) => self.schedule(retry_at, FleetEvent::Submit { request }),
+            None => self.open_requests -= 1,
         }
     }
 
     // Daemons.
 
     /// Tells a fresh router what a daemon learns at its start.
-    fn introduce(&mut self, daemon: usize) {
+    fn send_initial_state(&mut self, daemon: usize) {
         self.deliver(daemon, PolicyInput::Configure(self.view.clone()));
-        self.tell_reachable(daemon);
+        self.notify_reachability(daemon);
         for server in 0..self.servers.len() {
-            if self.reaches(self.plan.daemons[daemon].domain, self.plan.servers[server].domain) {
-                self.deliver(daemon, self.health_of(server));
+            if self.can_reach(self.plan.daemons[daemon].domain, self.plan.servers[server].domain) {
+                self.deliver(daemon, self.health_input(server));
             }
         }
     }
 
-    fn health_of(&self, server: usize) -> PolicyInput {
-        let model = &self.servers[server].model;
-        let health = match model.alive {
-            true => ServerHealth::Alive { incarnation: model.incarnation },
+    fn health_input(&self, server: usize) -> PolicyInput {
+        let simulated = &self.servers[server].simulated;
+        let health = match simulated.alive {
+            true => ServerHealth::Alive { incarnation: simulated.incarnation },
             false => ServerHealth::Dead,
         };
         PolicyInput::Health { server: self.plan.servers[server].id.clone(), health }
     }
 
     fn deliver(&mut self, daemon: usize, input: PolicyInput) {
-        if !self.note_input(daemon, &input) {
+        if !self.record_input(daemon, &input) {
             return;
         }
         let now = self.epoch + self.now;
         for action in self.daemons[daemon].router.handle(now, input) {
-            self.act(daemon, action);
+            self.execute(daemon, action);
         }
-        self.arm_daemon(daemon);
+        self.schedule_wakeup(daemon);
     }
 
-    fn arm_daemon(&mut self, daemon: usize) {
+    fn schedule_wakeup(&mut self, daemon: usize) {
         let node = &mut self.daemons[daemon];
-        let Some(wanted) = node.router.next_wakeup() else { return };
-        let wanted = wanted.saturating_duration_since(self.epoch).max(self.now + WAKE_GRAIN);
-        if node.armed.is_none_or(|armed| wanted < armed) {
-            node.armed = Some(wanted);
-            let life = node.life;
-            self.at(wanted, FleetEvent::Wake { daemon, life });
+        let Some(wakeup) = node.router.next_wakeup() else { return };
+        let wakeup =
+            wakeup.saturating_duration_since(self.epoch).max(self.now + MIN_WAKEUP_INTERVAL);
+        if node.scheduled_at.is_none_or(|scheduled_at| wakeup < scheduled_at) {
+            node.scheduled_at = Some(wakeup);
+            let incarnation = node.incarnation;
+            self.schedule(wakeup, FleetEvent::Wake { daemon, incarnation });
         }
     }
 
     /// Passes on to the caller what an input brings it. False drops an input of an attempt that is
     /// no longer open, as the daemon's driver does.
-    fn note_input(&mut self, daemon: usize, input: &PolicyInput) -> bool {
+    fn record_input(&mut self, daemon: usize, input: &PolicyInput) -> bool {
         match input {
             PolicyInput::FirstToken { attempt, .. } => self.relay(*attempt, daemon, 1),
             PolicyInput::Progress { attempt, tokens } => self.relay(*attempt, daemon, *tokens),
             PolicyInput::Finished { attempt, .. } => {
                 let Some(record) = self.attempts.remove(attempt) else { return false };
                 let caller = &mut self.callers[record.request];
-                if caller.submissions == record.ask && caller.outcome.is_none() {
-                    let heard = self.now + super::caller_record::CALLER_DELAY;
-                    caller.outcome = Some((heard, CallerOutcome::Answered));
+                if caller.submissions == record.submission && caller.outcome.is_none() {
+                    let received_at = self.now + super::caller_record::CALLER_DELAY;
+                    caller.outcome = Some((received_at, CallerOutcome::Answered));
                     caller.daemon = None;
-                    self.unsettled -= 1;
+                    self.open_requests -= 1;
                 }
                 true
             }
@@ -354,25 +371,27 @@
     fn relay(&mut self, attempt: AttemptId, daemon: usize, tokens: u32) -> bool {
         let Some(record) = self.attempts.get_mut(&attempt) else { return false };
         debug_assert_eq!(record.daemon, daemon);
-        record.relayed += tokens;
+        record.relayed_tokens += tokens;
         let caller = &mut self.callers[record.request];
-        if caller.submissions == record.ask && caller.outcome.is_none() {
-            let heard = self.now + super::caller_record::CALLER_DELAY;
-            caller.first_token.get_or_insert(heard);
+        if caller.submissions == record.submission && caller.outcome.is_none() {
+            let received_at = self.now + super::caller_record::CALLER_DELAY;
+            caller.first_token.get_or_insert(received_at);
         }
         true
     }
 
-    fn act(&mut self, daemon: usize, action: PolicyAction) {
+    fn execute(&mut self, daemon: usize, action: PolicyAction) {
         match action {
             PolicyAction::Send(order) => self.send(daemon, order),
             PolicyAction::Cancel { attempt, .. } => self.cancel(attempt),
             PolicyAction::Refuse { request, reason, retry_after, .. } => {
-                let (index, ask) = parse_name(&request);
+                let (index, submission) = parse_request_name(&request);
                 let caller = &self.callers[index];
-                if caller.submissions == ask && caller.outcome.is_none() && caller.daemon.is_some()
+                if caller.submissions == submission
+                    && caller.outcome.is_none()
+                    && caller.daemon.is_some()
                 {
-                    self.refused(index, reason.as_str(), retry_after);
+                    self.deliver_refusal(index, reason.as_str(), retry_after);
                 }
             }
             PolicyAction::Probe { server } => self.probe(daemon, server),
@@ -384,13 +403,13 @@
     fn publish(&mut self, daemon: usize, digest: DomainDigest) {
         let domain = self.plan.daemons[daemon].domain;
         for peer in 0..self.daemons.len() {
-            let home = self.plan.daemons[peer].domain;
-            let told = match self.digest_scope {
-                DigestScope::OwnDomain => home == domain,
-                DigestScope::AllDomains => self.reaches(domain, home),
+            let peer_domain = self.plan.daemons[peer].domain;
+            let receives = match self.digest_scope {
+                DigestScope::OwnDomain => peer_domain == domain,
+                DigestScope::AllDomains => self.can_reach(domain, peer_domain),
             };
-            if told && peer != daemon {
-                self.input(peer, DIGEST_LAG, PolicyInput::Digest(digest.clone()));
+            if receives && peer != daemon {
+                self.schedule_input(peer, DIGEST_LAG, PolicyInput::Digest(digest.clone()));
             }
         }
     }
@@ -398,27 +417,30 @@
     fn probe(&mut self, daemon: usize, server: String) {
         let index = self.server_index[&server];
         let from = self.plan.daemons[daemon].domain;
-        let answered =
-            self.servers[index].model.alive && self.reaches(from, self.plan.servers[index].domain);
-        let wait = if answered { self.delay(daemon, index) * 2 } else { CONNECT_TIMEOUT };
-        self.input(daemon, wait, PolicyInput::Probed { server, answered });
+        let answered = self.servers[index].simulated.alive
+            && self.can_reach(from, self.plan.servers[index].domain);
+        let delay = if answered { self.network_delay(daemon, index) * 2 } else { CONNECT_TIMEOUT };
+        self.schedule_input(daemon, delay, PolicyInput::Probed { server, answered });
     }
 
-    fn input(&mut self, daemon: usize, wait: Duration, input: PolicyInput) {
-        let life = self.daemons[daemon].life;
-        self.at(self.now + wait, FleetEvent::Input { daemon, life, input });
+    fn schedule_input(&mut self, daemon: usize, delay: Duration, input: PolicyInput) {
+        let incarnation = self.daemons[daemon].incarnation;
+        self.schedule(self.now + delay, FleetEvent::Input { daemon, incarnation, input });
     }
 
     fn send(&mut self, daemon: usize, order: SendOrder) {
-        let (request, ask) = parse_name(&order.request);
+        let (request, submission) = parse_request_name(&order.request);
         let server = self.server_index[&order.server];
         let caller = &mut self.callers[request];
-        caller.sent += 1;
+        caller.sends += 1;
         caller.possible_runs += 1;
         if !caller.request.repeatable && caller.possible_runs > 1 {
             self.run_metrics.violations.push(format!("{} sent twice", order.request));
         }
-        if caller.first_token.is_some() && caller.submissions == ask && order.resume_after == 0 {
+        if caller.first_token.is_some()
+            && caller.submissions == submission
+            && order.resume_after == 0
+        {
             self.run_metrics.violations.push(format!("{} streamed twice", order.request));
         }
         let (levels, output_tokens, service_time) = match &caller.request.work {
@@ -434,12 +456,13 @@
             service_time,
             poison: caller.request.poison,
         };
-        let life = self.daemons[daemon].life;
-        let record = AttemptRecord { request, ask, daemon, life, server, relayed: 0 };
+        let incarnation = self.daemons[daemon].incarnation;
+        let record =
+            AttemptRecord { request, submission, daemon, incarnation, server, relayed_tokens: 0 };
         self.attempts.insert(order.attempt, record);
-        if self.reaches(self.plan.daemons[daemon].domain, self.plan.servers[server].domain) {
-            let arrival = self.now + self.delay(daemon, server);
-            self.at(arrival, FleetEvent::Job { server, job });
+        if self.can_reach(self.plan.daemons[daemon].domain, self.plan.servers[server].domain) {
+            let arrival = self.now + self.network_delay(daemon, server);
+            self.schedule(arrival, FleetEvent::JobArrival { server, job });
         } else {
             self.fail(order.attempt, CONNECT_TIMEOUT, AttemptFailure::NotConnected);
         }
@@ -447,32 +470,33 @@
 
     fn cancel(&mut self, attempt: AttemptId) {
         if let Some(record) = self.attempts.remove(&attempt) {
-            let arrival = self.now + self.delay(record.daemon, record.server);
-            self.at(arrival, FleetEvent::Cancel { server: record.server, attempt });
+            let arrival = self.now + self.network_delay(record.daemon, record.server);
+            self.schedule(arrival, FleetEvent::Cancel { server: record.server, attempt });
         }
     }
 
-    fn fail(&mut self, attempt: AttemptId, wait: Duration, failure: AttemptFailure) {
+    fn fail(&mut self, attempt: AttemptId, delay: Duration, failure: AttemptFailure) {
         let Some(record) = self.attempts.get(&attempt) else { return };
         if failure == AttemptFailure::NotConnected {
             self.callers[record.request].possible_runs -= 1;
         }
-        let (daemon, relayed_tokens) = (record.daemon, record.relayed);
-        if self.daemons[daemon].life == record.life {
+        let (daemon, relayed_tokens) = (record.daemon, record.relayed_tokens);
+        if self.daemons[daemon].incarnation == record.incarnation {
             let input = PolicyInput::Failed { attempt, failure, relayed_tokens, retry_after: None };
-            self.input(daemon, wait, input);
+            self.schedule_input(daemon, delay, input);
         }
     }
 
-    fn delay(&self, daemon: usize, server: usize) -> Duration {
+    fn network_delay(&self, daemon: usize, server: usize) -> Duration {
         match self.plan.daemons[daemon].domain == self.plan.servers[server].domain {
-            true => NEAR_DELAY,
-            false => FAR_DELAY,
+            true => INTRA_DOMAIN_DELAY,
+            false => INTER_DOMAIN_DELAY,
         }
     }
 
-    fn reaches(&self, from: usize, to: usize) -> bool {
-        from == to || self.cut.is_none_or(|cut| cut != from && cut != to)
+    fn can_reach(&self, from: usize, to: usize) -> bool {
+        from == to
+            || self.partitioned.is_none_or(|partitioned| partitioned != from && partitioned != to)
     }
 }
 
--- a/examples/policy_report/fleet_simulation/faults.rs
+++ b/examples/policy_report/fleet_simulation/faults.rs
@@ -3,99 +3,99 @@
 use super::*;
 
 impl FleetSimulation<'_> {
-    pub(super) fn strike(&mut self, fault: SiteFault) {
+    pub(super) fn inject_fault(&mut self, fault: SiteFault) {
         match fault {
             SiteFault::SetSpeed { server, speed } => {
-                self.servers[server].model.properties.speed = speed;
+                self.servers[server].simulated.properties.speed = speed;
             }
             SiteFault::SetFailing { server, failing } => self.servers[server].failing = failing,
-            SiteFault::RestartDaemons { daemons, down } => {
+            SiteFault::RestartDaemons { daemons, downtime } => {
                 for daemon in daemons {
                     self.stop_daemon(daemon);
-                    self.at(self.now + down, FleetEvent::DaemonUp { daemon });
+                    self.schedule(self.now + downtime, FleetEvent::DaemonRestart { daemon });
                 }
             }
             SiteFault::Partition { domain } => {
-                self.cut = Some(domain);
-                self.at(self.now + FINDING_LAG, FleetEvent::CutFound);
+                self.partitioned = Some(domain);
+                self.schedule(self.now + DETECTION_LAG, FleetEvent::PartitionChange);
             }
-            SiteFault::Heal => {
-                self.cut = None;
-                self.at(self.now + FINDING_LAG, FleetEvent::CutFound);
+            SiteFault::HealPartition => {
+                self.partitioned = None;
+                self.schedule(self.now + DETECTION_LAG, FleetEvent::PartitionChange);
             }
         }
     }
 
     fn stop_daemon(&mut self, daemon: usize) {
-        self.daemons[daemon].up = false;
-        self.daemons[daemon].armed = None;
-        let open: Vec<AttemptId> = self
+        self.daemons[daemon].running = false;
+        self.daemons[daemon].scheduled_at = None;
+        let open_attempts: Vec<AttemptId> = self
             .attempts
             .iter()
             .filter(|(_, record)| record.daemon == daemon)
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in open {
+        for attempt in open_attempts {
             // Servers see the connection break.
             self.cancel(attempt);
         }
         for request in 0..self.callers.len() {
             let caller = &mut self.callers[request];
             if caller.daemon == Some(daemon) && caller.outcome.is_none() {
-                let back = caller.handle_daemon_loss(self.now, &mut self.source);
-                self.come_back(request, back);
+                let retry_at = caller.handle_daemon_loss(self.now, &mut self.source);
+                self.schedule_retry(request, retry_at);
             }
         }
     }
 
-    pub(super) fn daemon_up(&mut self, daemon: usize) {
+    pub(super) fn restart_daemon(&mut self, daemon: usize) {
         let identity = router_identity(&self.plan, daemon, &mut self.source);
-        let router = (self.make)(&identity);
+        let router = (self.make_router)(&identity);
         let node = &mut self.daemons[daemon];
         node.router = router;
-        node.life += 1;
-        node.up = true;
-        self.introduce(daemon);
+        node.incarnation += 1;
+        node.running = true;
+        self.send_initial_state(daemon);
     }
 
     /// Connections across a cut are given up, and daemons learn whom they reach.
-    pub(super) fn cut_found(&mut self) {
-        let broken: BTreeSet<AttemptId> = self
+    pub(super) fn handle_partition_change(&mut self) {
+        let broken_attempts: BTreeSet<AttemptId> = self
             .attempts
             .iter()
             .filter(|(_, record)| {
                 let from = self.plan.daemons[record.daemon].domain;
-                !self.reaches(from, self.plan.servers[record.server].domain)
+                !self.can_reach(from, self.plan.servers[record.server].domain)
             })
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in broken {
+        for attempt in broken_attempts {
             self.fail(attempt, Duration::ZERO, AttemptFailure::Broken);
             let server = self.attempts[&attempt].server;
-            self.at(self.now, FleetEvent::Cancel { server, attempt });
+            self.schedule(self.now, FleetEvent::Cancel { server, attempt });
         }
         for daemon in 0..self.daemons.len() {
-            if !self.daemons[daemon].up {
+            if !self.daemons[daemon].running {
                 continue;
             }
-            self.tell_reachable(daemon);
+            self.notify_reachability(daemon);
             for server in 0..self.servers.len() {
-                let home = self.plan.servers[server].domain;
-                if self.reaches(self.plan.daemons[daemon].domain, home) {
-                    self.deliver(daemon, self.health_of(server));
+                let server_domain = self.plan.servers[server].domain;
+                if self.can_reach(self.plan.daemons[daemon].domain, server_domain) {
+                    self.deliver(daemon, self.health_input(server));
                 }
             }
         }
     }
 
-    pub(super) fn tell_reachable(&mut self, daemon: usize) {
+    pub(super) fn notify_reachability(&mut self, daemon: usize) {
         let from = self.plan.daemons[daemon].domain;
         let domains = self
             .plan
             .domains
             .iter()
             .enumerate()
-            .filter(|(index, _)| self.reaches(from, *index))
+            .filter(|(index, _)| self.can_reach(from, *index))
             .map(|(_, name)| name.clone())
             .collect();
         self.deliver(daemon, PolicyInput::Reachable { domains });
--- a/examples/policy_report/load_scenario.rs
+++ b/examples/policy_report/load_scenario.rs
@@ -14,15 +14,15 @@
 
 /// Model requests a second for each engine at which a site is just full under the chosen policy:
 /// goodput grows up to about here and not beyond.
-const TUUL_FULL: f64 = 4.5;
-const ABAY_FULL: f64 = 2.8;
+const TUUL_CAPACITY: f64 = 4.5;
+const ABAY_CAPACITY: f64 = 2.8;
 /// The usual load as a share of a full site: the most that all plain routers still carry.
-const TUUL_STEADY: f64 = 0.45;
-const ABAY_STEADY: f64 = 0.32;
+const TUUL_STEADY_SHARE: f64 = 0.45;
+const ABAY_STEADY_SHARE: f64 = 0.32;
 /// The usual load beside long jobs as a part of it alone, and the long jobs as a share of a full
 /// site: about as much prompt work each.
-const BESIDE_LONG_JOBS: f64 = 0.75;
-const LONG_JOBS: f64 = 0.04;
+const LONG_JOBS_BASE_SHARE: f64 = 0.75;
+const LONG_JOBS_SHARE: f64 = 0.04;
 /// Share of cache events usually lost on the way to each daemon.
 const CACHE_LOSS: f64 = 0.1;
 /// How late a load report usually comes.
@@ -40,11 +40,11 @@
     /// A server answers each request with an error at once, or serves again.
     SetFailing { server: usize, failing: bool },
     /// Daemons stop at once and come back after `down` knowing nothing.
-    RestartDaemons { daemons: Vec<usize>, down: Duration },
+    RestartDaemons { daemons: Vec<usize>, downtime: Duration },
     /// A failure domain is cut off from the others.
     Partition { domain: usize },
     /// The cut ends.
-    Heal,
+    HealPartition,
 }
 
 /// All that a run is made of.
@@ -159,24 +159,24 @@
 
     /// Draws the load for a site from `seed`, with sessions over `length`.
     pub fn scenario(self, site: SiteName, seed: u64, length: Duration) -> LoadScenario {
-        let mut draft = ScenarioBuilder::new(site, seed, length);
+        let mut builder = ScenarioBuilder::new(site, seed, length);
         match self {
-            LoadName::Steady => draft.steady(),
-            LoadName::Burst => draft.bursts(),
-            LoadName::HotCaller => draft.hot_caller(),
-            LoadName::HotPrefixShift => draft.hot_clients(),
-            LoadName::SlowServer => draft.slow_server(),
-            LoadName::SlowServerAbsent => draft.without_slow_server(),
-            LoadName::LongAmongShort => draft.long_jobs(),
-            LoadName::LongJobsAbsent => draft.beside_long_jobs(),
-            LoadName::Saturation => draft.usual(1.0),
-            LoadName::Overload => draft.usual(2.0),
-            LoadName::CrashRequest => draft.crash_request(),
-            LoadName::RestartHerd => draft.restarts(),
-            LoadName::MixedSpeeds => draft.mixed_speeds(),
-            LoadName::CutDomain => draft.cut_domain(),
+            LoadName::Steady => builder.steady(),
+            LoadName::Burst => builder.bursts(),
+            LoadName::HotCaller => builder.hot_caller(),
+            LoadName::HotPrefixShift => builder.hot_clients(),
+            LoadName::SlowServer => builder.slow_server(),
+            LoadName::SlowServerAbsent => builder.without_slow_server(),
+            LoadName::LongAmongShort => builder.long_jobs(),
+            LoadName::LongJobsAbsent => builder.steady_beside_long_jobs(),
+            LoadName::Saturation => builder.add_site_traffic(1.0),
+            LoadName::Overload => builder.add_site_traffic(2.0),
+            LoadName::CrashRequest => builder.crash_request(),
+            LoadName::RestartHerd => builder.daemon_restarts(),
+            LoadName::MixedSpeeds => builder.mixed_speeds(),
+            LoadName::CutDomain => builder.cut_domain(),
         }
-        draft.finish()
+        builder.build()
     }
 }
 
@@ -201,24 +201,30 @@
         ScenarioBuilder { seed, site, length, scenario }
     }
 
-    fn finish(mut self) -> LoadScenario {
+    fn build(mut self) -> LoadScenario {
         self.scenario.requests.sort_by_key(|request| request.at);
         self.scenario
     }
 
     /// Model requests a second of a full site.
-    fn full_rate(&self) -> f64 {
+    fn capacity_rate(&self) -> f64 {
         let rate = match self.site {
-            SiteName::Tuul => TUUL_FULL,
-            SiteName::Abay => ABAY_FULL,
+            SiteName::Tuul => TUUL_CAPACITY,
+            SiteName::Abay => ABAY_CAPACITY,
         };
         rate * self.scenario.plan.engine_count() as f64
     }
 
-    fn add(&mut self, purpose: &'static str, share: f64, span: (f64, f64), mix: TrafficMix) {
+    fn add_sessions(
+        &mut self,
+        purpose: &'static str,
+        share: f64,
+        span: (f64, f64),
+        mix: TrafficMix,
+    ) {
         let spec = TrafficSpec {
             purpose,
-            rate: self.full_rate() * share,
+            rate: self.capacity_rate() * share,
             from: self.length.mul_f64(span.0),
             until: self.length.mul_f64(span.1),
             mix,
@@ -226,49 +232,49 @@
         self.scenario.requests.extend(generate_traffic(self.seed, &spec));
     }
 
-    fn usual(&mut self, share: f64) {
-        self.add("usual", share, (0.0, 1.0), TrafficMix::SiteTraffic(self.site));
-        let rate = self.full_rate() * share;
+    fn add_site_traffic(&mut self, share: f64) {
+        self.add_sessions("usual", share, (0.0, 1.0), TrafficMix::SiteTraffic(self.site));
+        let rate = self.capacity_rate() * share;
         self.scenario.requests.extend(generate_service_calls(self.seed, rate, self.length));
     }
 
     fn steady_share(&self) -> f64 {
         match self.site {
-            SiteName::Tuul => TUUL_STEADY,
-            SiteName::Abay => ABAY_STEADY,
+            SiteName::Tuul => TUUL_STEADY_SHARE,
+            SiteName::Abay => ABAY_STEADY_SHARE,
         }
     }
 
     fn steady(&mut self) {
-        self.usual(self.steady_share());
+        self.add_site_traffic(self.steady_share());
     }
 
-    fn beside_long_jobs(&mut self) {
-        self.usual(self.steady_share() * BESIDE_LONG_JOBS);
+    fn steady_beside_long_jobs(&mut self) {
+        self.add_site_traffic(self.steady_share() * LONG_JOBS_BASE_SHARE);
     }
 
     fn bursts(&mut self) {
         let steady = self.steady_share();
-        self.usual(steady / 2.0);
+        self.add_site_traffic(steady / 2.0);
         for (purpose, start) in [("burst 1", 0.25), ("burst 2", 0.5), ("burst 3", 0.75)] {
             let mix = TrafficMix::SiteTraffic(self.site);
-            self.add(purpose, 3.0, (start, start + 0.04), mix);
+            self.add_sessions(purpose, 3.0, (start, start + 0.04), mix);
         }
     }
 
     fn hot_caller(&mut self) {
         self.steady();
-        self.add("flood", 1.5, (0.25, 0.9), TrafficMix::OneOrganisation(HOT_ORGANISATION));
+        self.add_sessions("flood", 1.5, (0.25, 0.9), TrafficMix::OneOrganisation(HOT_ORGANISATION));
     }
 
     fn hot_clients(&mut self) {
         let steady = self.steady_share();
-        self.usual(steady / 2.0);
+        self.add_site_traffic(steady / 2.0);
         for (index, purpose) in ["hot 0", "hot 1", "hot 2", "hot 3", "hot 4"].iter().enumerate() {
             let start = index as f64 / 5.0;
             // Clients past the usual ones: nobody has computed their standing orders before.
             let mix = TrafficMix::HotClient(100 + index as u32);
-            self.add(purpose, steady / 2.0, (start, start + 0.2), mix);
+            self.add_sessions(purpose, steady / 2.0, (start, start + 0.2), mix);
         }
     }
 
@@ -284,8 +290,8 @@
     }
 
     fn long_jobs(&mut self) {
-        self.beside_long_jobs();
-        self.add("long", LONG_JOBS, (0.0, 1.0), TrafficMix::LongJobs);
+        self.steady_beside_long_jobs();
+        self.add_sessions("long", LONG_JOBS_SHARE, (0.0, 1.0), TrafficMix::LongJobs);
     }
 
     fn crash_request(&mut self) {
@@ -294,7 +300,7 @@
         let levels = vec![level(0xbad, 2_000), level(0xbad1, 5_000), level(0xbad2, 5_200)];
         self.scenario.requests.push(CallerRequest {
             at: self.length.mul_f64(0.2),
-            entry: 0,
+            first_daemon: 0,
             organisation: 3,
             class: RequestClass::Interactive,
             first_token_limit: first_token_limit(RequestClass::Interactive),
@@ -304,14 +310,14 @@
         });
     }
 
-    fn restarts(&mut self) {
+    fn daemon_restarts(&mut self) {
         self.steady();
         let daemons = self.scenario.plan.daemons.len();
         let domain: Vec<usize> = (0..daemons).filter(|index| index % 3 == 0).collect();
-        let down = Duration::from_secs(1);
-        let herd = |daemons| SiteFault::RestartDaemons { daemons, down };
-        self.scenario.faults.push((self.length.mul_f64(0.3), herd(domain)));
-        self.scenario.faults.push((self.length.mul_f64(0.6), herd((0..daemons).collect())));
+        let downtime = Duration::from_secs(1);
+        let restart = |daemons| SiteFault::RestartDaemons { daemons, downtime };
+        self.scenario.faults.push((self.length.mul_f64(0.3), restart(domain)));
+        self.scenario.faults.push((self.length.mul_f64(0.6), restart((0..daemons).collect())));
     }
 
     fn mixed_speeds(&mut self) {
@@ -325,6 +331,6 @@
     fn cut_domain(&mut self) {
         self.steady();
         self.scenario.faults.push((self.length.mul_f64(0.3), SiteFault::Partition { domain: 1 }));
-        self.scenario.faults.push((self.length.mul_f64(0.7), SiteFault::Heal));
+        self.scenario.faults.push((self.length.mul_f64(0.7), SiteFault::HealPartition));
     }
 }
--- a/examples/policy_report/prefix_cache.rs
+++ b/examples/policy_report/prefix_cache.rs
@@ -4,12 +4,12 @@
 
 /// What one engine holds.
 pub struct PrefixCache {
-    limit: u64,
-    used: u64,
-    stamp: u64,
+    capacity: u64,
+    used_tokens: u64,
+    use_count: u64,
     /// Own tokens and last use by level. `ages` holds the same levels by last use.
-    held: BTreeMap<u64, (u32, u64)>,
-    ages: BTreeMap<u64, u64>,
+    entries: BTreeMap<u64, (u32, u64)>,
+    by_last_use: BTreeMap<u64, u64>,
     /// Changes since the last [`PrefixCache::take_changes`].
     stored: Vec<u64>,
     evicted: Vec<u64>,
@@ -17,13 +17,13 @@
 
 impl PrefixCache {
     /// An empty cache of `limit` tokens.
-    pub fn new(limit: u64) -> Self {
+    pub fn new(capacity: u64) -> Self {
         PrefixCache {
-            limit,
-            used: 0,
-            stamp: 0,
-            held: BTreeMap::new(),
-            ages: BTreeMap::new(),
+            capacity,
+            used_tokens: 0,
+            use_count: 0,
+            entries: BTreeMap::new(),
+            by_last_use: BTreeMap::new(),
             stored: Vec::new(),
             evicted: Vec::new(),
         }
@@ -33,7 +33,7 @@
     pub fn hit(&self, levels: &[PrefixLevel]) -> u32 {
         levels
             .iter()
-            .take_while(|level| self.held.contains_key(&level.hash))
+            .take_while(|level| self.entries.contains_key(&level.hash))
             .last()
             .map_or(0, |level| level.tokens)
     }
@@ -42,21 +42,22 @@
     /// ones it stands on.
     pub fn store(&mut self, levels: &[PrefixLevel]) {
         for index in (0..levels.len()).rev() {
-            let below = if index == 0 { 0 } else { levels[index - 1].tokens };
-            self.touch(levels[index].hash, levels[index].tokens - below);
+            let parent_tokens = if index == 0 { 0 } else { levels[index - 1].tokens };
+            self.touch(levels[index].hash, levels[index].tokens - parent_tokens);
         }
-        while self.used > self.limit {
-            let (age, hash) = self.ages.pop_first().expect("a used cache holds a level");
-            let (tokens, held_age) = self.held.remove(&hash).expect("both maps hold it");
-            debug_assert_eq!(age, held_age);
-            self.used -= u64::from(tokens);
+        while self.used_tokens > self.capacity {
+            let (last_use, hash) =
+                self.by_last_use.pop_first().expect("a used cache holds a level");
+            let (tokens, entry_last_use) = self.entries.remove(&hash).expect("both maps hold it");
+            debug_assert_eq!(last_use, entry_last_use);
+            self.used_tokens -= u64::from(tokens);
             self.evicted.push(hash);
         }
     }
 
     /// Share of the cache in use.
     pub fn utilization(&self) -> f64 {
-        self.used as f64 / self.limit as f64
+        self.used_tokens as f64 / self.capacity as f64
     }
 
     /// Levels stored and evicted since the last call.
@@ -65,16 +66,16 @@
     }
 
     fn touch(&mut self, hash: u64, tokens: u32) {
-        self.stamp += 1;
-        match self.held.insert(hash, (tokens, self.stamp)) {
-            Some((_, age)) => {
-                self.ages.remove(&age);
+        self.use_count += 1;
+        match self.entries.insert(hash, (tokens, self.use_count)) {
+            Some((_, last_use)) => {
+                self.by_last_use.remove(&last_use);
             }
             None => {
-                self.used += u64::from(tokens);
+                self.used_tokens += u64::from(tokens);
                 self.stored.push(hash);
             }
         }
-        self.ages.insert(self.stamp, hash);
+        self.by_last_use.insert(self.use_count, hash);
     }
 }
--- a/examples/policy_report/random_source.rs
+++ b/examples/policy_report/random_source.rs
@@ -33,10 +33,10 @@
 
     /// An index drawn with the given weights.
     pub fn weighted_index(&mut self, weights: &[f64]) -> usize {
-        let mut left = self.unit() * weights.iter().sum::<f64>();
+        let mut remaining = self.unit() * weights.iter().sum::<f64>();
         for (index, weight) in weights.iter().enumerate() {
-            left -= weight;
-            if left < 0.0 {
+            remaining -= weight;
+            if remaining < 0.0 {
                 return index;
             }
         }
--- a/examples/policy_report/report.rs
+++ b/examples/policy_report/report.rs
@@ -57,9 +57,9 @@
 }
 
 fn class_object(label: RunLabel, run_metrics: &RunMetrics, class: ReportClass) -> Value {
-    let figures = run_metrics.class_metrics(class);
+    let metrics = run_metrics.class_metrics(class);
     let work = run_metrics.work.get(&class).copied().unwrap_or_default();
-    let shares: Map<String, Value> = figures
+    let shares: Map<String, Value> = metrics
         .shares
         .iter()
         .enumerate()
@@ -71,17 +71,17 @@
         "policy": label.policy,
         "seed": label.seed,
         "class": class.as_str(),
-        "asked": figures.requests,
-        "answered": figures.answered,
-        "goodput": rounded(figures.goodput()),
-        "p50_first_token_ms": millis(figures.p50),
-        "p99_first_token_ms": millis(figures.p99),
-        "p99_misses_ms": millis(figures.p99_misses),
+        "asked": metrics.requests,
+        "answered": metrics.answered,
+        "goodput": rounded(metrics.goodput()),
+        "p50_first_token_ms": millis(metrics.p50),
+        "p99_first_token_ms": millis(metrics.p99),
+        "p99_misses_ms": millis(metrics.p99_misses),
         "hit_rate": rounded(ratio(work.cached, work.prompt)),
         "prompt_tokens": work.prompt,
         "recomputed_tokens": work.recomputed,
-        "refused": figures.refused,
-        "sent_per_asked": rounded(ratio(figures.sent, figures.requests)),
+        "refused": metrics.refused,
+        "sent_per_asked": rounded(ratio(metrics.sends, metrics.requests)),
         "servers_lost": run_metrics.servers_lost,
         "share_by_organisation": shares,
         "breaches": run_metrics.violations.len(),
@@ -89,23 +89,23 @@
 }
 
 fn table_row(label: RunLabel, run_metrics: &RunMetrics, class: ReportClass) -> String {
-    let figures = run_metrics.class_metrics(class);
+    let metrics = run_metrics.class_metrics(class);
     let work = run_metrics.work.get(&class).copied().unwrap_or_default();
     let refused: Vec<String> =
-        figures.refused.iter().map(|(reason, count)| format!("{reason} {count}")).collect();
+        metrics.refused.iter().map(|(reason, count)| format!("{reason} {count}")).collect();
     format!(
         "{:<18} {:<13} {:<12} {:>6} {:>8.3} {:>8.1} {:>8.1} {:>8.1} {:>6.3} {:>10} {:>6.3} {:>4}  {}",
         label.load,
         label.policy,
         class.as_str(),
-        figures.requests,
-        figures.goodput(),
-        millis(figures.p50).unwrap_or(f64::NAN),
-        millis(figures.p99).unwrap_or(f64::NAN),
-        millis(figures.p99_misses).unwrap_or(f64::NAN),
+        metrics.requests,
+        metrics.goodput(),
+        millis(metrics.p50).unwrap_or(f64::NAN),
+        millis(metrics.p99).unwrap_or(f64::NAN),
+        millis(metrics.p99_misses).unwrap_or(f64::NAN),
         ratio(work.cached, work.prompt),
         work.recomputed,
-        ratio(figures.sent, figures.requests),
+        ratio(metrics.sends, metrics.requests),
         run_metrics.servers_lost,
         refused.join(", "),
     )
--- a/examples/policy_report/run_metrics.rs
+++ b/examples/policy_report/run_metrics.rs
@@ -78,7 +78,7 @@
     pub retries: u32,
     /// What must never happen and did; empty unless the policy is wrong.
     pub violations: Vec<String>,
-    computed: BTreeSet<u64>,
+    computed_levels: BTreeSet<u64>,
 }
 
 impl RunMetrics {
@@ -91,7 +91,7 @@
             servers_lost: 0,
             retries: 0,
             violations: Vec::new(),
-            computed: BTreeSet::new(),
+            computed_levels: BTreeSet::new(),
         }
     }
 
@@ -101,11 +101,11 @@
         request: &CallerRequest,
         cached: u32,
         prompt: u32,
-        fresh: &[(u64, u32)],
+        computed: &[(u64, u32)],
     ) {
         let mut recomputed = 0;
-        for (hash, tokens) in fresh {
-            if !self.computed.insert(*hash) {
+        for (hash, tokens) in computed {
+            if !self.computed_levels.insert(*hash) {
                 recomputed += u64::from(*tokens);
             }
         }
@@ -153,13 +153,13 @@
     /// Sendings to servers for each ask, a caller's coming back included.
     pub fn sends_per_submission(&self) -> f64 {
         let submissions = self.measured_callers().map(|caller| u64::from(caller.submissions)).sum();
-        ratio(self.measured_callers().map(|caller| u64::from(caller.sent)).sum(), submissions)
+        ratio(self.measured_callers().map(|caller| u64::from(caller.sends)).sum(), submissions)
     }
 
     /// Sendings to servers for each request asked.
     pub fn sends_per_request(&self) -> f64 {
         ratio(
-            self.measured_callers().map(|c| u64::from(c.sent)).sum(),
+            self.measured_callers().map(|c| u64::from(c.sends)).sum(),
             self.measured_callers().count() as u64,
         )
     }
@@ -183,7 +183,7 @@
     /// Last refusals by reason.
     pub refused: BTreeMap<&'static str, u64>,
     /// Sendings to servers.
-    pub sent: u64,
+    pub sends: u64,
     /// Answered tokens by organisation as a share of all.
     pub shares: Vec<f64>,
 }
@@ -191,32 +191,32 @@
 impl CallerMetrics {
     /// Figures of a group.
     pub fn of(callers: &[&CallerRecord]) -> Self {
-        let mut waits = Vec::new();
-        let mut figures = CallerMetrics { requests: callers.len() as u64, ..Self::default() };
+        let mut latencies = Vec::new();
+        let mut metrics = CallerMetrics { requests: callers.len() as u64, ..Self::default() };
         let mut tokens = vec![0; ORGANISATION_SHARES.len()];
         let mut misses = Vec::new();
         for caller in callers {
-            figures.sent += u64::from(caller.sent);
+            metrics.sends += u64::from(caller.sends);
             match caller.first_token_latency() {
-                Some(wait) => {
-                    waits.push(wait);
-                    figures.answered += 1;
-                    figures.in_time += u64::from(caller.in_time());
+                Some(latency) => {
+                    latencies.push(latency);
+                    metrics.answered += 1;
+                    metrics.in_time += u64::from(caller.in_time());
                     tokens[caller.request.organisation] += caller.tokens();
                 }
                 None => {
                     misses.push(caller.request.first_token_limit);
-                    *figures.refused.entry(last_reason(caller)).or_default() += 1;
+                    *metrics.refused.entry(last_refusal_reason(caller)).or_default() += 1;
                 }
             }
         }
-        let all: u64 = tokens.iter().sum();
-        figures.shares = tokens.iter().map(|own| ratio(*own, all)).collect();
-        figures.p50 = percentile(&mut waits, 0.50);
-        figures.p99 = percentile(&mut waits, 0.99);
-        waits.extend(misses);
-        figures.p99_misses = percentile(&mut waits, 0.99);
-        figures
+        let total: u64 = tokens.iter().sum();
+        metrics.shares = tokens.iter().map(|tokens| ratio(*tokens, total)).collect();
+        metrics.p50 = percentile(&mut latencies, 0.50);
+        metrics.p99 = percentile(&mut latencies, 0.99);
+        latencies.extend(misses);
+        metrics.p99_misses = percentile(&mut latencies, 0.99);
+        metrics
     }
 
     /// [`CallerMetrics::p99`] in milliseconds; endless if nobody was answered.
@@ -230,7 +230,7 @@
     }
 }
 
-fn last_reason(caller: &CallerRecord) -> &'static str {
+fn last_refusal_reason(caller: &CallerRecord) -> &'static str {
     match &caller.outcome {
         Some((_, CallerOutcome::Refused(reason))) => reason,
         Some((_, CallerOutcome::Answered)) | None => "unanswered",
@@ -238,10 +238,10 @@
 }
 
 /// The nearest-rank percentile.
-pub fn percentile(waits: &mut [Duration], share: f64) -> Option<Duration> {
-    waits.sort_unstable();
-    let rank = (waits.len() as f64 * share).ceil() as usize;
-    waits.get(rank.saturating_sub(1)).copied()
+pub fn percentile(latencies: &mut [Duration], share: f64) -> Option<Duration> {
+    latencies.sort_unstable();
+    let rank = (latencies.len() as f64 * share).ceil() as usize;
+    latencies.get(rank.saturating_sub(1)).copied()
 }
 
 /// `part` out of `whole`; 0 of nothing.
--- a/examples/policy_report/simulated_server.rs
+++ b/examples/policy_report/simulated_server.rs
@@ -11,11 +11,11 @@
 /// Tokens between two progress reports of a stream.
 const PROGRESS_TOKENS: u32 = 32;
 /// How much each running stream slows prefill.
-const PREFILL_SLOWING: f64 = 0.02;
+const PREFILL_SLOWDOWN: f64 = 0.02;
 /// Time between two tokens of a stream that runs alone.
 const TOKEN_INTERVAL: Duration = Duration::from_millis(18);
 /// What each further stream adds to it.
-const INTERVAL_GROWTH: Duration = Duration::from_micros(700);
+const INTERVAL_INCREMENT: Duration = Duration::from_micros(700);
 
 /// The fixed properties of a server.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub enum ServerEvent {
     /// Prefill ended: `cached` of `prompt` tokens came from the cache, `fresh` levels were computed.
-    FirstToken { attempt: AttemptId, cached: u32, prompt: u32, fresh: Vec<(u64, u32)> },
+    FirstToken { attempt: AttemptId, cached: u32, prompt: u32, computed_levels: Vec<(u64, u32)> },
     /// More tokens were generated.
     Progress { attempt: AttemptId, tokens: u32 },
     /// The answer is whole.
@@ -62,21 +62,21 @@
     Crashed { attempt: AttemptId },
 }
 
-type JobOrder = (u32, u64);
+type QueueKey = (u32, u64);
 
 struct PrefillState {
     job: ServerJob,
     cached: u32,
-    left: u32,
+    remaining: u32,
 }
 
 struct StreamState {
     job: ServerJob,
     cached: u32,
     interval: Duration,
-    left: u32,
-    step: u32,
-    next: Duration,
+    remaining: u32,
+    progress_tokens: u32,
+    next_event_at: Duration,
 }
 
 /// One server in virtual time.
@@ -89,10 +89,10 @@
     pub properties: ServerProperties,
     /// What it holds.
     pub cache: PrefixCache,
-    waiting: BTreeMap<JobOrder, ServerJob>,
-    prefilling: BTreeMap<JobOrder, PrefillState>,
+    waiting: BTreeMap<QueueKey, ServerJob>,
+    prefilling: BTreeMap<QueueKey, PrefillState>,
     streams: BTreeMap<AttemptId, StreamState>,
-    chunk: Option<(JobOrder, u32, Duration)>,
+    chunk: Option<(QueueKey, u32, Duration)>,
     arrivals: u64,
 }
 
@@ -154,38 +154,45 @@
             .flat_map(|job| job.levels.last())
             .map(|l| u64::from(l.tokens))
             .sum();
-        let started: u64 = self.prefilling.values().map(|state| u64::from(state.left)).sum();
-        (self.waiting.len(), waiting + started)
+        let prefilling: u64 =
+            self.prefilling.values().map(|state| u64::from(state.remaining)).sum();
+        (self.waiting.len(), waiting + prefilling)
     }
 
-    /// When [`SimulatedServer::advance`] is due next.
+    /// When [`SimulatedServer::advance`] is due next_event_at.
     pub fn next_event(&self) -> Option<Duration> {
-        let stream = self.streams.values().map(|stream| stream.next).min();
+        let stream = self.streams.values().map(|stream| stream.next_event_at).min();
         self.chunk.as_ref().map(|chunk| chunk.2).into_iter().chain(stream).min()
     }
 
     /// Does what is due at `now`.
     pub fn advance(&mut self, now: Duration) -> Vec<ServerEvent> {
         let mut events = self.advance_streams(now);
-        events.extend(self.end_chunk(now));
-        self.admit(now);
+        events.extend(self.finish_chunk(now));
+        self.admit_jobs(now);
         self.start_chunk(now);
         events
     }
 
-    fn admit(&mut self, now: Duration) {
+    fn admit_jobs(&mut self, now: Duration) {
         while self.running() < self.properties.slots {
-            let Some((order, job)) = self.waiting.pop_first() else { return };
+            let Some((queue_key, job)) = self.waiting.pop_first() else { return };
             match job.service_time {
                 Some(time) => {
-                    let next = now + time.div_f64(self.properties.speed);
-                    let state =
-                        StreamState { job, cached: 0, interval: time, left: 1, step: 1, next };
+                    let next_event_at = now + time.div_f64(self.properties.speed);
+                    let state = StreamState {
+                        job,
+                        cached: 0,
+                        interval: time,
+                        remaining: 1,
+                        progress_tokens: 1,
+                        next_event_at,
+                    };
                     self.streams.insert(state.job.attempt, state);
                 }
                 None => {
-                    let state = PrefillState { cached: u32::MAX, left: 0, job };
-                    self.prefilling.insert(order, state);
+                    let state = PrefillState { cached: u32::MAX, remaining: 0, job };
+                    self.prefilling.insert(queue_key, state);
                 }
             }
         }
@@ -196,30 +203,30 @@
             return;
         }
         let streams = self.streams.len() as f64;
-        let Some((order, state)) = self.prefilling.iter_mut().next() else { return };
+        let Some((queue_key, state)) = self.prefilling.iter_mut().next() else { return };
         if state.cached == u32::MAX {
             let prompt = state.job.levels.last().map_or(0, |level| level.tokens);
             // The last token is always computed: it gives the first one of the answer.
             state.cached = self.cache.hit(&state.job.levels).min(prompt.saturating_sub(1));
-            state.left = prompt - state.cached + state.job.resume_after;
+            state.remaining = prompt - state.cached + state.job.resume_after;
         }
-        let tokens = state.left.min(CHUNK_TOKENS);
+        let tokens = state.remaining.min(CHUNK_TOKENS);
         let rate = self.properties.prefill_rate * self.properties.speed
-            / (1.0 + PREFILL_SLOWING * streams);
+            / (1.0 + PREFILL_SLOWDOWN * streams);
         self.chunk =
-            Some((*order, tokens, now + Duration::from_secs_f64(f64::from(tokens) / rate)));
+            Some((*queue_key, tokens, now + Duration::from_secs_f64(f64::from(tokens) / rate)));
     }
 
-    fn end_chunk(&mut self, now: Duration) -> Vec<ServerEvent> {
-        let Some((order, tokens, _)) = self.chunk.take_if(|chunk| chunk.2 <= now) else {
+    fn finish_chunk(&mut self, now: Duration) -> Vec<ServerEvent> {
+        let Some((queue_key, tokens, _)) = self.chunk.take_if(|chunk| chunk.2 <= now) else {
             return Vec::new();
         };
-        let Some(state) = self.prefilling.get_mut(&order) else { return Vec::new() };
-        state.left -= tokens;
-        if state.left > 0 {
+        let Some(state) = self.prefilling.get_mut(&queue_key) else { return Vec::new() };
+        state.remaining -= tokens;
+        if state.remaining > 0 {
             return Vec::new();
         }
-        let state = self.prefilling.remove(&order).expect("it was found above");
+        let state = self.prefilling.remove(&queue_key).expect("it was found above");
         if state.job.poison {
             return vec![ServerEvent::Crashed { attempt: state.job.attempt }];
         }
@@ -228,36 +235,46 @@
 
     fn start_stream(&mut self, now: Duration, state: PrefillState) -> Vec<ServerEvent> {
         let PrefillState { job, cached, .. } = state;
-        let mut below = 0;
-        let mut fresh = Vec::new();
+        let mut parent_tokens = 0;
+        let mut computed_levels = Vec::new();
         for level in &job.levels {
             if level.tokens > cached {
-                fresh.push((level.hash, level.tokens - below.max(cached)));
+                computed_levels.push((level.hash, level.tokens - parent_tokens.max(cached)));
             }
-            below = level.tokens;
+            parent_tokens = level.tokens;
         }
         self.cache.store(&job.levels);
-        let left = job.output_tokens.saturating_sub(job.resume_after + 1);
-        let interval = (TOKEN_INTERVAL + INTERVAL_GROWTH * self.streams.len() as u32)
+        let remaining = job.output_tokens.saturating_sub(job.resume_after + 1);
+        let interval = (TOKEN_INTERVAL + INTERVAL_INCREMENT * self.streams.len() as u32)
             .div_f64(self.properties.speed);
-        let step = left.min(PROGRESS_TOKENS);
+        let progress_tokens = remaining.min(PROGRESS_TOKENS);
         let attempt = job.attempt;
-        let stream = StreamState { job, cached, interval, left, step, next: now + interval * step };
+        let stream = StreamState {
+            job,
+            cached,
+            interval,
+            remaining,
+            progress_tokens,
+            next_event_at: now + interval * progress_tokens,
+        };
         self.streams.insert(attempt, stream);
-        vec![ServerEvent::FirstToken { attempt, cached, prompt: below, fresh }]
+        vec![ServerEvent::FirstToken { attempt, cached, prompt: parent_tokens, computed_levels }]
     }
 
     fn advance_streams(&mut self, now: Duration) -> Vec<ServerEvent> {
         let mut events = Vec::new();
         for (attempt, stream) in &mut self.streams {
-            if stream.next > now {
+            if stream.next_event_at > now {
                 continue;
             }
-            stream.left -= stream.step;
-            if stream.job.service_time.is_none() && stream.left > 0 {
-                events.push(ServerEvent::Progress { attempt: *attempt, tokens: stream.step });
-                stream.step = stream.left.min(PROGRESS_TOKENS);
-                stream.next = now + stream.interval * stream.step;
+            stream.remaining -= stream.progress_tokens;
+            if stream.job.service_time.is_none() && stream.remaining > 0 {
+                events.push(ServerEvent::Progress {
+                    attempt: *attempt,
+                    tokens: stream.progress_tokens,
+                });
+                stream.progress_tokens = stream.remaining.min(PROGRESS_TOKENS);
+                stream.next_event_at = now + stream.interval * stream.progress_tokens;
             } else {
                 events.push(ServerEvent::Finished {
                     attempt: *attempt,
@@ -266,7 +283,7 @@
                 });
             }
         }
-        self.streams.retain(|_, stream| stream.next > now);
+        self.streams.retain(|_, stream| stream.next_event_at > now);
         events
     }
 }
--- a/examples/policy_report/targets.rs
+++ b/examples/policy_report/targets.rs
@@ -248,13 +248,13 @@
                 as f64
         };
         let lost = f64::from(crash.servers_lost);
-        let sent = |load| self.chosen(load).sends_per_request();
+        let sends = |load| self.chosen(load).sends_per_request();
         vec![
             at_most("crash_request: servers lost", 2.0, lost),
             at_most("crash_request: innocent requests unanswered", 0.0, unanswered(crash)),
-            at_most("restart_herd: sent / asked", 1.1, sent(LoadName::RestartHerd)),
+            at_most("restart_herd: sent / asked", 1.1, sends(LoadName::RestartHerd)),
             shown("restart_herd: unanswered", unanswered(self.chosen(LoadName::RestartHerd))),
-            at_most("cut_domain: sent / asked", 1.1, sent(LoadName::CutDomain)),
+            at_most("cut_domain: sent / asked", 1.1, sends(LoadName::CutDomain)),
             shown("cut_domain: unanswered", unanswered(self.chosen(LoadName::CutDomain))),
         ]
     }
--- a/examples/policy_report/traffic.rs
+++ b/examples/policy_report/traffic.rs
@@ -10,13 +10,13 @@
 };
 
 /// Clients (standing orders, base stations) of each organisation; low ones are called more often.
-const CLIENTS: u32 = 30;
+const CLIENTS_PER_ORGANISATION: u32 = 30;
 /// Time that a person takes before the next turn of a chat, in milliseconds.
-const THINK_MS: std::ops::Range<u32> = 3_000..9_000;
+const THINK_TIME_MS: std::ops::Range<u32> = 3_000..9_000;
 /// Calls to plain services for each model request.
-const SERVICE_SHARE: f64 = 0.5;
+const SERVICE_CALLS_PER_REQUEST: f64 = 0.5;
 /// Share of the service calls that must not be repeated.
-const BOOKING_SHARE: f64 = 0.2;
+const NON_REPEATABLE_SHARE: f64 = 0.2;
 
 /// What a request asks for.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
     /// When it reaches its first daemon.
     pub at: Duration,
     /// Which daemon the balancer picks; each resend goes to the next one.
-    pub entry: usize,
+    pub first_daemon: usize,
     /// Who sends it.
     pub organisation: usize,
     /// How urgent it is.
@@ -103,19 +103,19 @@
 pub fn generate_service_calls(seed: u64, model_rate: f64, until: Duration) -> Vec<CallerRequest> {
     let mut source = RandomSource::new(seed, "calls");
     let mut requests = Vec::new();
-    let mut at = source.exponential_gap(model_rate * SERVICE_SHARE);
+    let mut at = source.exponential_gap(model_rate * SERVICE_CALLS_PER_REQUEST);
     while at < until {
         requests.push(CallerRequest {
             at,
-            entry: source.in_range(0..1_000) as usize,
+            first_daemon: source.in_range(0..1_000) as usize,
             organisation: source.weighted_index(&ORGANISATION_SHARES),
             class: RequestClass::Interactive,
             first_token_limit: first_token_limit(RequestClass::Interactive),
-            repeatable: source.unit() >= BOOKING_SHARE,
+            repeatable: source.unit() >= NON_REPEATABLE_SHARE,
             work: CallerWork::Service { run: Duration::from_millis(source.in_range(5..60).into()) },
             poison: false,
         });
-        at += source.exponential_gap(model_rate * SERVICE_SHARE);
+        at += source.exponential_gap(model_rate * SERVICE_CALLS_PER_REQUEST);
     }
     requests
 }
@@ -131,49 +131,67 @@
 }
 
 /// One kind of session: turns, tokens of the first question and of later ones, tokens of an answer.
-struct SessionKind {
+struct SessionProfile {
     class: RequestClass,
     turns: std::ops::Range<u32>,
-    first: std::ops::Range<u32>,
-    later: std::ops::Range<u32>,
-    answer: std::ops::Range<u32>,
+    first_tokens: std::ops::Range<u32>,
+    later_tokens: std::ops::Range<u32>,
+    answer_tokens: std::ops::Range<u32>,
 }
 
-impl SessionKind {
+impl SessionProfile {
     fn chat(turns: std::ops::Range<u32>) -> Self {
         let class = RequestClass::Interactive;
-        SessionKind { class, turns, first: 60..300, later: 60..300, answer: 40..160 }
+        SessionProfile {
+            class,
+            turns,
+            first_tokens: 60..300,
+            later_tokens: 60..300,
+            answer_tokens: 40..160,
+        }
     }
 
-    fn check(turns: std::ops::Range<u32>) -> Self {
+    fn document(turns: std::ops::Range<u32>) -> Self {
         let class = RequestClass::Standard;
-        SessionKind { class, turns, first: 3_000..9_000, later: 100..400, answer: 120..300 }
+        SessionProfile {
+            class,
+            turns,
+            first_tokens: 3_000..9_000,
+            later_tokens: 100..400,
+            answer_tokens: 120..300,
+        }
     }
 
-    fn long() -> Self {
+    fn batch() -> Self {
         let class = RequestClass::Batch;
-        SessionKind { class, turns: 1..2, first: 16_000..32_000, later: 0..1, answer: 200..500 }
+        SessionProfile {
+            class,
+            turns: 1..2,
+            first_tokens: 16_000..32_000,
+            later_tokens: 0..1,
+            answer_tokens: 200..500,
+        }
     }
 
-    fn draw(source: &mut RandomSource, mix: TrafficMix) -> Self {
+    fn select(source: &mut RandomSource, mix: TrafficMix) -> Self {
         match mix {
             TrafficMix::SiteTraffic(SiteName::Tuul) => {
                 match source.weighted_index(&[80.0, 18.0, 2.0]) {
-                    0 => SessionKind::chat(1..6),
-                    1 => SessionKind::check(1..2),
-                    _ => SessionKind::long(),
+                    0 => SessionProfile::chat(1..6),
+                    1 => SessionProfile::document(1..2),
+                    _ => SessionProfile::batch(),
                 }
             }
             TrafficMix::SiteTraffic(SiteName::Abay) => {
                 match source.weighted_index(&[55.0, 42.0, 3.0]) {
-                    0 => SessionKind::chat(1..5),
-                    1 => SessionKind::check(1..4),
-                    _ => SessionKind::long(),
+                    0 => SessionProfile::chat(1..5),
+                    1 => SessionProfile::document(1..4),
+                    _ => SessionProfile::batch(),
                 }
             }
-            TrafficMix::OneOrganisation(_) => SessionKind::chat(1..6),
-            TrafficMix::HotClient(_) => SessionKind::chat(1..2),
-            TrafficMix::LongJobs => SessionKind::long(),
+            TrafficMix::OneOrganisation(_) => SessionProfile::chat(1..6),
+            TrafficMix::HotClient(_) => SessionProfile::chat(1..2),
+            TrafficMix::LongJobs => SessionProfile::batch(),
         }
     }
 }
@@ -184,37 +202,41 @@
     start: Duration,
     requests: &mut Vec<CallerRequest>,
 ) {
-    let kind = SessionKind::draw(source, mix);
-    let (organisation, client) = draw_client(source, mix);
+    let profile = SessionProfile::select(source, mix);
+    let (organisation, client) = select_client(source, mix);
     let mut levels = shared_levels(organisation, client);
     let chat = source.seed();
     let mut at = start;
-    for turn in 0..source.in_range(kind.turns.clone()) {
-        let grown =
-            source.in_range(if turn == 0 { kind.first.clone() } else { kind.later.clone() });
+    for turn in 0..source.in_range(profile.turns.clone()) {
+        let added_tokens = source.in_range(if turn == 0 {
+            profile.first_tokens.clone()
+        } else {
+            profile.later_tokens.clone()
+        });
         let last = levels.last().expect("two levels are shared");
         let level = PrefixLevel {
-            hash: mix_levels(last.hash, chat, turn.into()),
-            tokens: last.tokens + grown,
+            hash: hash_level(last.hash, chat, turn.into()),
+            tokens: last.tokens + added_tokens,
         };
         levels.push(level);
-        let output_tokens = source.in_range(kind.answer.clone());
+        let output_tokens = source.in_range(profile.answer_tokens.clone());
         requests.push(CallerRequest {
             at,
-            entry: source.in_range(0..1_000) as usize,
+            first_daemon: source.in_range(0..1_000) as usize,
             organisation,
-            class: kind.class,
-            first_token_limit: first_token_limit(kind.class),
+            class: profile.class,
+            first_token_limit: first_token_limit(profile.class),
             repeatable: true,
             work: CallerWork::Model { levels: levels.clone(), output_tokens },
             poison: false,
         });
-        at += Duration::from_millis(source.in_range(THINK_MS).into());
+        at += Duration::from_millis(source.in_range(THINK_TIME_MS).into());
     }
 }
 
-fn draw_client(source: &mut RandomSource, mix: TrafficMix) -> (usize, u32) {
-    let zipf: Vec<f64> = (0..CLIENTS).map(|rank| 1.0 / f64::from(rank + 1)).collect();
+fn select_client(source: &mut RandomSource, mix: TrafficMix) -> (usize, u32) {
+    let zipf: Vec<f64> =
+        (0..CLIENTS_PER_ORGANISATION).map(|rank| 1.0 / f64::from(rank + 1)).collect();
     match mix {
         TrafficMix::SiteTraffic(_) | TrafficMix::LongJobs => {
             (source.weighted_index(&ORGANISATION_SHARES), source.weighted_index(&zipf) as u32)
@@ -228,16 +250,16 @@
 
 /// The organisation's system prompt and the client's standing order.
 fn shared_levels(organisation: usize, client: u32) -> Vec<PrefixLevel> {
-    let system = mix_hash(0x5e1f, organisation as u64);
-    let order = mix_levels(system, 0x0de7, client.into());
-    let system_tokens = 1_500 + (system % 1_500) as u32;
-    let order_tokens = 2_000 + (order % 4_000) as u32;
+    let system_hash = mix_hash(0x5e1f, organisation as u64);
+    let client_hash = hash_level(system_hash, 0x0de7, client.into());
+    let system_tokens = 1_500 + (system_hash % 1_500) as u32;
+    let client_tokens = 2_000 + (client_hash % 4_000) as u32;
     vec![
-        PrefixLevel { hash: system, tokens: system_tokens },
-        PrefixLevel { hash: order, tokens: system_tokens + order_tokens },
+        PrefixLevel { hash: system_hash, tokens: system_tokens },
+        PrefixLevel { hash: client_hash, tokens: system_tokens + client_tokens },
     ]
 }
 
-fn mix_levels(below: u64, salt: u64, index: u64) -> u64 {
-    mix_hash(mix_hash(below, salt), index)
+fn hash_level(parent: u64, salt: u64, index: u64) -> u64 {
+    mix_hash(mix_hash(parent, salt), index)
 }
