--- a/examples/policy_report/baseline_router.rs
+++ b/examples/policy_report/baseline_router.rs
@@ -1,6 +1,7 @@
-//! Three plain routers to compare with. Each sends a request at once and lets it queue inside the
-//! server in order of arrival, retries a failure twice elsewhere as long as the caller has no token
-//! of it, and refuses only at the deadline.
+//! Three simple routers for comparison. Each sends a request immediately and lets it queue in the
+//! server in order of arrival. It retries a failed request up to twice, on untried servers if there
+//! are any, as long as the caller has received no token. Waiting requests are refused only at their
+//! deadline.
 
 use {
     super::{
@@ -21,32 +22,34 @@
     },
 };
 
-/// Sendings of one request at most.
+/// Maximum number of sends per request.
 const MAX_SENDS: usize = 3;
-/// The level whose hash picks the server: the client's standing order, so that all chats of a
-/// client meet at one server. The organisation's prompt alone would put a large one on one server.
+/// Index of the prefix level whose hash selects the server: the client's prompt, so that all chats
+/// of a client go to one server. The level of the organisation's prompt would send all requests of
+/// a large organisation to one server.
 const HASHED_LEVEL: usize = 1;
 
-/// How a plain router picks a server.
+/// Rule by which a baseline router selects a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BaselineRule {
-    /// One after the other.
+    /// Servers in turn.
     RoundRobin,
-    /// The fewest requests by its last report and own requests in flight.
+    /// The server with the fewest requests: those of its last report and the router's own in
+    /// flight.
     LeastLoaded,
-    /// Rendezvous hash of the prompt's prefix.
+    /// Rendezvous hashing by the prompt's prefix.
     PrefixHash,
 }
 
 struct OpenRequest {
     ticket: RequestTicket,
     attempt: AttemptId,
-    /// Servers that it was sent to, the present one last.
+    /// Servers to which the request was sent, in order; the last one has the current attempt.
     tried: Vec<ServerId>,
     streaming: bool,
 }
 
-/// A router that follows one plain rule.
+/// Router that follows one [`BaselineRule`].
 pub struct BaselineRouter {
     rule: BaselineRule,
     source: RandomSource,
@@ -54,19 +57,19 @@
     view: Arc<PolicyView>,
     dead_servers: BTreeSet<ServerId>,
     reachable: Option<Vec<String>>,
-    /// Requests by server, as last reported.
+    /// Requests at each server according to its last load report.
     reported_load: BTreeMap<ServerId, u32>,
-    /// Own requests in flight by server.
+    /// The router's own requests in flight at each server.
     in_flight: BTreeMap<ServerId, u32>,
     open: BTreeMap<RequestId, OpenRequest>,
-    /// Holds exactly the present attempt of each open request.
+    /// Open request of each current attempt; a request has exactly one.
     attempts: BTreeMap<AttemptId, RequestId>,
-    /// Deadlines of open requests that have no token yet.
+    /// Deadlines of the open requests without a token.
     deadlines: BTreeSet<(Instant, RequestId)>,
 }
 
 impl BaselineRouter {
-    /// A router that knows no servers yet.
+    /// Creates a router without servers; `PolicyInput::Configure` delivers them.
     pub fn new(rule: BaselineRule, identity: &RouterIdentity) -> Self {
         BaselineRouter {
             rule,
@@ -98,7 +101,7 @@
             return self.refuse(request, RefusalReason::NoServer);
         };
         let attempt = (u128::from(self.source.seed()) << 64) | u128::from(self.source.seed());
-        let open = self.open.get_mut(&request).expect("it was found above");
+        let open = self.open.get_mut(&request).expect("the request is open");
         open.attempt = attempt;
         open.tried.push(server.clone());
         self.attempts.insert(attempt, request.clone());
@@ -196,7 +199,7 @@
         vec![PolicyAction::Refuse { request, reason, retry_after: None, did_run: DidRun::Unknown }]
     }
 
-    /// Cancels and closes a request whose caller waits no longer.
+    /// Cancels and closes a request whose caller no longer waits for it.
     fn cancel_request(&mut self, request: &str) -> Vec<PolicyAction> {
         let Some(open) = self.close(request) else { return Vec::new() };
         let Some(server) = open.tried.last().cloned() else { return Vec::new() };
@@ -218,7 +221,7 @@
 
     fn first_token(&mut self, attempt: AttemptId) {
         if let Some(request) = self.attempts.get(&attempt) {
-            let open = self.open.get_mut(request).expect("attempts belong to open requests");
+            let open = self.open.get_mut(request).expect("each attempt belongs to an open request");
             open.streaming = true;
             self.deadlines.remove(&(open.ticket.deadline, request.clone()));
         }
--- a/examples/policy_report/caller_record.rs
+++ b/examples/policy_report/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: what each asked for, what became of it, and when it comes back.
+//! Callers: the request of each, its retries and its outcome.
 
 use {
     super::{
@@ -10,52 +10,54 @@
     std::time::{Duration, Instant},
 };
 
-/// One way from a caller to a daemon.
+/// One-way network delay between a caller and a daemon.
 pub const CALLER_DELAY: Duration = Duration::from_millis(3);
-/// Asks of one request at most, the first included.
+/// Maximum submissions of a request, including the first.
 const MAX_SUBMISSIONS: u32 = 4;
-/// Asks of a request that crashes servers; its caller comes back whatever it hears.
+/// Maximum submissions of a request that crashes servers. Its caller retries after every refusal.
 const MAX_POISON_SUBMISSIONS: u32 = 20;
-/// What that caller waits when it is told no time.
+/// Retry delay of such a request if the refusal carries no `Retry-After`.
 const POISON_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// What a caller waits at least after its connection broke; up to four times as long.
+/// Minimum delay before a caller reconnects after its connection broke. The actual delay is random
+/// and up to four times as long.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// What became of a request.
+/// Final outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerOutcome {
-    /// The whole answer came.
+    /// The caller received the complete answer.
     Answered,
-    /// The last answer was a refusal or an error, for this reason.
+    /// The last submission was refused or failed for this reason.
     Refused(&'static str),
 }
 
-/// One request and its caller.
+/// State of a request and its caller.
 pub struct CallerRecord {
-    /// What it asked for.
+    /// Request that the caller submits.
     pub request: CallerRequest,
-    /// Asks so far.
+    /// Number of submissions so far.
     pub submissions: u32,
-    /// The daemon that has the present ask; none while the caller waits to come back.
+    /// Daemon that handles the current submission; none before the first submission, while the
+    /// caller waits for a retry and after the end.
     pub daemon: Option<usize>,
-    /// When the present ask reached its daemon.
+    /// Time at which the current submission reached its daemon.
     pub submitted_at: Duration,
-    /// When the caller stops waiting for the first token.
+    /// Time until which the caller waits for the first token.
     pub deadline: Duration,
-    /// When the first token of the present ask reached the caller.
+    /// Time at which the first token of the current submission reached the caller.
     pub first_token: Option<Duration>,
-    /// When the last answer reached the caller, and what it was. Set once.
+    /// Time at which the final outcome reached the caller, and the outcome. It is set once.
     pub outcome: Option<(Duration, CallerOutcome)>,
-    /// From each refused ask to its refusal, as the daemon saw it.
+    /// Time from each refused submission to its refusal, measured at the daemon.
     pub refusal_delays: Vec<Duration>,
-    /// Sendings to servers.
+    /// Number of sends to servers.
     pub sends: u32,
-    /// Sendings that may have run, which a request that may not be repeated has at most once.
+    /// Number of sends that may have run; at most one for a non-repeatable request.
     pub possible_runs: u32,
 }
 
 impl CallerRecord {
-    /// A caller that has not asked yet.
+    /// Creates a caller that has not submitted its request yet.
     pub fn new(request: CallerRequest) -> Self {
         CallerRecord {
             deadline: request.at + request.first_token_limit,
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Notes that an ask reached `daemon`.
+    /// Records that a submission reached `daemon`.
     pub fn record_submission(&mut self, now: Duration, daemon: usize) {
         self.submissions += 1;
         self.daemon = Some(daemon);
@@ -82,7 +84,7 @@
         }
     }
 
-    /// The ticket of the present ask.
+    /// Returns the dispatcher's ticket of the current submission.
     pub fn ticket(&self, index: usize, epoch: Instant) -> RequestTicket {
         let work = match &self.request.work {
             CallerWork::Model { levels, output_tokens } => RequestWork::Model {
@@ -90,7 +92,8 @@
                 adapter: None,
                 prompt_tokens: levels.last().map_or(0, |level| level.tokens),
                 levels: levels.clone(),
-                // Callers give a limit, not the length that the answer will have.
+                // Callers state a limit for the answer, since its actual length is unknown in
+                // advance.
                 max_output_tokens: output_tokens * 2,
             },
             CallerWork::Service { .. } => RequestWork::Service { service: SERVICE.into() },
@@ -106,7 +109,8 @@
         }
     }
 
-    /// Takes a refusal; answers when the caller's next ask reaches a daemon, if it comes back.
+    /// Processes a refusal and returns the time at which the retry reaches a daemon; none if the
+    /// caller does not retry.
     pub fn handle_refusal(
         &mut self,
         now: Duration,
@@ -121,7 +125,7 @@
             (self.submissions < MAX_POISON_SUBMISSIONS)
                 .then(|| received_at + retry_after.unwrap_or(POISON_RETRY_DELAY) + CALLER_DELAY)
         } else {
-            // A person's client adds a little to what it is told.
+            // Clients add a jitter of up to a tenth to `Retry-After`.
             retry_after
                 .map(|delay| received_at + delay.mul_f64(1.0 + 0.1 * source.unit()) + CALLER_DELAY)
                 .filter(|_| self.first_token.is_none() && self.submissions < MAX_SUBMISSIONS)
@@ -133,7 +137,8 @@
         retry_at
     }
 
-    /// Takes the loss of the daemon; answers when the next ask reaches another, if there is one.
+    /// Processes the loss of the daemon and returns the time at which the retry reaches another
+    /// daemon; none if the caller does not retry.
     pub fn handle_daemon_loss(
         &mut self,
         now: Duration,
@@ -147,13 +152,15 @@
         }
         let retry_at = received_at + MIN_RECONNECT_DELAY.mul_f64(1.0 + 3.0 * source.unit());
         if self.first_token.is_some() {
-            // The caller had its first token in time, and wants the whole answer again.
+            // The caller received its first token in time. It restarts the request for the complete
+            // answer, with a new limit for the first token.
             self.deadline = retry_at + self.request.first_token_limit;
         }
         Some(retry_at)
     }
 
-    /// From the first ask to the first token, as the caller sees it; for answered requests.
+    /// Returns the time from the first submission to the first token at the caller; none for a
+    /// request that was not answered.
     pub fn first_token_latency(&self) -> Option<Duration> {
         match &self.outcome {
             Some((at, CallerOutcome::Answered)) => {
@@ -163,13 +170,13 @@
         }
     }
 
-    /// Whether the whole answer came and its first token was in time.
+    /// Returns whether the answer is complete and its first token arrived in time.
     pub fn in_time(&self) -> bool {
         self.first_token_latency()
             .is_some_and(|delay| delay <= self.request.first_token_limit + CALLER_DELAY)
     }
 
-    /// Tokens of prompt and answer; plain service calls count none.
+    /// Returns the tokens of prompt and answer; 0 for a service call.
     pub fn tokens(&self) -> u64 {
         match &self.request.work {
             CallerWork::Model { levels, output_tokens } => {
@@ -180,21 +187,22 @@
     }
 }
 
-/// The name of one ask of a request.
+/// Returns the request ID of one submission of a request.
 pub fn request_name(index: usize, submission: u32) -> String {
     format!("r{index}.{submission}")
 }
 
-/// The request and ask that [`request_name`] named.
+/// Returns the request's index and the submission's number from a [`request_name`].
 pub fn parse_request_name(name: &str) -> (usize, u32) {
-    let (index, submission) = name[1..].split_once('.').expect("made by request_name");
+    let (index, submission) =
+        name[1..].split_once('.').expect("the name has the form of request_name");
     (
-        index.parse().expect("made by request_name"),
-        submission.parse().expect("made by request_name"),
+        index.parse().expect("the name has the form of request_name"),
+        submission.parse().expect("the name has the form of request_name"),
     )
 }
 
-/// The name of an organisation; the largest is the first.
+/// Returns the name of an organisation. Index 0 is the one with the most traffic.
 pub fn organisation_name(index: usize) -> String {
     debug_assert!(index < ORGANISATION_SHARES.len());
     format!("org-{index}")
--- a/examples/policy_report/fleet_simulation.rs
+++ b/examples/policy_report/fleet_simulation.rs
@@ -1,11 +1,11 @@
-//! Daemons, servers and callers in one virtual time.
+//! Event loop of the simulation: callers, daemons and servers in virtual time.
 
 mod faults;
 mod servers;
 
 use {
     super::{
-        caller_record::{CallerOutcome, CallerRecord, parse_request_name},
+        callers::{CallerOutcome, CallerRecord, parse_request_name},
         load_scenario::{DigestScope, LoadScenario, SiteFault},
         random_source::RandomSource,
         route_policy::{RoutePolicy, RouterIdentity, RouterMaker},
@@ -28,23 +28,25 @@
     },
 };
 
-/// One way between failure domains, and within one.
+/// One-way network delay between failure domains.
 const INTER_DOMAIN_DELAY: Duration = Duration::from_micros(500);
+/// One-way network delay within a failure domain.
 const INTRA_DOMAIN_DELAY: Duration = Duration::from_micros(100);
-/// Servers report load and publish cache events this often.
+/// Interval of the load reports and cache events of a server.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// How late a cache event and a digest come.
+/// Delay of a cache event from a server to a daemon.
 const CACHE_LAG: Duration = Duration::from_millis(1_500);
+/// Delay of a digest between daemons.
 const DIGEST_LAG: Duration = Duration::from_millis(50);
-/// How long membership takes to find a server dead, back, or a domain cut off.
+/// Time until membership detects a dead server, a restarted server or a network partition.
 const DETECTION_LAG: Duration = Duration::from_secs(1);
-/// How long a connection attempt across a cut takes to fail.
+/// Time until a connection attempt across a network partition fails.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long a crashed server is away.
+/// Time from the crash of a server until it serves again.
 const RESTART_TIME: Duration = Duration::from_secs(8);
-/// The shortest time between two wakes of a router.
+/// Minimum time until the next `Wake` of a router.
 const MIN_WAKEUP_INTERVAL: Duration = Duration::from_micros(200);
-/// What a run may last past its last arrival before it is given up as stuck.
+/// Virtual time after the last arrival at which a run ends even if requests are still open.
 const MAX_DRAIN_TIME: Duration = Duration::from_secs(200);
 
 enum FleetEvent {
@@ -66,14 +68,17 @@
     router: Box<dyn RoutePolicy>,
     incarnation: u64,
     running: bool,
-    /// The earliest `Wake` on its way.
+    /// Time of the earliest pending `Wake` event.
     scheduled_at: Option<Duration>,
 }
 
 struct ServerNode {
     simulated: SimulatedServer,
+    /// Time of the earliest pending `ServerAdvance` event.
     scheduled_at: Option<Duration>,
+    /// Whether the server answers each request with an error.
     failing: bool,
+    /// Sequence number of the last cache event.
     sequence: u64,
 }
 
@@ -81,12 +86,13 @@
     request: usize,
     submission: u32,
     daemon: usize,
+    /// Incarnation of the daemon that sent the attempt.
     incarnation: u64,
     server: usize,
     relayed_tokens: u32,
 }
 
-/// A run under way.
+/// State of a running simulation.
 pub struct FleetSimulation<'a> {
     plan: SitePlan,
     view: Arc<PolicyView>,
@@ -94,6 +100,7 @@
     epoch: Instant,
     now: Duration,
     queue: BTreeMap<(Duration, u64), FleetEvent>,
+    /// Number of events scheduled so far; orders events of the same time.
     scheduled_events: u64,
     daemons: Vec<DaemonNode>,
     servers: Vec<ServerNode>,
@@ -101,6 +108,7 @@
     attempts: BTreeMap<AttemptId, AttemptRecord>,
     callers: Vec<CallerRecord>,
     open_requests: usize,
+    /// Failure domain that a network partition separates from the others.
     partitioned: Option<usize>,
     cache_loss: f64,
     report_lag: Duration,
@@ -109,7 +117,7 @@
     run_metrics: RunMetrics,
 }
 
-/// Runs `scene` with the routers that `make` makes, and says what callers got.
+/// Simulates `scenario` with routers created by `make_router` and returns what callers received.
 pub fn run_scenario(
     scenario: LoadScenario,
     seed: u64,
@@ -176,7 +184,7 @@
             self.send_initial_state(daemon);
         }
         for server in 0..self.servers.len() {
-            // Servers do not report in step.
+            // Random offsets keep the servers from reporting at the same time.
             let offset = REPORT_INTERVAL.mul_f64(self.source.unit());
             self.schedule(offset, FleetEvent::Report { server });
         }
@@ -188,7 +196,8 @@
     fn run_to_end(&mut self) {
         let last = self.callers.last().map_or(Duration::ZERO, |caller| caller.request.at);
         while self.open_requests > 0 {
-            let ((at, _), event) = self.queue.pop_first().expect("reports never end");
+            let ((at, _), event) =
+                self.queue.pop_first().expect("servers always schedule their next report");
             if at > last + MAX_DRAIN_TIME {
                 break;
             }
@@ -251,7 +260,7 @@
         }
     }
 
-    // Callers.
+    // Events of callers.
 
     fn submit_request(&mut self, request: usize) {
         let count = self.daemons.len();
@@ -271,14 +280,14 @@
         self.deliver(daemon, PolicyInput::Arrive(ticket));
     }
 
-    /// The caller stops waiting; a policy that watches deadlines has refused it before.
+    /// Ends the wait of a caller. A policy that enforces deadlines has refused the request before.
     fn time_out_caller(&mut self, request: usize, submission: u32) {
         let caller = &mut self.callers[request];
         let (Some(daemon), None) = (caller.daemon, caller.first_token) else { return };
         if caller.submissions != submission || caller.outcome.is_some() {
             return;
         }
-        let name = super::caller_record::request_name(request, submission);
+        let name = super::callers::request_name(request, submission);
         self.deliver_refusal(request, "caller_gone", None);
         self.deliver(daemon, PolicyInput::CallerDisconnected { request: name });
     }
@@ -301,9 +310,10 @@
         }
     }
 
-    // Daemons.
+    // Inputs and actions of daemons.
 
-    /// Tells a fresh router what a daemon learns at its start.
+    /// Delivers the inputs that a daemon receives at its start: configuration, reachable failure
+    /// domains and the health of the servers.
     fn send_initial_state(&mut self, daemon: usize) {
         self.deliver(daemon, PolicyInput::Configure(self.view.clone()));
         self.notify_reachability(daemon);
@@ -346,8 +356,8 @@
         }
     }
 
-    /// Passes on to the caller what an input brings it. False drops an input of an attempt that is
-    /// no longer open, as the daemon's driver does.
+    /// Updates the caller's record with an input. Returns false for an input of an attempt that is
+    /// no longer open; the daemon's driver drops such inputs as well.
     fn record_input(&mut self, daemon: usize, input: &PolicyInput) -> bool {
         match input {
             PolicyInput::FirstToken { attempt, .. } => self.relay(*attempt, daemon, 1),
@@ -356,7 +366,7 @@
                 let Some(record) = self.attempts.remove(attempt) else { return false };
                 let caller = &mut self.callers[record.request];
                 if caller.submissions == record.submission && caller.outcome.is_none() {
-                    let received_at = self.now + super::caller_record::CALLER_DELAY;
+                    let received_at = self.now + super::callers::CALLER_DELAY;
                     caller.outcome = Some((received_at, CallerOutcome::Answered));
                     caller.daemon = None;
                     self.open_requests -= 1;
@@ -374,7 +384,7 @@
         record.relayed_tokens += tokens;
         let caller = &mut self.callers[record.request];
         if caller.submissions == record.submission && caller.outcome.is_none() {
-            let received_at = self.now + super::caller_record::CALLER_DELAY;
+            let received_at = self.now + super::callers::CALLER_DELAY;
             caller.first_token.get_or_insert(received_at);
         }
         true
--- a/examples/policy_report/fleet_simulation/faults.rs
+++ b/examples/policy_report/fleet_simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run: slow servers, restarts of daemons, cut failure domains.
+//! Injected faults: slow and failing servers, daemon restarts and network partitions.
 
 use super::*;
 
@@ -36,7 +36,7 @@
             .map(|(attempt, _)| *attempt)
             .collect();
         for attempt in open_attempts {
-            // Servers see the connection break.
+            // The servers detect the closed connection and drop the attempt.
             self.cancel(attempt);
         }
         for request in 0..self.callers.len() {
@@ -58,7 +58,8 @@
         self.send_initial_state(daemon);
     }
 
-    /// Connections across a cut are given up, and daemons learn whom they reach.
+    /// Breaks connections across a network partition and reports the reachable failure domains to
+    /// the daemons.
     pub(super) fn handle_partition_change(&mut self) {
         let broken_attempts: BTreeSet<AttemptId> = self
             .attempts
--- a/examples/policy_report/fleet_simulation/servers.rs
+++ b/examples/policy_report/fleet_simulation/servers.rs
@@ -1,4 +1,4 @@
-//! The servers' side of a run: jobs, answers, reports, cache events.
+//! Events of servers: jobs, answers, crashes, load reports and cache events.
 
 use super::*;
 
--- a/examples/policy_report/harness.rs
+++ b/examples/policy_report/harness.rs
@@ -1,31 +1,36 @@
-//! A small model of a site in virtual time, for the report and the pattern tests.
+//! Discrete-event simulation of a site in virtual time, for the report and the policy tests.
 //!
-//! Daemons' routers, backend servers and callers share one event queue. Network delays: 0.5 ms one
-//! way between failure domains, 0.1 ms within one, 3 ms from clients.
+//! The routers of the daemons, the backend servers and the callers share one event queue. One-way
+//! network delays are 0.5 ms between failure domains, 0.1 ms within one and 3 ms from callers.
 //!
 //! Definitions:
-//! - *asked*: distinct requests; a caller that comes back after a refusal asks the same one.
-//! - *answered*: the whole answer came. *Goodput*: answered, and its first token within the caller's
-//!   patience counted from the first ask (interactive 5 s, standard 20 s, batch 120 s), out of asked.
-//! - *first token*: from the first ask's arrival at a daemon to the first token at the caller, time
-//!   between a refusal and coming back included; over answered requests. `p99_misses` is over all
-//!   requests, one without an answer counted as its whole patience.
-//! - *recomputed*: prompt tokens computed though some server had computed the same prefix before.
+//! - *asked*: number of distinct requests. A caller that retries after a refusal submits the same
+//!   request again.
+//! - *answered*: number of requests with a complete answer. *Goodput*: the share of all requests
+//!   that were answered with their first token within the caller's limit, counted from the first
+//!   submission (interactive 5 s, standard 20 s, batch 120 s).
+//! - *first token*: latency from the arrival of the first submission at a daemon to the first token
+//!   at the caller, including the delay between a refusal and the retry; over answered requests.
+//!   `p99_misses` is over all requests and counts a request without an answer with its whole limit.
+//! - *recomputed*: prompt tokens that were computed although some server had computed the same
+//!   prefix before.
 //!
-//! Callers obey `Retry-After`, come back three times at most and only within their patience.
+//! Callers obey `Retry-After` and retry at most three times, and only within their limit.
 //!
-//! What the model leaves out: several models, adapters and weights; prompt-keep and imports;
-//! weight loads; memory that running requests take from the cache; preemption of running requests;
-//! the answer's own tokens in the cache; a stream's speed once it runs (it is set at its first
-//! token, by what runs then); prompts whose prefix is shared between organisations; daemons' own
-//! processor time; lost messages other than cache events; slow readers. Cache events come 1.5 s late
-//! and a tenth is lost, load reports come 0.3 s late every 0.5 s, findings of membership 1 s late.
+//! Not simulated: several models, adapters or weights; the cache store and imports; weight loads;
+//! cache memory taken by running requests; preemption of running requests; caching of an answer's
+//! own tokens; changes of a stream's speed after its first token, at which the number of running
+//! streams sets it; prompts whose prefix is shared between organisations; processor time of the
+//! daemons; loss of messages other than cache events; slow readers.
+//!
+//! Cache events arrive 1.5 s late and a tenth of them is lost, load reports are sent every 0.5 s and
+//! arrive 0.3 s late, and membership changes are detected 1 s late.
 
-// Each test uses a part of it.
+// Each test includes the harness and uses only a part of it.
 #![allow(dead_code)]
 
 pub mod baseline_router;
-pub mod caller_record;
+pub mod callers;
 pub mod fleet_simulation;
 pub mod load_scenario;
 pub mod prefix_cache;
@@ -45,17 +50,17 @@
     run_metrics::RunMetrics,
 };
 
-/// Who decides in a run.
+/// Router of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyName {
-    /// The dispatcher that the daemon runs.
+    /// The daemon's dispatcher.
     Chosen,
-    /// A baseline.
+    /// A baseline router for comparison.
     Baseline(BaselineRule),
 }
 
 impl PolicyName {
-    /// All policies, in the order of the report.
+    /// All policies in the order in which the report prints them.
     pub const ALL: [PolicyName; 4] = [
         PolicyName::Chosen,
         PolicyName::Baseline(BaselineRule::RoundRobin),
@@ -63,7 +68,7 @@
         PolicyName::Baseline(BaselineRule::PrefixHash),
     ];
 
-    /// The name in reports.
+    /// Returns the name used in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             PolicyName::Chosen => "chosen",
@@ -73,7 +78,7 @@
         }
     }
 
-    /// Runs `scene` under this policy.
+    /// Simulates `scenario` under this policy.
     pub fn run(self, scenario: LoadScenario, seed: u64) -> RunMetrics {
         run_scenario(scenario, seed, &|identity| -> Box<dyn RoutePolicy> {
             match self {
@@ -84,7 +89,7 @@
     }
 }
 
-/// The dispatcher's settings at one seat.
+/// Returns the settings of the dispatcher of one daemon, with all safeguards on.
 pub fn settings(identity: &RouterIdentity) -> DispatcherSettings {
     DispatcherSettings {
         daemon: identity.daemon.clone(),
@@ -94,7 +99,8 @@
     }
 }
 
-/// Runs `scene` under the dispatcher with `disabled` safeguards off; none is off in a daemon.
+/// Simulates `scenario` under the dispatcher with the `disabled` safeguards switched off. A daemon
+/// has all safeguards on by default.
 pub fn run_without(scenario: LoadScenario, seed: u64, disabled: &SafeguardSet) -> RunMetrics {
     run_scenario(scenario, seed, &|identity| {
         let disabled = disabled.clone();
@@ -102,16 +108,16 @@
     })
 }
 
-/// Runs `scene` with all safeguards, and with `off` switched off: a pattern's test has to tell the
-/// two apart.
+/// Simulates `scenario` with all safeguards, and again with `safeguard` switched off. A test of a
+/// safeguard must pass with it and fail without it.
 pub fn with_and_without(
     scenario: LoadScenario,
     seed: u64,
-    off: PolicySafeguard,
+    safeguard: PolicySafeguard,
 ) -> (RunMetrics, RunMetrics) {
     let all_on = SafeguardSet::default();
     (
         run_without(scenario.clone(), seed, &all_on),
-        run_without(scenario, seed, &[off].into_iter().collect()),
+        run_without(scenario, seed, &[safeguard].into_iter().collect()),
     )
 }
--- a/examples/policy_report/load_scenario.rs
+++ b/examples/policy_report/load_scenario.rs
@@ -1,4 +1,4 @@
-//! The loads by name: a site, its traffic and its faults.
+//! Named load scenarios: a site with its traffic and faults.
 
 use {
     super::{
@@ -12,71 +12,75 @@
     std::time::Duration,
 };
 
-/// Model requests a second for each engine at which a site is just full under the chosen policy:
-/// goodput grows up to about here and not beyond.
+/// Capacity of each site in model requests per second and engine: the approximate load above which
+/// goodput under the dispatcher stops growing.
 const TUUL_CAPACITY: f64 = 4.5;
 const ABAY_CAPACITY: f64 = 2.8;
-/// The usual load as a share of a full site: the most that all plain routers still carry.
+/// Steady load of each site as a share of its capacity: the highest load that all baseline routers
+/// can serve.
 const TUUL_STEADY_SHARE: f64 = 0.45;
 const ABAY_STEADY_SHARE: f64 = 0.32;
-/// The usual load beside long jobs as a part of it alone, and the long jobs as a share of a full
-/// site: about as much prompt work each.
+/// Share of the steady load that runs beside the long jobs. It causes about as much prompt work as
+/// the long jobs.
 const LONG_JOBS_BASE_SHARE: f64 = 0.75;
+/// Rate of the long jobs as a share of the capacity.
 const LONG_JOBS_SHARE: f64 = 0.04;
-/// Share of cache events usually lost on the way to each daemon.
+/// Default share of cache events that are lost on the way to each daemon.
 const CACHE_LOSS: f64 = 0.1;
-/// How late a load report usually comes.
+/// Default delay of a load report.
 const REPORT_LAG: Duration = Duration::from_millis(300);
-/// The organisation that floods in `hot_caller`; a small one.
+/// Small organisation that sends one and a half times the capacity in `hot_caller`.
 pub const HOT_ORGANISATION: usize = 6;
-/// The server that turns slow in `slow_server`.
+/// Index of the server that becomes slow in `slow_server`.
 pub const SLOW_SERVER: usize = 1;
 
-/// Something that happens to the site during a run.
+/// Fault, or its end, that is injected during a run.
 #[derive(Clone, Debug)]
 pub enum SiteFault {
-    /// A server runs at another speed from now on.
+    /// Changes the speed of a server.
     SetSpeed { server: usize, speed: f64 },
-    /// A server answers each request with an error at once, or serves again.
+    /// Makes a server answer each request immediately with an error, or serve again.
     SetFailing { server: usize, failing: bool },
-    /// Daemons stop at once and come back after `down` knowing nothing.
+    /// Kills daemons and restarts them with empty state after `downtime`.
     RestartDaemons { daemons: Vec<usize>, downtime: Duration },
-    /// A failure domain is cut off from the others.
+    /// Separates a failure domain from the others by a network partition.
     Partition { domain: usize },
-    /// The cut ends.
+    /// Ends the network partition.
     HealPartition,
 }
 
-/// All that a run is made of.
+/// Input of a run.
 #[derive(Clone, Debug)]
 pub struct LoadScenario {
-    /// The site.
+    /// Layout of the site.
     pub plan: SitePlan,
-    /// Callers' requests, in order of their first ask.
+    /// Requests of the callers in order of their first submission.
     pub requests: Vec<CallerRequest>,
-    /// Faults with their moments.
+    /// Faults with the times at which they are injected.
     pub faults: Vec<(Duration, SiteFault)>,
-    /// Requests asked before this moment are served but not measured: caches start empty.
+    /// Requests first submitted before this time are served but not measured, since caches are
+    /// empty at the start.
     pub warm_up: Duration,
-    /// Share of cache events lost on the way to each daemon.
+    /// Share of cache events that are lost on the way to each daemon.
     pub cache_loss: f64,
-    /// How late a load report comes.
+    /// Delay of a load report.
     pub report_lag: Duration,
-    /// Whom digests reach.
+    /// Daemons that receive a daemon's digests.
     pub digest_scope: DigestScope,
 }
 
-/// Whom a daemon's digests reach.
+/// Daemons that receive a daemon's digests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DigestScope {
-    /// The daemons of its own failure domain.
+    /// Daemons of the sender's failure domain.
     OwnDomain,
-    /// Three daemons of each other domain as well, which today are all.
+    /// Daemons of the sender's failure domain and up to three daemons of each other failure domain,
+    /// which are all daemons at both sites.
     AllDomains,
 }
 
 impl LoadScenario {
-    /// Adds sessions with `rate` model requests a second from `from` to the end.
+    /// Adds sessions with `rate` model requests per second from `from` to the end.
     pub fn add_traffic(&mut self, seed: u64, rate: f64, from: Duration, mix: TrafficMix) {
         let until = self.requests.last().map_or(from, |request| request.at);
         let spec = TrafficSpec { purpose: "added", rate, from, until, mix };
@@ -85,41 +89,43 @@
     }
 }
 
-/// A load by name.
+/// Name of a load scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LoadName {
-    /// The usual load.
+    /// The steady load of the site.
     Steady,
-    /// Half the usual load with short bursts of three times a full site.
+    /// Half the steady load with three short bursts of three times the capacity each.
     Burst,
-    /// One small organisation floods.
+    /// The steady load with one small organisation sending one and a half times the capacity.
     HotCaller,
-    /// One client's standing order after another draws most of the traffic.
+    /// Half the steady load with as much traffic for five client prompts in turn.
     HotPrefixShift,
-    /// One server turns five times slower.
+    /// The steady load with one server that becomes five times slower.
     SlowServer,
-    /// The same without that server.
+    /// The steady load without the server that is slow in `slow_server`.
     SlowServerAbsent,
-    /// Long batch jobs beside the usual load.
+    /// Long batch jobs beside a reduced steady load.
     LongAmongShort,
-    /// The same without the long jobs.
+    /// The reduced steady load of `long_among_short` without the long jobs.
     LongJobsAbsent,
-    /// A site that is just full.
+    /// A load equal to the capacity.
     Saturation,
-    /// Twice that.
+    /// A load of twice the capacity.
     Overload,
-    /// One request crashes each engine that runs it, and its caller sends it again.
+    /// The steady load with one request that crashes each engine that runs it and is retried.
     CrashRequest,
-    /// Daemons of a failure domain restart at once, later all daemons.
+    /// The steady load with a simultaneous restart of the daemons of a failure domain and later of
+    /// all daemons.
     RestartHerd,
-    /// Servers differ four times in speed.
+    /// The steady load on servers whose speeds differ by up to a factor of four.
     MixedSpeeds,
-    /// A failure domain is cut off for half a minute.
+    /// The steady load with a network partition around one failure domain for two fifths of the
+    /// run.
     CutDomain,
 }
 
 impl LoadName {
-    /// All loads, in the order of the report.
+    /// All loads in the order in which the report prints them.
     pub const ALL: [LoadName; 14] = [
         LoadName::Steady,
         LoadName::Burst,
@@ -137,7 +143,7 @@
         LoadName::CutDomain,
     ];
 
-    /// The name on the command line and in reports.
+    /// Returns the name used on the command line and in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             LoadName::Steady => "steady",
@@ -157,7 +163,7 @@
         }
     }
 
-    /// Draws the load for a site from `seed`, with sessions over `length`.
+    /// Generates the scenario for a site from `seed`, with sessions that start within `length`.
     pub fn scenario(self, site: SiteName, seed: u64, length: Duration) -> LoadScenario {
         let mut builder = ScenarioBuilder::new(site, seed, length);
         match self {
@@ -206,7 +212,7 @@
         self.scenario
     }
 
-    /// Model requests a second of a full site.
+    /// Returns the capacity of the site in model requests per second.
     fn capacity_rate(&self) -> f64 {
         let rate = match self.site {
             SiteName::Tuul => TUUL_CAPACITY,
@@ -272,7 +278,8 @@
         self.add_site_traffic(steady / 2.0);
         for (index, purpose) in ["hot 0", "hot 1", "hot 2", "hot 3", "hot 4"].iter().enumerate() {
             let start = index as f64 / 5.0;
-            // Clients past the usual ones: nobody has computed their standing orders before.
+            // Clients beyond those of the regular traffic, so that no server has computed their
+            // prompts.
             let mix = TrafficMix::HotClient(100 + index as u32);
             self.add_sessions(purpose, steady / 2.0, (start, start + 0.2), mix);
         }
@@ -323,7 +330,7 @@
     fn mixed_speeds(&mut self) {
         self.steady();
         for (index, placement) in self.scenario.plan.servers.iter_mut().enumerate() {
-            // Means 1.0 over each four servers.
+            // The mean over each four servers is 1.0.
             placement.properties.speed = [1.6, 0.8, 1.2, 0.4][index % 4];
         }
     }
--- a/examples/policy_report/main.rs
+++ b/examples/policy_report/main.rs
@@ -1,5 +1,5 @@
-//! Drives the dispatcher and three plain routers in virtual time over the same arrivals, and prints
-//! what callers got. `harness` tells what the model is and what it leaves out.
+//! Simulates the dispatcher and three baseline routers with the same arrivals in virtual time and
+//! prints what callers received. The module `harness` describes the model and its limits.
 
 #[path = "harness.rs"]
 mod harness;
@@ -19,45 +19,46 @@
     std::{io::Write, time::Duration},
 };
 
-/// Virtual time over which sessions start, in seconds: some forty refills of an engine's cache.
+/// Virtual time in seconds during which sessions start. Each engine fills its cache about forty
+/// times in it.
 const RUN_LENGTH: u64 = 80;
 
-/// Measures the routing policy against plain routers in virtual time.
+/// Compares the routing policy with baseline routers in virtual time.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct ReportOptions {
-    /// Seed of arrivals, faults and random choices.
+    /// Seed of the arrivals, faults and random choices.
     #[bpaf(argument("S"), fallback(1))]
     seed: u64,
-    /// Runs this many seeds, counting up from the first.
+    /// Number of consecutive seeds to run, starting at --seed.
     #[bpaf(argument("N"), fallback(1))]
     seeds: u64,
-    /// One load instead of all.
+    /// Runs only this load; the default is all loads.
     #[bpaf(argument::<String>("NAME"), parse(parse_load), optional)]
     load: Option<LoadName>,
-    /// The site: tuul or abay.
+    /// Site to simulate: tuul or abay.
     #[bpaf(argument::<String>("SITE"), parse(parse_site), fallback(SiteName::Tuul))]
     site: SiteName,
-    /// One JSON object a line for each load, policy and class.
+    /// Prints one JSON object per line for each load, policy and class.
     json: bool,
-    /// Virtual seconds over which sessions start.
+    /// Virtual time in seconds during which sessions start.
     #[bpaf(argument("SECONDS"), fallback(RUN_LENGTH))]
     length: u64,
-    /// Switches safeguards of the chosen policy off, to see what they give; commas between them.
+    /// Safeguards of the dispatcher to switch off, separated by commas.
     #[bpaf(argument("NAMES"), fallback(SafeguardSet::default()))]
     without: SafeguardSet,
-    /// Loses all cache events, so that the policy learns from answers alone.
+    /// Drops all cache events, so that the dispatcher learns cache contents only from answers.
     no_cache_events: bool,
-    /// Digests reach the daemons of the own failure domain alone.
+    /// Delivers digests only within the sender's failure domain.
     near_digests: bool,
-    /// Prints each aim with median and worst of the seeds instead.
+    /// Prints the target values, each with its median and worst value over the seeds, instead.
     aims: bool,
 }
 
 fn parse_load(name: String) -> Result<LoadName, String> {
     LoadName::ALL.into_iter().find(|load| load.as_str() == name).ok_or_else(|| {
         let names: Vec<&str> = LoadName::ALL.iter().map(|load| load.as_str()).collect();
-        format!("no load {name}; give one of {}", names.join(", "))
+        format!("unknown load {name}; use one of {}", names.join(", "))
     })
 }
 
@@ -65,7 +66,7 @@
     match name.as_str() {
         "tuul" => Ok(SiteName::Tuul),
         "abay" => Ok(SiteName::Abay),
-        _ => Err(format!("no site {name}; give tuul or abay")),
+        _ => Err(format!("unknown site {name}; use tuul or abay")),
     }
 }
 
--- a/examples/policy_report/prefix_cache.rs
+++ b/examples/policy_report/prefix_cache.rs
@@ -1,22 +1,23 @@
-//! An engine's prefix cache: least recently used levels go first.
+//! Prefix cache of an engine with eviction of the least recently used levels.
 
 use {oleandermount::policy::PrefixLevel, std::collections::BTreeMap};
 
-/// What one engine holds.
+/// Prefix levels cached by one engine; capacity and usage are in tokens.
 pub struct PrefixCache {
     capacity: u64,
     used_tokens: u64,
     use_count: u64,
-    /// Own tokens and last use by level. `ages` holds the same levels by last use.
+    /// Tokens beyond the parent level and last use, by hash of the level. `by_last_use` holds the
+    /// same levels in order of their last use.
     entries: BTreeMap<u64, (u32, u64)>,
     by_last_use: BTreeMap<u64, u64>,
-    /// Changes since the last [`PrefixCache::take_changes`].
+    /// Levels stored and evicted since the last [`PrefixCache::take_changes`].
     stored: Vec<u64>,
     evicted: Vec<u64>,
 }
 
 impl PrefixCache {
-    /// An empty cache of `limit` tokens.
+    /// Creates an empty cache for `capacity` tokens.
     pub fn new(capacity: u64) -> Self {
         PrefixCache {
             capacity,
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Tokens of the longest held prefix.
+    /// Returns the tokens of the longest cached prefix; 0 if no level is cached.
     pub fn hit(&self, levels: &[PrefixLevel]) -> u32 {
         levels
             .iter()
@@ -38,8 +39,8 @@
             .map_or(0, |level| level.tokens)
     }
 
-    /// Stores or touches all `levels`. The shortest is touched last, so that no level outlives the
-    /// ones it stands on.
+    /// Stores all `levels` or updates their last use. The shortest level is used last, so that a
+    /// level is never evicted before the levels that extend it.
     pub fn store(&mut self, levels: &[PrefixLevel]) {
         for index in (0..levels.len()).rev() {
             let parent_tokens = if index == 0 { 0 } else { levels[index - 1].tokens };
@@ -47,20 +48,21 @@
         }
         while self.used_tokens > self.capacity {
             let (last_use, hash) =
-                self.by_last_use.pop_first().expect("a used cache holds a level");
-            let (tokens, entry_last_use) = self.entries.remove(&hash).expect("both maps hold it");
+                self.by_last_use.pop_first().expect("a cache over its capacity holds a level");
+            let (tokens, entry_last_use) =
+                self.entries.remove(&hash).expect("both maps hold the same levels");
             debug_assert_eq!(last_use, entry_last_use);
             self.used_tokens -= u64::from(tokens);
             self.evicted.push(hash);
         }
     }
 
-    /// Share of the cache in use.
+    /// Returns the used share of the capacity, from 0 to 1.
     pub fn utilization(&self) -> f64 {
         self.used_tokens as f64 / self.capacity as f64
     }
 
-    /// Levels stored and evicted since the last call.
+    /// Returns and clears the levels stored and evicted since the last call.
     pub fn take_changes(&mut self) -> (Vec<u64>, Vec<u64>) {
         (std::mem::take(&mut self.stored), std::mem::take(&mut self.evicted))
     }
--- a/examples/policy_report/report.rs
+++ b/examples/policy_report/report.rs
@@ -1,33 +1,33 @@
-//! Prints a run: a JSON object a class, or a row of a table.
+//! Formats the results of a run as JSON objects or table rows, one per class.
 
 use {
     super::harness::{
-        caller_record::organisation_name,
+        callers::organisation_name,
         run_metrics::{ReportClass, RunMetrics, ratio},
     },
     serde_json::{Map, Value, json},
     std::time::Duration,
 };
 
-/// What names a run.
+/// Label of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunLabel {
-    /// The site.
+    /// Name of the site.
     pub site: &'static str,
-    /// The load.
+    /// Name of the load.
     pub load: &'static str,
-    /// The policy.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
 }
 
-/// The lines of a run, one for each class that asked anything.
+/// Returns the JSON lines of a run, one for each class with requests.
 pub fn json_lines(label: RunLabel, run_metrics: &RunMetrics) -> Vec<String> {
     classes(run_metrics).map(|class| class_object(label, run_metrics, class).to_string()).collect()
 }
 
-/// The head of the table.
+/// Returns the header line of the table.
 pub fn table_head() -> String {
     format!(
         "{:<18} {:<13} {:<12} {:>6} {:>8} {:>8} {:>8} {:>8} {:>6} {:>10} {:>6} {:>4}  {}",
@@ -47,7 +47,7 @@
     )
 }
 
-/// The rows of a run.
+/// Returns the table rows of a run, one for each class with requests.
 pub fn table_rows(label: RunLabel, run_metrics: &RunMetrics) -> Vec<String> {
     classes(run_metrics).map(|class| table_row(label, run_metrics, class)).collect()
 }
--- a/examples/policy_report/route_policy.rs
+++ b/examples/policy_report/route_policy.rs
@@ -1,15 +1,15 @@
-//! The seam that the dispatcher and the baselines share.
+//! Interface shared by the dispatcher and the baseline routers.
 
 use {
     oleandermount::policy::{Dispatcher, PolicyAction, PolicyInput},
     std::time::Instant,
 };
 
-/// Decides for one daemon; the fleet carries out what it says.
+/// Routing policy of one daemon. The simulation executes the actions that it returns.
 pub trait RoutePolicy {
-    /// Takes one input and says what is to be done.
+    /// Processes one input and returns the resulting actions.
     fn handle(&mut self, now: Instant, input: PolicyInput) -> Vec<PolicyAction>;
-    /// When `Wake` is wanted next.
+    /// Returns the time at which `PolicyInput::Wake` is due; none if no timer is set.
     fn next_wakeup(&self) -> Option<Instant>;
 }
 
@@ -23,16 +23,16 @@
     }
 }
 
-/// One life of one daemon's router.
+/// Identity of a daemon's router in one incarnation of the daemon.
 #[derive(Clone, Debug)]
 pub struct RouterIdentity {
-    /// The VM.
+    /// VM of the daemon.
     pub daemon: String,
-    /// Its failure domain.
+    /// Failure domain of the VM.
     pub failure_domain: String,
-    /// Seeds this life's random choices.
+    /// Seed of the router's random choices in this incarnation.
     pub seed: u64,
 }
 
-/// Makes the router of a daemon's life.
+/// Creates the router of a daemon's incarnation.
 pub type RouterMaker<'a> = dyn Fn(&RouterIdentity) -> Box<dyn RoutePolicy> + 'a;
--- a/examples/policy_report/run_metrics.rs
+++ b/examples/policy_report/run_metrics.rs
@@ -1,8 +1,9 @@
-//! What a run is judged by. All of it is what callers receive, but for prompt work and sendings.
+//! Results of a run as seen by the callers, with the prompt work and the number of sends in
+//! addition.
 
 use {
     super::{
-        caller_record::{CallerOutcome, CallerRecord},
+        callers::{CallerOutcome, CallerRecord},
         site::ORGANISATION_SHARES,
         traffic::{CallerRequest, CallerWork},
     },
@@ -13,22 +14,22 @@
     },
 };
 
-/// Model requests that a person waits for word by word.
+/// Model requests whose answer a user reads while it is streamed.
 pub const INTERACTIVE: ReportClass = ReportClass::Model(RequestClass::Interactive);
-/// Long model jobs that nobody waits for.
+/// Long model requests without a waiting user.
 pub const BATCH: ReportClass = ReportClass::Model(RequestClass::Batch);
 
-/// Which requests a figure is about.
+/// Group of requests that the report summarises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReportClass {
-    /// Model requests of a class.
+    /// Model requests of one class.
     Model(RequestClass),
-    /// Calls to plain services.
+    /// Service calls.
     Service,
 }
 
 impl ReportClass {
-    /// All classes, in the order of the report.
+    /// All classes in the order in which the report prints them.
     pub const ALL: [ReportClass; 4] = [
         ReportClass::Model(RequestClass::Interactive),
         ReportClass::Model(RequestClass::Standard),
@@ -36,7 +37,7 @@
         ReportClass::Service,
     ];
 
-    /// The name used in reports.
+    /// Returns the name used in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             ReportClass::Model(class) => class.as_str(),
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The class that a request counts for.
+    /// Returns the class of a request.
     pub fn of(request: &CallerRequest) -> Self {
         match request.work {
             CallerWork::Model { .. } => ReportClass::Model(request.class),
@@ -56,33 +57,35 @@
 /// Prompt work of one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PromptWork {
-    /// Prompt tokens of all prefills that ended.
+    /// Prompt tokens of all completed prefills.
     pub prompt: u64,
-    /// Those taken from a cache.
+    /// Prompt tokens taken from a cache.
     pub cached: u64,
-    /// Those computed though some server had computed them before in this run.
+    /// Prompt tokens computed although some server had computed them before in the run.
     pub recomputed: u64,
 }
 
-/// Everything noted in a run.
+/// Results of a run.
 pub struct RunMetrics {
-    /// Requests first asked before this moment are not measured.
+    /// Requests first submitted before this time are not measured.
     pub warm_up: Duration,
-    /// All callers, filled at the end.
+    /// All callers; empty until the end of the run.
     pub callers: Vec<CallerRecord>,
-    /// Prompt work by class.
+    /// Prompt work of each class.
     pub work: BTreeMap<ReportClass, PromptWork>,
-    /// Crashes of servers.
+    /// Number of server crashes.
     pub servers_lost: u32,
-    /// Retries that the policy counted.
+    /// Number of retries reported by the policy.
     pub retries: u32,
-    /// What must never happen and did; empty unless the policy is wrong.
+    /// Violations of the rules that a non-repeatable request is sent at most once and that no
+    /// answer is streamed twice; empty for a correct policy.
     pub violations: Vec<String>,
+    /// Hashes of the prefix levels that some server has computed.
     computed_levels: BTreeSet<u64>,
 }
 
 impl RunMetrics {
-    /// A tally of nothing.
+    /// Creates empty results.
     pub fn new(warm_up: Duration) -> Self {
         RunMetrics {
             warm_up,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Notes a prefill that ended.
+    /// Records a completed prefill.
     pub fn record_prefill(
         &mut self,
         request: &CallerRequest,
@@ -118,23 +121,24 @@
         work.recomputed += recomputed;
     }
 
-    /// Callers that are measured; the one whose request crashes servers is not.
+    /// Returns the callers that are measured: all after the warm-up, except for the one whose
+    /// request crashes servers.
     pub fn measured_callers(&self) -> impl Iterator<Item = &CallerRecord> {
         let warm_up = self.warm_up;
         self.callers.iter().filter(move |c| c.request.at >= warm_up && !c.request.poison)
     }
 
-    /// Measured callers of one class.
+    /// Returns the measured callers of one class.
     pub fn callers_of_class(&self, class: ReportClass) -> Vec<&CallerRecord> {
         self.measured_callers().filter(|caller| ReportClass::of(&caller.request) == class).collect()
     }
 
-    /// What measured callers of one class got.
+    /// Returns the results of the measured callers of one class.
     pub fn class_metrics(&self, class: ReportClass) -> CallerMetrics {
         CallerMetrics::of(&self.callers_of_class(class))
     }
 
-    /// Prompt work of all classes.
+    /// Returns the total prompt work of all classes.
     pub fn total_prompt_work(&self) -> PromptWork {
         self.work.values().fold(PromptWork::default(), |sum, work| PromptWork {
             prompt: sum.prompt + work.prompt,
@@ -143,20 +147,20 @@
         })
     }
 
-    /// Measured requests whose whole answer came, out of all.
+    /// Returns the share of measured requests with a complete answer.
     pub fn answered_ratio(&self) -> f64 {
         let answered =
             self.measured_callers().filter(|caller| caller.first_token_latency().is_some());
         ratio(answered.count() as u64, self.measured_callers().count() as u64)
     }
 
-    /// Sendings to servers for each ask, a caller's coming back included.
+    /// Returns the mean number of sends to servers per submission, including retries by callers.
     pub fn sends_per_submission(&self) -> f64 {
         let submissions = self.measured_callers().map(|caller| u64::from(caller.submissions)).sum();
         ratio(self.measured_callers().map(|caller| u64::from(caller.sends)).sum(), submissions)
     }
 
-    /// Sendings to servers for each request asked.
+    /// Returns the mean number of sends to servers per request.
     pub fn sends_per_request(&self) -> f64 {
         ratio(
             self.measured_callers().map(|c| u64::from(c.sends)).sum(),
@@ -165,31 +169,33 @@
     }
 }
 
-/// What callers of one group got.
+/// Results of a group of callers.
 #[derive(Clone, Debug, Default)]
 pub struct CallerMetrics {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Requests whose whole answer came.
+    /// Number of requests with a complete answer.
     pub answered: u64,
-    /// Requests whose whole answer came with its first token in time.
+    /// Number of requests with a complete answer and the first token in time.
     pub in_time: u64,
-    /// Median first token over answered requests.
+    /// Median first-token latency of answered requests; none if no request was answered.
     pub p50: Option<Duration>,
-    /// The 99th of 100 over answered requests.
+    /// 99th percentile of the first-token latency of answered requests; none if no request was
+    /// answered.
     pub p99: Option<Duration>,
-    /// The same over all requests; one without an answer counts as its whole patience, at least.
+    /// 99th percentile of the first-token latency of all requests; a request without an answer
+    /// counts with its whole first-token limit, which is a lower bound.
     pub p99_misses: Option<Duration>,
-    /// Last refusals by reason.
+    /// Number of unanswered requests by the reason of the last refusal.
     pub refused: BTreeMap<&'static str, u64>,
-    /// Sendings to servers.
+    /// Number of sends to servers.
     pub sends: u64,
-    /// Answered tokens by organisation as a share of all.
+    /// Share of each organisation in the tokens of all answered requests.
     pub shares: Vec<f64>,
 }
 
 impl CallerMetrics {
-    /// Figures of a group.
+    /// Computes the results of `callers`.
     pub fn of(callers: &[&CallerRecord]) -> Self {
         let mut latencies = Vec::new();
         let mut metrics = CallerMetrics { requests: callers.len() as u64, ..Self::default() };
@@ -219,12 +225,12 @@
         metrics
     }
 
-    /// [`CallerMetrics::p99`] in milliseconds; endless if nobody was answered.
+    /// Returns [`CallerMetrics::p99`] in milliseconds; infinity if no request was answered.
     pub fn p99_ms(&self) -> f64 {
         self.p99.map_or(f64::INFINITY, |p99| p99.as_secs_f64() * 1_000.0)
     }
 
-    /// Answered in time out of asked.
+    /// Returns the share of requests that were answered in time.
     pub fn goodput(&self) -> f64 {
         ratio(self.in_time, self.requests)
     }
@@ -237,14 +243,14 @@
     }
 }
 
-/// The nearest-rank percentile.
+/// Sorts `latencies` and returns the nearest-rank percentile; none for an empty slice.
 pub fn percentile(latencies: &mut [Duration], share: f64) -> Option<Duration> {
     latencies.sort_unstable();
     let rank = (latencies.len() as f64 * share).ceil() as usize;
     latencies.get(rank.saturating_sub(1)).copied()
 }
 
-/// `part` out of `whole`; 0 of nothing.
+/// Returns `part` divided by `whole`; 0 if `whole` is 0.
 pub fn ratio(part: u64, whole: u64) -> f64 {
     if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
 }
--- a/examples/policy_report/simulated_server.rs
+++ b/examples/policy_report/simulated_server.rs
@@ -1,4 +1,4 @@
-//! The model of a backend server: slots, chunked prefill, decode, prefix cache, crash.
+//! Simulation of a backend server: slots, chunked prefill, decode, prefix cache and crashes.
 
 use {
     super::prefix_cache::PrefixCache,
@@ -6,62 +6,65 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Prompt tokens that an engine computes before it looks again whom to serve.
+/// Prompt tokens of one prefill chunk. After each chunk the engine selects the next request.
 const CHUNK_TOKENS: u32 = 2_048;
-/// Tokens between two progress reports of a stream.
+/// Tokens between two progress events of a stream.
 const PROGRESS_TOKENS: u32 = 32;
-/// How much each running stream slows prefill.
+/// Relative slowdown of prefill by each running stream.
 const PREFILL_SLOWDOWN: f64 = 0.02;
-/// Time between two tokens of a stream that runs alone.
+/// Time between two tokens of a single running stream.
 const TOKEN_INTERVAL: Duration = Duration::from_millis(18);
-/// What each further stream adds to it.
+/// Increase of the time between two tokens by each further stream.
 const INTERVAL_INCREMENT: Duration = Duration::from_micros(700);
 
-/// The fixed properties of a server.
+/// Configured properties of a server.
 #[derive(Clone, Debug)]
 pub struct ServerProperties {
-    /// Requests that run at once.
+    /// Maximum number of concurrently running requests.
     pub slots: usize,
-    /// Prompt tokens a second when nothing else runs.
+    /// Prefill rate of an otherwise idle server, in prompt tokens per second.
     pub prefill_rate: f64,
-    /// Tokens that the prefix cache holds.
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: u64,
-    /// Relative speed of prefill and decode.
+    /// Speed of prefill and decode as a factor; 1 is the normal speed.
     pub speed: f64,
 }
 
-/// One attempt as the server sees it.
+/// One attempt at a server.
 #[derive(Clone, Debug)]
 pub struct ServerJob {
-    /// The attempt.
+    /// Attempt that the server's events refer to.
     pub attempt: AttemptId,
-    /// Lower is served first.
+    /// Priority; jobs with lower values are served first.
     pub priority: u32,
-    /// Prefix levels; the last one is the whole prompt.
+    /// Prefix levels of the prompt; the last one covers the whole prompt.
     pub levels: Vec<PrefixLevel>,
-    /// Tokens to generate in all.
+    /// Total number of tokens to generate, including those before a resumption.
     pub output_tokens: u32,
-    /// Tokens that the caller already has.
+    /// Tokens that the caller has already received from an earlier attempt.
     pub resume_after: u32,
-    /// Run time of a plain service's call; no prefill and no stream.
+    /// Run time of a service call at normal speed; none for a model request. A service call has
+    /// neither prefill nor stream.
     pub service_time: Option<Duration>,
-    /// Whether it crashes the server when its prefill ends.
+    /// Whether the job crashes the server at the end of its prefill.
     pub poison: bool,
 }
 
-/// What a server tells a daemon of an attempt.
+/// Event of an attempt that a server reports to the daemon.
 #[derive(Clone, Debug)]
 pub enum ServerEvent {
-    /// Prefill ended: `cached` of `prompt` tokens came from the cache, `fresh` levels were computed.
+    /// The prefill is complete: `cached` of `prompt` tokens came from the cache. `computed_levels`
+    /// holds the hash and the computed tokens of each level that was not cached as a whole.
     FirstToken { attempt: AttemptId, cached: u32, prompt: u32, computed_levels: Vec<(u64, u32)> },
-    /// More tokens were generated.
+    /// The server generated `tokens` more tokens.
     Progress { attempt: AttemptId, tokens: u32 },
-    /// The answer is whole.
+    /// The answer is complete.
     Finished { attempt: AttemptId, cached: u32, output: u32 },
-    /// The server crashes on the attempt.
+    /// The attempt crashed the server.
     Crashed { attempt: AttemptId },
 }
 
+/// Priority and arrival number.
 type QueueKey = (u32, u64);
 
 struct PrefillState {
@@ -79,25 +82,27 @@
     next_event_at: Duration,
 }
 
-/// One server in virtual time.
+/// State of a backend server in virtual time.
 pub struct SimulatedServer {
-    /// Its present life.
+    /// Current incarnation; starts at the number given to [`SimulatedServer::new`] and grows by one
+    /// with each crash.
     pub incarnation: u64,
-    /// Whether it answers.
+    /// Whether the server accepts connections; false from a crash to the restart.
     pub alive: bool,
-    /// Its fixed properties; `speed` may be changed by a fault.
+    /// Properties of the server; a fault may change `speed`.
     pub properties: ServerProperties,
-    /// What it holds.
+    /// Prefix cache of the server.
     pub cache: PrefixCache,
     waiting: BTreeMap<QueueKey, ServerJob>,
     prefilling: BTreeMap<QueueKey, PrefillState>,
     streams: BTreeMap<AttemptId, StreamState>,
+    /// Running prefill chunk: the job's key, the chunk's tokens and its end.
     chunk: Option<(QueueKey, u32, Duration)>,
     arrivals: u64,
 }
 
 impl SimulatedServer {
-    /// An idle server with an empty cache.
+    /// Creates an idle server with an empty cache.
     pub fn new(properties: ServerProperties, incarnation: u64) -> Self {
         SimulatedServer {
             incarnation,
@@ -112,14 +117,15 @@
         }
     }
 
-    /// Takes a job; its slot and prefill come by priority, then by arrival.
+    /// Queues a job. Slots and prefill are assigned by priority, then by arrival.
     pub fn accept(&mut self, now: Duration, job: ServerJob) -> Vec<ServerEvent> {
         self.arrivals += 1;
         self.waiting.insert((job.priority, self.arrivals), job);
         self.advance(now)
     }
 
-    /// Drops an attempt wherever it is; a chunk that runs is finished in vain.
+    /// Removes an attempt from the queue, prefill or streams. Its running prefill chunk still takes
+    /// its time, and the result is discarded.
     pub fn cancel(&mut self, now: Duration, attempt: AttemptId) -> Vec<ServerEvent> {
         self.waiting.retain(|_, job| job.attempt != attempt);
         self.prefilling.retain(|_, state| state.job.attempt != attempt);
@@ -127,7 +133,7 @@
         self.advance(now)
     }
 
-    /// Ends the present life; the attempts that were inside are lost.
+    /// Ends the current incarnation and returns the attempts that are lost with it.
     pub fn crash(&mut self) -> Vec<AttemptId> {
         let lost = self
             .waiting
@@ -141,12 +147,13 @@
         lost
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.prefilling.len() + self.streams.len()
     }
 
-    /// Requests that wait, and the prompt tokens still to be computed.
+    /// Returns the number of waiting requests and the prompt tokens that are still to be computed,
+    /// those of running requests included.
     pub fn backlog(&self) -> (usize, u64) {
         let waiting: u64 = self
             .waiting
@@ -159,13 +166,13 @@
         (self.waiting.len(), waiting + prefilling)
     }
 
-    /// When [`SimulatedServer::advance`] is due next_event_at.
+    /// Returns the time at which [`SimulatedServer::advance`] is due; none for an idle server.
     pub fn next_event(&self) -> Option<Duration> {
         let stream = self.streams.values().map(|stream| stream.next_event_at).min();
         self.chunk.as_ref().map(|chunk| chunk.2).into_iter().chain(stream).min()
     }
 
-    /// Does what is due at `now`.
+    /// Processes all events that are due at `now`.
     pub fn advance(&mut self, now: Duration) -> Vec<ServerEvent> {
         let mut events = self.advance_streams(now);
         events.extend(self.finish_chunk(now));
@@ -206,7 +213,8 @@
         let Some((queue_key, state)) = self.prefilling.iter_mut().next() else { return };
         if state.cached == u32::MAX {
             let prompt = state.job.levels.last().map_or(0, |level| level.tokens);
-            // The last token is always computed: it gives the first one of the answer.
+            // The last prompt token is always computed, since it yields the first token of the
+            // answer.
             state.cached = self.cache.hit(&state.job.levels).min(prompt.saturating_sub(1));
             state.remaining = prompt - state.cached + state.job.resume_after;
         }
@@ -226,7 +234,8 @@
         if state.remaining > 0 {
             return Vec::new();
         }
-        let state = self.prefilling.remove(&queue_key).expect("it was found above");
+        let state =
+            self.prefilling.remove(&queue_key).expect("the prefill was found by the same key");
         if state.job.poison {
             return vec![ServerEvent::Crashed { attempt: state.job.attempt }];
         }
--- a/examples/policy_report/site.rs
+++ b/examples/policy_report/site.rs
@@ -1,4 +1,4 @@
-//! The two users' sites: failure domains, daemons, servers and organisations.
+//! Layouts of the simulated sites: failure domains, daemons, servers and organisations.
 
 use {
     super::simulated_server::ServerProperties,
@@ -10,28 +10,29 @@
     std::collections::BTreeMap,
 };
 
-/// The one model that all engines run.
+/// Model that all engines serve.
 pub const MODEL: &str = "basket-7b";
-/// The version of its weights.
+/// Version of the weights of [`MODEL`].
 pub const WEIGHTS: &str = "w1";
-/// The one plain service.
+/// Service that all service servers provide.
 pub const SERVICE: &str = "app";
-/// Organisations at each site, and their shares of the traffic: a few are large.
+/// Traffic weight of each organisation of a site, in percent; a few organisations cause most of the
+/// traffic.
 pub const ORGANISATION_SHARES: [f64; 8] = [30.0, 22.0, 14.0, 10.0, 8.0, 7.0, 5.0, 4.0];
-/// Plain services answer many calls at once.
+/// Slots of a service server, which serves more concurrent calls than an engine.
 const SERVICE_SLOTS: usize = 32;
 
-/// Whose site it is.
+/// Name of a simulated site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SiteName {
-    /// Tuul Basket Cooperative: chat above all.
+    /// Tuul Basket Cooperative, whose traffic is mostly chat.
     Tuul,
-    /// Abay Geodetic Networks: long logs above all.
+    /// Abay Geodetic Networks, with more requests over long logs.
     Abay,
 }
 
 impl SiteName {
-    /// The name on the command line and in reports.
+    /// Returns the name used on the command line and in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             SiteName::Tuul => "tuul",
@@ -40,43 +41,43 @@
     }
 }
 
-/// One daemon's place.
+/// Placement of a daemon.
 #[derive(Clone, Debug)]
 pub struct DaemonPlacement {
-    /// Its VM.
+    /// VM that runs the daemon.
     pub vm: VmId,
-    /// Its failure domain, as an index.
+    /// Index of the VM's failure domain in [`SitePlan::domains`].
     pub domain: usize,
 }
 
-/// One backend server's place and properties.
+/// Placement and properties of a backend server.
 #[derive(Clone, Debug)]
 pub struct ServerPlacement {
-    /// Its name.
+    /// Identifier of the server.
     pub id: ServerId,
-    /// Its failure domain, as an index.
+    /// Index of the server's failure domain in [`SitePlan::domains`].
     pub domain: usize,
-    /// What it does.
+    /// Engine or service.
     pub kind: ServerKind,
-    /// How fast it is.
+    /// Slots, speed and cache size of the server.
     pub properties: ServerProperties,
 }
 
-/// A whole site.
+/// Layout of a site.
 #[derive(Clone, Debug)]
 pub struct SitePlan {
-    /// Whose it is.
+    /// Name of the site, which sets the policy's objective.
     pub name: SiteName,
-    /// Names of the failure domains.
+    /// Identifiers of the failure domains.
     pub domains: Vec<FailureDomainId>,
-    /// Daemons, spread evenly over the domains.
+    /// Daemons, distributed evenly over the failure domains.
     pub daemons: Vec<DaemonPlacement>,
-    /// Servers, spread evenly over the domains.
+    /// Servers, distributed evenly over the failure domains.
     pub servers: Vec<ServerPlacement>,
 }
 
 impl SitePlan {
-    /// The site as the brief gives it.
+    /// Returns the layout of the named site, with three service servers.
     pub fn new(name: SiteName) -> Self {
         let (domains, daemons, engines) = match name {
             SiteName::Tuul => (["ub-north", "ub-central", "ub-south"], 6, 9),
@@ -108,12 +109,12 @@
         SitePlan { name, domains: domains.map(String::from).into(), daemons, servers }
     }
 
-    /// Engines alone.
+    /// Returns the number of servers that are engines.
     pub fn engine_count(&self) -> usize {
         self.servers.iter().filter(|placement| placement.kind == ServerKind::Engine).count()
     }
 
-    /// The configuration that every router gets.
+    /// Returns the configuration that every router receives.
     pub fn view(&self) -> PolicyView {
         let mut daemons: BTreeMap<FailureDomainId, BTreeMap<VmId, f64>> = BTreeMap::new();
         for placement in &self.daemons {
--- a/examples/policy_report/traffic.rs
+++ b/examples/policy_report/traffic.rs
@@ -1,4 +1,5 @@
-//! Callers' requests, drawn before a run from its seed, so that every policy gets the same ones.
+//! Requests of the callers. They are generated from the seed before a run, so that every policy
+//! receives the same requests.
 
 use {
     super::{
@@ -9,74 +10,77 @@
     std::time::Duration,
 };
 
-/// Clients (standing orders, base stations) of each organisation; low ones are called more often.
+/// Number of clients of each organisation. Clients with a low index send more requests.
 const CLIENTS_PER_ORGANISATION: u32 = 30;
-/// Time that a person takes before the next turn of a chat, in milliseconds.
+/// Think time of a user before the next turn of a session, in milliseconds.
 const THINK_TIME_MS: std::ops::Range<u32> = 3_000..9_000;
-/// Calls to plain services for each model request.
+/// Number of service calls per model request.
 const SERVICE_CALLS_PER_REQUEST: f64 = 0.5;
-/// Share of the service calls that must not be repeated.
+/// Share of the service calls that are non-repeatable.
 const NON_REPEATABLE_SHARE: f64 = 0.2;
 
-/// What a request asks for.
+/// Work of a request.
 #[derive(Clone, Debug)]
 pub enum CallerWork {
-    /// A model's answer; the last level is the whole prompt.
+    /// Model request; the last level covers the whole prompt.
     Model { levels: Vec<PrefixLevel>, output_tokens: u32 },
-    /// A plain service's answer after `run` at a usual server.
+    /// Service call that runs for `run` on a server of normal speed.
     Service { run: Duration },
 }
 
-/// One request as its caller has it in mind.
+/// One request of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// When it reaches its first daemon.
+    /// Time at which the first submission reaches a daemon.
     pub at: Duration,
-    /// Which daemon the balancer picks; each resend goes to the next one.
+    /// Number that selects the first daemon, modulo the number of daemons. Each retry goes to the
+    /// next daemon.
     pub first_daemon: usize,
-    /// Who sends it.
+    /// Index of the organisation in [`ORGANISATION_SHARES`].
     pub organisation: usize,
-    /// How urgent it is.
+    /// Class, which sets the priority and the first-token limit.
     pub class: RequestClass,
-    /// Time from the first ask to the latest useful first token.
+    /// Maximum time from the first submission to the first token.
     pub first_token_limit: Duration,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// What it asks for.
+    /// Work that a server performs for the request.
     pub work: CallerWork,
-    /// Whether it crashes each engine that runs it; its caller then asks again whatever it hears.
+    /// Whether the request crashes each engine that runs it. Its caller then retries after every
+    /// refusal.
     pub poison: bool,
 }
 
-/// A stream of sessions with one mix.
+/// Specification of a stream of sessions.
 #[derive(Clone, Debug)]
 pub struct TrafficSpec {
-    /// Names the draws; streams of other purposes are not disturbed by it.
+    /// Purpose of the random source; streams with different purposes are independent.
     pub purpose: &'static str,
-    /// Model requests a second over all daemons.
+    /// Model requests per second over all daemons.
     pub rate: f64,
-    /// First and last moment of its sessions' starts.
+    /// Time from which sessions start.
     pub from: Duration,
-    /// Sessions start before this moment.
+    /// Time before which sessions start; requests at or after it are dropped.
     pub until: Duration,
-    /// What its sessions are.
+    /// Kind of the sessions.
     pub mix: TrafficMix,
 }
 
-/// What the sessions of a stream are.
+/// Kind of the sessions of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficMix {
-    /// The site's usual mix over all organisations and clients.
+    /// The site's mix of chats, document requests and batch jobs over all organisations and
+    /// clients.
     SiteTraffic(SiteName),
-    /// Chats of one organisation.
+    /// Chats of the organisation with this index.
     OneOrganisation(usize),
-    /// Single chats of one client of the largest organisation.
+    /// Chats with one turn of one client of the largest organisation.
     HotClient(u32),
-    /// Long batch jobs.
+    /// Long batch jobs of all organisations.
     LongJobs,
 }
 
-/// The time to a useful first token.
+/// Returns the maximum time from the first submission to the first token for a class.
 pub fn first_token_limit(class: RequestClass) -> Duration {
     Duration::from_secs(match class {
         RequestClass::Interactive => 5,
@@ -85,7 +89,7 @@
     })
 }
 
-/// Draws a stream's requests, in no order.
+/// Generates the requests of a stream; they are not sorted by time.
 pub fn generate_traffic(seed: u64, spec: &TrafficSpec) -> Vec<CallerRequest> {
     let mut source = RandomSource::new(seed, spec.purpose);
     let mut requests = Vec::new();
@@ -99,7 +103,7 @@
     requests
 }
 
-/// Draws calls to the plain services.
+/// Generates the service calls that accompany `model_rate` model requests per second.
 pub fn generate_service_calls(seed: u64, model_rate: f64, until: Duration) -> Vec<CallerRequest> {
     let mut source = RandomSource::new(seed, "calls");
     let mut requests = Vec::new();
@@ -120,7 +124,7 @@
     requests
 }
 
-/// Requests of a session on average.
+/// Mean number of requests per session.
 fn session_length(mix: TrafficMix) -> f64 {
     match mix {
         TrafficMix::SiteTraffic(SiteName::Tuul) => 2.4,
@@ -130,7 +134,8 @@
     }
 }
 
-/// One kind of session: turns, tokens of the first question and of later ones, tokens of an answer.
+/// Ranges of a session's values: number of turns, prompt tokens added by the first and by later
+/// turns, and tokens of an answer.
 struct SessionProfile {
     class: RequestClass,
     turns: std::ops::Range<u32>,
@@ -213,7 +218,7 @@
         } else {
             profile.later_tokens.clone()
         });
-        let last = levels.last().expect("two levels are shared");
+        let last = levels.last().expect("a session starts with two shared levels");
         let level = PrefixLevel {
             hash: hash_level(last.hash, chat, turn.into()),
             tokens: last.tokens + added_tokens,
@@ -248,7 +253,8 @@
     }
 }
 
-/// The organisation's system prompt and the client's standing order.
+/// Returns the levels shared by all sessions of a client: the organisation's system prompt and the
+/// client's own prompt.
 fn shared_levels(organisation: usize, client: u32) -> Vec<PrefixLevel> {
     let system_hash = mix_hash(0x5e1f, organisation as u64);
     let client_hash = hash_level(system_hash, 0x0de7, client.into());
