--- a/examples/capacity_slopes.rs
+++ b/examples/capacity_slopes.rs
@@ -1,7 +1,8 @@
-//! Prints what one decision costs in time and bytes against servers, organisations and prefixes,
-//! with a fitted slope for each.
+//! Measures how the time per decision and the resident memory grow with the number of servers,
+//! organisations and prefixes, and prints the slope of each.
 //!
-//! One decision is an arrival that is sent, its first token and its end: three calls of `handle`.
+//! One decision consists of three calls of `handle`: the arrival of a request, which is sent
+//! immediately, its first token and its end.
 
 use {
     oleandermount::{
@@ -18,78 +19,89 @@
     },
 };
 
-/// Decisions that are timed for one figure.
-const DECISIONS: u64 = 20_000;
-/// Models in steady use at the design size.
+/// Number of decisions over which one measurement is averaged.
+const TIMED_DECISIONS: u64 = 20_000;
+/// Number of models in regular use at the design size.
 const MODELS: u64 = 15;
-/// Levels of a prompt.
-const LEVELS: u64 = 6;
+/// Number of prefix levels of a prompt.
+const PREFIX_LEVELS: u64 = 6;
 
-/// One size to measure.
+/// Numbers of servers, organisations, prefixes and models of one measurement.
 #[derive(Clone, Copy)]
-struct SlopeCase {
+struct ScalingCase {
     servers: u64,
     organisations: u64,
     prefixes: u64,
     models: u64,
 }
 
-/// What was measured at one size.
-struct SlopeFigure {
+/// Mean time per decision and growth of the resident memory for one [`ScalingCase`].
+struct ScalingMeasurement {
     micros: f64,
     kilobytes: f64,
 }
 
 fn main() {
-    let usual = SlopeCase { servers: 870, organisations: 1_000, prefixes: 10_000, models: MODELS };
+    let design_size =
+        ScalingCase { servers: 870, organisations: 1_000, prefixes: 10_000, models: MODELS };
     let sizes = [10, 50, 100, 300, 870];
-    slope("servers", &sizes, |servers| SlopeCase { servers, ..usual });
-    slope("servers of one model", &sizes, |servers| SlopeCase { servers, models: 1, ..usual });
+    report_scaling("servers", &sizes, |servers| ScalingCase { servers, ..design_size });
+    report_scaling("servers of one model", &sizes, |servers| ScalingCase {
+        servers,
+        models: 1,
+        ..design_size
+    });
     let sizes = [8, 100, 1_000, 10_000, 44_000];
-    slope("organisations", &sizes, |organisations| SlopeCase { organisations, ..usual });
+    report_scaling("organisations", &sizes, |organisations| ScalingCase {
+        organisations,
+        ..design_size
+    });
     let sizes = [1_000, 10_000, 50_000, 200_000];
-    slope("prefixes", &sizes, |prefixes| SlopeCase { prefixes, ..usual });
+    report_scaling("prefixes", &sizes, |prefixes| ScalingCase { prefixes, ..design_size });
 }
 
-fn slope(name: &str, sizes: &[u64], case: impl Fn(u64) -> SlopeCase) {
+fn report_scaling(name: &str, sizes: &[u64], case: impl Fn(u64) -> ScalingCase) {
     println!("{name:>22} {:>14} {:>14}", "us/decision", "KB resident");
     let mut points = Vec::new();
     for size in sizes {
-        let figure = measure(case(*size));
-        println!("{size:>22} {:>14.2} {:>14.0}", figure.micros, figure.kilobytes);
-        points.push((*size as f64, figure));
+        let measurement = measure(case(*size));
+        println!("{size:>22} {:>14.2} {:>14.0}", measurement.micros, measurement.kilobytes);
+        points.push((*size as f64, measurement));
     }
-    let time = fit(points.iter().map(|(size, figure)| (*size, figure.micros)));
-    let memory = fit(points.iter().map(|(size, figure)| (*size, figure.kilobytes)));
+    let time =
+        least_squares_slope(points.iter().map(|(size, measurement)| (*size, measurement.micros)));
+    let memory = least_squares_slope(
+        points.iter().map(|(size, measurement)| (*size, measurement.kilobytes)),
+    );
     println!("{:>22} {:>14.6} {:>14.4}\n", "slope for each more", time, memory);
 }
 
-/// The slope of the least-squares line.
-fn fit(points: impl Iterator<Item = (f64, f64)> + Clone) -> f64 {
+/// Returns the slope of the least-squares line through the points.
+fn least_squares_slope(points: impl Iterator<Item = (f64, f64)> + Clone) -> f64 {
     let count = points.clone().count() as f64;
     let mean_x = points.clone().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.clone().map(|(_, y)| y).sum::<f64>() / count;
-    let spread: f64 = points.clone().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    points.map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>() / spread
+    let sum_of_squares: f64 = points.clone().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    points.map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>() / sum_of_squares
 }
 
-fn measure(case: SlopeCase) -> SlopeFigure {
+fn measure(case: ScalingCase) -> ScalingMeasurement {
     let before = resident_kilobytes();
     let start = Instant::now();
     let mut dispatcher = dispatcher(case, start);
-    for number in 0..case.prefixes.min(DECISIONS * 4) {
+    for number in 0..case.prefixes.min(TIMED_DECISIONS * 4) {
         decide(&mut dispatcher, case, start, number);
     }
     let timer = Instant::now();
-    for number in 0..DECISIONS {
+    for number in 0..TIMED_DECISIONS {
         let virtual_now = start + Duration::from_micros(number * 30);
         decide(&mut dispatcher, case, virtual_now, case.prefixes + number);
     }
-    let micros = timer.elapsed().as_secs_f64() * 1e6 / DECISIONS as f64;
-    SlopeFigure { micros, kilobytes: resident_kilobytes() - before }
+    let micros = timer.elapsed().as_secs_f64() * 1e6 / TIMED_DECISIONS as f64;
+    ScalingMeasurement { micros, kilobytes: resident_kilobytes() - before }
 }
 
-fn dispatcher(case: SlopeCase, now: Instant) -> Dispatcher {
+fn dispatcher(case: ScalingCase, now: Instant) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(DispatcherSettings {
         daemon: "entry-0".to_owned(),
         failure_domain: "domain-0".to_owned(),
@@ -114,12 +126,12 @@
     };
     dispatcher.handle(now, PolicyInput::Configure(Arc::new(view)));
     for index in 0..case.servers {
-        dispatcher.handle(now, report(index, case.models));
+        dispatcher.handle(now, load_report(index, case.models));
     }
     dispatcher
 }
 
-fn report(index: u64, models: u64) -> PolicyInput {
+fn load_report(index: u64, models: u64) -> PolicyInput {
     PolicyInput::Load(LoadReport {
         server: format!("engine-{index:03}"),
         incarnation: 1,
@@ -132,11 +144,11 @@
     })
 }
 
-/// One request from its arrival to its end.
-fn decide(dispatcher: &mut Dispatcher, case: SlopeCase, now: Instant, number: u64) {
-    let scattered = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let organisation = scattered % case.organisations;
-    let prefix = scattered % case.prefixes;
+/// Processes one request from its arrival to its end.
+fn decide(dispatcher: &mut Dispatcher, case: ScalingCase, now: Instant, number: u64) {
+    let hashed = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let organisation = hashed % case.organisations;
+    let prefix = hashed % case.prefixes;
     let level = |depth: u64| PrefixLevel {
         hash: if depth < 2 { organisation << 8 | depth } else { prefix << 8 | depth },
         tokens: 1_000 * (depth as u32 + 1),
@@ -151,8 +163,8 @@
         work: RequestWork::Model {
             model: format!("model-{}", organisation % case.models),
             adapter: None,
-            levels: (0..LEVELS).map(level).collect(),
-            prompt_tokens: 1_000 * LEVELS as u32,
+            levels: (0..PREFIX_LEVELS).map(level).collect(),
+            prompt_tokens: 1_000 * PREFIX_LEVELS as u32,
             max_output_tokens: 200,
         },
     };
@@ -162,18 +174,18 @@
         _ => None,
     });
     for attempt in attempts {
-        let soon = now + Duration::from_millis(40);
+        let answered_at = now + Duration::from_millis(40);
         let cached_tokens = Some(3_000);
-        dispatcher.handle(soon, PolicyInput::FirstToken { attempt, cached_tokens });
+        dispatcher.handle(answered_at, PolicyInput::FirstToken { attempt, cached_tokens });
         let end = PolicyInput::Finished { attempt, cached_tokens, output_tokens: 100 };
-        dispatcher.handle(soon, end);
+        dispatcher.handle(answered_at, end);
     }
 }
 
-/// Memory of this process, as the kernel counts it; zero where it does not say.
+/// Returns the resident memory of this process; 0 if the system has no `/proc/self/status`.
 fn resident_kilobytes() -> f64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
-    let figure = line.and_then(|line| line.split_whitespace().nth(1));
-    figure.and_then(|figure| figure.parse().ok()).unwrap_or(0.0)
+    let kilobytes = line.and_then(|line| line.split_whitespace().nth(1));
+    kilobytes.and_then(|kilobytes| kilobytes.parse().ok()).unwrap_or(0.0)
 }
--- a/examples/quickstart/http.rs
+++ b/examples/quickstart/http_client.rs
@@ -1,4 +1,4 @@
-//! The few requests that the quick start makes.
+//! HTTP client of the quick start.
 
 use {
     bytes::Bytes,
@@ -15,104 +15,111 @@
     tokio::time::timeout,
 };
 
-/// Every request here takes well under a second; more means that something hangs.
-const ANSWER_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of a whole request. Each request here takes well under a second; a longer one hangs.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One whole answer.
-pub struct Answer {
-    /// The status.
+/// Complete HTTP response.
+pub struct HttpResponse {
+    /// Status code.
     pub status: u16,
     body: Bytes,
 }
 
-impl Answer {
-    /// The body as text.
+impl HttpResponse {
+    /// Returns the body as text; invalid UTF-8 is replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The body as JSON, or null.
+    /// Returns the body as JSON; null if it is not valid JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 }
 
-/// Sends requests.
+/// Client for plain HTTP/1.1.
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client for plain HTTP.
+    /// Creates a client without open connections.
     pub fn new() -> Self {
         HttpClient { client: Client::builder(TokioExecutor::new()).build_http() }
     }
 
-    /// Gets a URL.
-    pub async fn get(&self, url: &str) -> io::Result<Answer> {
+    /// Sends a GET request. Fails on connection errors and timeouts, whatever the status.
+    pub async fn get(&self, url: &str) -> io::Result<HttpResponse> {
         let request = Request::get(url).body(Full::default()).map_err(io::Error::other)?;
-        self.whole(request).await
+        self.send_request(request).await
     }
 
-    /// Posts under an idempotency key.
-    pub async fn post(&self, url: &str, key: &str, once: &str, body: &str) -> io::Result<Answer> {
+    /// Sends a POST request with an API key and an idempotency key.
+    pub async fn post(
+        &self,
+        url: &str,
+        api_key: &str,
+        idempotency_key: &str,
+        body: &str,
+    ) -> io::Result<HttpResponse> {
         let request = Request::post(url)
-            .header(header::AUTHORIZATION, format!("Bearer {key}"))
+            .header(header::AUTHORIZATION, format!("Bearer {api_key}"))
             .header(header::CONTENT_TYPE, "application/json")
-            .header("Idempotency-Key", once)
+            .header("Idempotency-Key", idempotency_key)
             .body(Full::from(body.to_owned()))
             .map_err(io::Error::other)?;
-        self.whole(request).await
+        self.send_request(request).await
     }
 
-    /// Posts and prints the words of the streamed answer as they come. Gives the number of events.
-    pub async fn stream(&self, url: &str, key: &str, body: &str) -> io::Result<usize> {
+    /// Sends a POST request and prints the content of the streamed answer as it arrives. Returns
+    /// the number of events; fails if the stream ends without `[DONE]`.
+    pub async fn stream(&self, url: &str, api_key: &str, body: &str) -> io::Result<usize> {
         let request = Request::post(url)
-            .header(header::AUTHORIZATION, format!("Bearer {key}"))
+            .header(header::AUTHORIZATION, format!("Bearer {api_key}"))
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::from(body.to_owned()))
             .map_err(io::Error::other)?;
-        timeout(ANSWER_LIMIT, self.print_stream(request)).await?
+        timeout(RESPONSE_TIMEOUT, self.print_stream(request)).await?
     }
 
     async fn print_stream(&self, request: Request<Full<Bytes>>) -> io::Result<usize> {
         let response = self.client.request(request).await.map_err(io::Error::other)?;
         let status = response.status();
         let mut body = response.into_body();
-        let mut waiting = String::new();
+        let mut buffer = String::new();
         let mut events = 0;
         let mut done = false;
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(io::Error::other)?;
             let bytes = frame.into_data().unwrap_or_default();
-            waiting.push_str(&String::from_utf8_lossy(&bytes));
-            while let Some(end) = waiting.find("\n\n") {
-                let event: String = waiting.drain(..end + 2).collect();
+            buffer.push_str(&String::from_utf8_lossy(&bytes));
+            while let Some(end) = buffer.find("\n\n") {
+                let event: String = buffer.drain(..end + 2).collect();
                 events += 1;
                 done = event.contains("data: [DONE]");
-                print!("{}", word(&event));
+                print!("{}", event_content(&event));
                 io::stdout().flush()?;
             }
         }
         if done {
             Ok(events)
         } else {
-            Err(io::Error::other(format!("the stream is not whole: {status} {waiting}")))
+            Err(io::Error::other(format!("the stream ended before [DONE]: {status} {buffer}")))
         }
     }
 
-    async fn whole(&self, request: Request<Full<Bytes>>) -> io::Result<Answer> {
-        let answer = async {
+    async fn send_request(&self, request: Request<Full<Bytes>>) -> io::Result<HttpResponse> {
+        let exchange = async {
             let response = self.client.request(request).await.map_err(io::Error::other)?;
             let status = response.status().as_u16();
             let body = response.into_body().collect().await.map_err(io::Error::other)?;
-            Ok(Answer { status, body: body.to_bytes() })
+            Ok(HttpResponse { status, body: body.to_bytes() })
         };
-        timeout(ANSWER_LIMIT, answer).await?
+        timeout(RESPONSE_TIMEOUT, exchange).await?
     }
 }
 
-fn word(event: &str) -> String {
+fn event_content(event: &str) -> String {
     event
         .lines()
         .filter_map(|line| line.strip_prefix("data: "))
--- a/examples/quickstart/setup.rs
+++ b/examples/quickstart/installation.rs
@@ -1,9 +1,9 @@
-//! Folders, ports, keys and the register of the quick start.
+//! Directories, ports, keys and register of the quick start.
 
 use {
     super::{
         BOOKING_BODY, BOOKING_PATH,
-        processes::{ProcessGroup, ProcessKind},
+        process_group::{ProcessGroup, ProcessKind},
     },
     oleandermount::{
         inventory::{
@@ -21,37 +21,38 @@
     },
 };
 
-const FOLDER: &str = "target/quickstart";
-const SAMPLE: &str = "samples/tuul.toml";
-/// Times of the stand-in engines, so that a stream can be watched.
+const WORK_DIRECTORY: &str = "target/quickstart";
+const SAMPLE_FILE: &str = "samples/tuul.toml";
+/// Prefill time and time between tokens of the fake engines in milliseconds, long enough that the
+/// stream is visible.
 const PREFILL_MS: &str = "30";
 const TOKEN_MS: &str = "15";
 
-/// A key that was made for the run.
+/// API key that was created for the run.
 pub struct OrganisationKey {
-    /// Whose it is.
+    /// Organisation that uses the key.
     pub organisation: String,
-    /// The key.
+    /// Key in plain text; the register holds only its digest.
     pub key: String,
 }
 
-/// Where one daemon listens.
+/// VM and listening addresses of one daemon.
 struct DaemonPorts {
     vm: VmRecord,
     listen: SocketAddr,
     admin: SocketAddr,
 }
 
-/// Register and rules in one file.
+/// Contents of the inventory file: register and rules.
 #[derive(Serialize)]
 struct CombinedFile {
     register: AssetRegister,
     rules: RuleSet,
 }
 
-/// Everything that the run works with.
+/// Addresses, keys and programs of a quick start run.
 pub struct Installation {
-    programs: PathBuf,
+    program_directory: PathBuf,
     daemons: Vec<DaemonPorts>,
     keys: Vec<OrganisationKey>,
     model: String,
@@ -61,24 +62,23 @@
 }
 
 impl Installation {
-    /// Empties the folder, starts the stand-ins, makes keys and writes a register with the ports
-    /// that the kernel gave.
+    /// Empties the work directory, starts the fake servers, creates the organisations' keys and
+    /// writes a register with the ports that the kernel assigned.
     pub fn prepare(group: &mut ProcessGroup) -> io::Result<Self> {
-        refuse_second_run()?;
-        if Path::new(FOLDER).exists() {
-            fs::remove_dir_all(FOLDER)?;
+        ensure_no_running_installation()?;
+        if Path::new(WORK_DIRECTORY).exists() {
+            fs::remove_dir_all(WORK_DIRECTORY)?;
         }
-        fs::create_dir_all(FOLDER)?;
-        let text = fs::read_to_string(SAMPLE)?;
-        let register = check_register(&text).map_err(faulty)?;
-        let rules = check_rules(&text, &register).map_err(faulty)?;
-        let programs = env::current_exe()?
-            .parent()
-            .and_then(Path::parent)
-            .map(Path::to_owned)
-            .ok_or_else(|| io::Error::other("the example is not where cargo builds it"))?;
+        fs::create_dir_all(WORK_DIRECTORY)?;
+        let text = fs::read_to_string(SAMPLE_FILE)?;
+        let register = check_register(&text).map_err(inventory_error)?;
+        let rules = check_rules(&text, &register).map_err(inventory_error)?;
+        let program_directory =
+            env::current_exe()?.parent().and_then(Path::parent).map(Path::to_owned).ok_or_else(
+                || io::Error::other("the example must run from cargo's target directory"),
+            )?;
         let mut installation = Installation {
-            programs,
+            program_directory,
             daemons: Vec::new(),
             keys: Vec::new(),
             model: register.models[0].id.clone(),
@@ -86,19 +86,19 @@
             caller_urls: Vec::new(),
             admin_urls: Vec::new(),
         };
-        let register = installation.fit_register(register, group)?;
+        let register = installation.adapt_register(register, group)?;
         let file = toml::to_string(&CombinedFile { register, rules }).map_err(io::Error::other)?;
-        fs::write(installation.sample(), file)?;
+        fs::write(installation.inventory_file(), file)?;
         Ok(installation)
     }
 
-    fn fit_register(
+    fn adapt_register(
         &mut self,
         mut register: AssetRegister,
         group: &mut ProcessGroup,
     ) -> io::Result<AssetRegister> {
-        // One daemon in each failure domain. One service server, so that one place counts the
-        // runs; and no prompt-keep, which has no stand-in.
+        // Keeps one daemon in each failure domain; one service server, so that a single server
+        // counts the runs; and no cache store, for which there is no fake server.
         register.vms.retain(|vm| vm.id.ends_with("-1"));
         register.servers.retain(|server| match server.kind {
             ServerKind::Engine => true,
@@ -121,9 +121,10 @@
         self.admin_urls =
             self.daemons.iter().map(|daemon| format!("http://{}", daemon.admin)).collect();
         for record in register.organisations.iter_mut().take(2) {
-            let made = self.client(&["keys", "organisation", "--json"])?;
-            let made: serde_json::Value = serde_json::from_str(&made).map_err(io::Error::other)?;
-            let text = |field: &str| made[field].as_str().unwrap_or_default().to_owned();
+            let output = self.run_client(&["keys", "organisation", "--json"])?;
+            let created: serde_json::Value =
+                serde_json::from_str(&output).map_err(io::Error::other)?;
+            let text = |field: &str| created[field].as_str().unwrap_or_default().to_owned();
             record.key_digests = vec![text("digest")];
             self.keys.push(OrganisationKey { organisation: record.id.clone(), key: text("key") });
         }
@@ -136,28 +137,28 @@
         weights: &str,
         group: &mut ProcessGroup,
     ) -> io::Result<String> {
-        let mut command = Command::new(self.programs.join("examples/fake_engine"));
+        let mut command = Command::new(self.program_directory.join("examples/fake_engine"));
         command.args(["--listen", "127.0.0.1:0", "--model", &self.model, "--weights", weights]);
         command.args(["--prefill-ms", PREFILL_MS, "--token-ms", TOKEN_MS]);
-        group.start_stand_in(name, command)
+        group.start_fake_server(name, command)
     }
 
     fn start_service(&mut self, name: &str, group: &mut ProcessGroup) -> io::Result<String> {
-        let mut command = Command::new(self.programs.join("examples/fake_service"));
+        let mut command = Command::new(self.program_directory.join("examples/fake_service"));
         command.args(["--listen", "127.0.0.1:0"]);
-        let address = group.start_stand_in(name, command)?;
+        let address = group.start_fake_server(name, command)?;
         self.runs_url = format!("http://{address}/runs");
         Ok(address)
     }
 
-    /// Makes keys for the daemons and starts them.
+    /// Creates the certificates and keys of the daemons and starts them.
     pub fn start_daemons(&self, group: &mut ProcessGroup) -> io::Result<()> {
-        let keys = format!("{FOLDER}/keys");
-        let mut create = vec!["keys", "create", "--out", &keys];
+        let keys = format!("{WORK_DIRECTORY}/keys");
+        let mut arguments = vec!["keys", "create", "--out", &keys];
         for daemon in &self.daemons {
-            create.extend(["--vm", &daemon.vm.id]);
+            arguments.extend(["--vm", &daemon.vm.id]);
         }
-        self.client(&create)?;
+        self.run_client(&arguments)?;
         let peers: Vec<String> = self
             .daemons
             .iter()
@@ -167,26 +168,26 @@
         for daemon in &self.daemons {
             let vm = &daemon.vm.id;
             debug_assert!(is_name(vm));
-            let mut command = Command::new(self.programs.join("oleandermountd"));
+            let mut command = Command::new(self.program_directory.join("oleandermountd"));
             command
                 .args(["--vm", vm, "--failure-domain", &daemon.vm.failure_domain])
                 .args(["--listen", &daemon.listen.to_string()])
                 .args(["--admin-listen", &daemon.admin.to_string()])
                 .args(["--peer-listen", &daemon.vm.peer_address.to_string()])
                 .args(["--peers", &peers.join(","), "--founders", &founders.join(",")])
-                .args(["--data-dir", &format!("{FOLDER}/{vm}")])
+                .args(["--data-dir", &format!("{WORK_DIRECTORY}/{vm}")])
                 .args(["--authority", &format!("{keys}/authority.pem")])
                 .args(["--certificate", &format!("{keys}/{vm}.pem")])
                 .args(["--key", &format!("{keys}/{vm}.key")]);
-            let log = PathBuf::from(format!("{FOLDER}/{vm}.log"));
+            let log = PathBuf::from(format!("{WORK_DIRECTORY}/{vm}.log"));
             group.start(ProcessKind::Daemon, vm, command, &log)?;
         }
         Ok(())
     }
 
-    /// Runs the operators' client and gives what it printed.
-    fn client(&self, arguments: &[&str]) -> io::Result<String> {
-        let output = Command::new(self.programs.join("oleandermountctl"))
+    /// Runs `oleandermountctl` and returns its standard output; fails unless it exits with 0.
+    fn run_client(&self, arguments: &[&str]) -> io::Result<String> {
+        let output = Command::new(self.program_directory.join("oleandermountctl"))
             .args(arguments)
             .env("OLEANDERMOUNT_ADMIN_URLS", self.admin_urls.join(" "))
             .stderr(Stdio::inherit())
@@ -199,45 +200,46 @@
         Ok(String::from_utf8_lossy(&output.stdout).into_owned())
     }
 
-    /// Shows a command of the operators' client and what it prints.
-    pub fn show_client(&self, arguments: &[&str]) -> io::Result<()> {
+    /// Runs an `oleandermountctl` command and prints the command line and its output.
+    pub fn run_and_print(&self, arguments: &[&str]) -> io::Result<()> {
         println!("\n$ oleandermountctl {}", arguments.join(" "));
-        print!("{}", self.client(arguments)?);
+        print!("{}", self.run_client(arguments)?);
         Ok(())
     }
 
-    /// The file with register and rules.
-    pub fn sample(&self) -> String {
-        format!("{FOLDER}/tuul.toml")
+    /// Returns the path of the file with register and rules.
+    pub fn inventory_file(&self) -> String {
+        format!("{WORK_DIRECTORY}/tuul.toml")
     }
 
-    /// Where callers are served.
+    /// Returns the URLs at which the daemons serve callers.
     pub fn caller_urls(&self) -> &[String] {
         &self.caller_urls
     }
 
-    /// Where operators are served.
+    /// Returns the URLs at which the daemons serve operators.
     pub fn admin_urls(&self) -> &[String] {
         &self.admin_urls
     }
 
-    /// The model.
+    /// Returns the ID of the model that the engines serve.
     pub fn model(&self) -> &str {
         &self.model
     }
 
-    /// Where the stand-in service counts runs.
+    /// Returns the URL at which the fake service reports the number of runs by idempotency key.
     pub fn runs_url(&self) -> &str {
         &self.runs_url
     }
 
-    /// The key of the organisation that the run uses.
-    pub fn key(&self) -> &OrganisationKey {
+    /// Returns the API key of the organisation whose requests the run sends.
+    pub fn organisation_key(&self) -> &OrganisationKey {
         &self.keys[0]
     }
 
-    /// Writes what a script needs to use the installation; gives the file's path.
-    pub fn write_env(&self, group: &ProcessGroup) -> io::Result<String> {
+    /// Writes the shell variables that a script needs to use the installation; returns the path of
+    /// the file.
+    pub fn write_environment(&self, group: &ProcessGroup) -> io::Result<String> {
         let lines = [
             ("CALLER_URLS", self.caller_urls.join(" ")),
             ("ADMIN_URLS", self.admin_urls.join(" ")),
@@ -252,36 +254,38 @@
         ];
         let text: String =
             lines.iter().map(|(name, value)| format!("{name}='{value}'\n")).collect();
-        let path = format!("{FOLDER}/env");
+        let path = format!("{WORK_DIRECTORY}/env");
         fs::write(&path, text)?;
         Ok(path)
     }
 }
 
-/// A run that was kept still uses the folder: emptying it would pull the data from under daemons.
-fn refuse_second_run() -> io::Result<()> {
-    let Ok(text) = fs::read_to_string(format!("{FOLDER}/env")) else { return Ok(()) };
+/// Fails if processes of a run with `--keep` are still alive. Emptying the work directory would
+/// delete the data of running daemons.
+fn ensure_no_running_installation() -> io::Result<()> {
+    let Ok(text) = fs::read_to_string(format!("{WORK_DIRECTORY}/env")) else { return Ok(()) };
     let ids = text.lines().find_map(|line| line.strip_prefix("PIDS='")).unwrap_or_default();
     let alive = ids.trim_end_matches('\'').split(' ').any(|id| {
         let command_line = fs::read_to_string(format!("/proc/{id}/cmdline")).unwrap_or_default();
         command_line.contains("oleandermountd") || command_line.contains("/fake_")
     });
     if alive {
-        let message = format!("a kept run is still there; stop it: . {FOLDER}/env && kill $PIDS");
+        let message =
+            format!("an earlier run is still alive; stop it: . {WORK_DIRECTORY}/env && kill $PIDS");
         return Err(io::Error::other(message));
     }
     Ok(())
 }
 
-fn faulty(faults: Vec<oleandermount::inventory::validate::InventoryFault>) -> io::Error {
+fn inventory_error(faults: Vec<oleandermount::inventory::validate::InventoryFault>) -> io::Error {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    io::Error::other(format!("{SAMPLE}: {}", lines.join("; ")))
+    io::Error::other(format!("{SAMPLE_FILE}: {}", lines.join("; ")))
 }
 
-/// Takes free ports of the kernel for all daemons at once, so that no two get the same, and frees
-/// them for the daemons.
+/// Reserves free ports for all daemons. All sockets stay open until the last port is assigned, so
+/// that no port is assigned twice, and are then closed for the daemons.
 fn reserve_ports(vms: &mut [VmRecord]) -> io::Result<Vec<DaemonPorts>> {
-    let mut held = Vec::new();
+    let mut sockets = Vec::new();
     let mut daemons = Vec::new();
     for vm in vms {
         let (listen, admin) =
@@ -293,8 +297,8 @@
             listen: listen.local_addr()?,
             admin: admin.local_addr()?,
         });
-        held.push((listen, admin, peer));
+        sockets.push((listen, admin, peer));
     }
-    drop(held);
+    drop(sockets);
     Ok(daemons)
 }
--- a/examples/quickstart/main.rs
+++ b/examples/quickstart/main.rs
@@ -1,16 +1,17 @@
-//! Starts three daemons and stand-ins on this machine and shows a chat and a booking.
+//! Starts three daemons and fake backend servers on this machine and runs a chat and a booking.
 //!
-//! `scripts/quickstart` builds everything and runs it. With `--keep` all of it stays running.
+//! `scripts/quickstart` builds everything and runs this example. With `--keep` all processes keep
+//! running.
 
-mod http;
-mod processes;
-mod setup;
+mod http_client;
+mod installation;
+mod process_group;
 
 use {
     self::{
-        http::{Answer, HttpClient},
-        processes::ProcessGroup,
-        setup::{Installation, OrganisationKey},
+        http_client::{HttpClient, HttpResponse},
+        installation::{Installation, OrganisationKey},
+        process_group::ProcessGroup,
     },
     std::{io, process::ExitCode, time::Duration},
     tokio::{
@@ -19,11 +20,12 @@
     },
 };
 
-/// A first start founds the control group within a second; a loaded machine takes longer.
-const START_LIMIT: Duration = Duration::from_secs(60);
-/// Short beside a start.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
-/// What a dispatcher books.
+/// Timeout for each daemon to become ready. The daemons normally found the control group within a
+/// second; a loaded machine takes longer.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval of the readiness checks; short in comparison with a start.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Request of the example booking, a non-repeatable service call.
 const BOOKING_PATH: &str = "/services/dispatch-app/bookings";
 const BOOKING_BODY: &str = r#"{"office":"reception-7","slot":"monday-08:00","boxes":4}"#;
 
@@ -37,8 +39,8 @@
     };
     match result {
         Ok(installation) if keep => {
-            let kept = installation.write_env(&group);
-            match kept {
+            let written = installation.write_environment(&group);
+            match written {
                 Ok(path) => {
                     println!("\nLeft running; addresses, keys and process ids are in {path}.");
                     println!("To stop all of it: . {path} && kill $PIDS");
@@ -86,16 +88,16 @@
     installation.start_daemons(group)?;
     wait_for_leader(&installation, &client, group).await?;
 
-    let file = installation.sample();
-    installation.show_client(&["check", &file])?;
-    installation.show_client(&["inventory", "apply", &file, "--expect-revision", "0"])?;
-    installation.show_client(&["rules", "apply", &file, "--expect-revision", "1"])?;
-    installation.show_client(&["config", "wait", "--revision", "2"])?;
+    let file = installation.inventory_file();
+    installation.run_and_print(&["check", &file])?;
+    installation.run_and_print(&["inventory", "apply", &file, "--expect-revision", "0"])?;
+    installation.run_and_print(&["rules", "apply", &file, "--expect-revision", "1"])?;
+    installation.run_and_print(&["config", "wait", "--revision", "2"])?;
     wait_until_ready(&installation, &client, group).await?;
 
     show_chat(&installation, &client).await?;
     show_booking(&installation, &client).await?;
-    installation.show_client(&["status"])?;
+    installation.run_and_print(&["status"])?;
     Ok(installation)
 }
 
@@ -105,7 +107,7 @@
     group: &mut ProcessGroup,
 ) -> io::Result<()> {
     for url in installation.admin_urls() {
-        let knows_leader = |answer: &Answer| answer.json()["leader"].is_string();
+        let knows_leader = |response: &HttpResponse| response.json()["leader"].is_string();
         wait_for(client, &format!("{url}/v1/status"), knows_leader, group).await?;
     }
     Ok(())
@@ -117,7 +119,8 @@
     group: &mut ProcessGroup,
 ) -> io::Result<()> {
     for url in installation.caller_urls() {
-        wait_for(client, &format!("{url}/readyz"), |answer| answer.status == 200, group).await?;
+        wait_for(client, &format!("{url}/readyz"), |response| response.status == 200, group)
+            .await?;
     }
     Ok(())
 }
@@ -125,19 +128,19 @@
 async fn wait_for(
     client: &HttpClient,
     url: &str,
-    is_good: impl Fn(&Answer) -> bool,
+    is_ready: impl Fn(&HttpResponse) -> bool,
     group: &mut ProcessGroup,
 ) -> io::Result<()> {
-    let until = Instant::now() + START_LIMIT;
+    let deadline = Instant::now() + START_TIMEOUT;
     loop {
-        group.check()?;
-        if client.get(url).await.is_ok_and(|answer| is_good(&answer)) {
+        group.check_running()?;
+        if client.get(url).await.is_ok_and(|response| is_ready(&response)) {
             return Ok(());
         }
-        if Instant::now() > until {
-            return Err(io::Error::other(format!("{url} does not become ready")));
+        if Instant::now() > deadline {
+            return Err(io::Error::other(format!("{url} did not become ready")));
         }
-        sleep(ASK_AGAIN).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -152,28 +155,32 @@
             { "role": "user", "content": "Can Monday's apples become pears?" },
         ],
     });
-    println!("\nA streamed chat, as organisation {}:", installation.key().organisation);
-    let answer = client.stream(&url, &installation.key().key, &body.to_string()).await?;
-    println!("\n{} events, the last one [DONE].", answer);
+    println!(
+        "\nA streamed chat, as organisation {}:",
+        installation.organisation_key().organisation
+    );
+    let events =
+        client.stream(&url, &installation.organisation_key().key, &body.to_string()).await?;
+    println!("\n{} events, the last one [DONE].", events);
     Ok(())
 }
 
 async fn show_booking(installation: &Installation, client: &HttpClient) -> io::Result<()> {
     println!("\nA booking, sent twice under one key through two daemons:");
-    let OrganisationKey { key, .. } = installation.key();
-    let booking = "quickstart-booking-1";
+    let OrganisationKey { key: api_key, .. } = installation.organisation_key();
+    let idempotency_key = "quickstart-booking-1";
     for url in installation.caller_urls().iter().take(2) {
         let url = format!("{url}{BOOKING_PATH}");
-        let answer = client.post(&url, key, booking, BOOKING_BODY).await?;
-        println!("POST {url} -> {} {}", answer.status, answer.text());
-        if answer.status != 200 {
+        let response = client.post(&url, api_key, idempotency_key, BOOKING_BODY).await?;
+        println!("POST {url} -> {} {}", response.status, response.text());
+        if response.status != 200 {
             return Err(io::Error::other("the booking was refused"));
         }
     }
     let runs = client.get(installation.runs_url()).await?;
     println!("GET {} -> {}", installation.runs_url(), runs.text());
-    match runs.json()[booking].as_u64() {
+    match runs.json()[idempotency_key].as_u64() {
         Some(1) => Ok(()),
-        other => Err(io::Error::other(format!("the booking ran {other:?} times in place of once"))),
+        count => Err(io::Error::other(format!("the booking ran {count:?} times instead of once"))),
     }
 }
--- a/examples/quickstart/processes.rs
+++ b/examples/quickstart/process_group.rs
@@ -1,4 +1,4 @@
-//! The processes that the quick start runs, and how they end.
+//! Start and stop of the quick start's processes.
 
 use std::{
     fs::File,
@@ -9,17 +9,19 @@
     time::{Duration, Instant},
 };
 
-/// Daemons end at once when nothing is in flight; past this one hangs.
-const STOP_LIMIT: Duration = Duration::from_secs(30);
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+/// Timeout of a daemon's shutdown. A daemon without requests in flight ends immediately; one that
+/// takes longer hangs and is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which the end of a daemon is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a process is for.
+/// Kind of a process, which determines how it is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessKind {
-    /// A daemon: it is told to end, and ends with 0.
+    /// A daemon, which is stopped by SIGTERM and must exit with status 0.
     Daemon,
-    /// A stand-in: it is killed.
-    StandIn,
+    /// A fake backend server, which is killed.
+    FakeServer,
 }
 
 struct RunningProcess {
@@ -28,15 +30,15 @@
     child: Child,
 }
 
-/// All processes, in the order of their start.
+/// All started processes in the order of their start.
 #[derive(Default)]
 pub struct ProcessGroup {
     running: Vec<RunningProcess>,
 }
 
 impl ProcessGroup {
-    /// Starts a process whose output goes to a log file. It has a process group of its own, so
-    /// that a key pressed at the terminal reaches the quick start alone.
+    /// Starts a process that writes its output to a log file. It gets its own process group, so
+    /// that Ctrl-C at the terminal signals only the quick start itself.
     pub fn start(
         &mut self,
         kind: ProcessKind,
@@ -51,15 +53,16 @@
         Ok(())
     }
 
-    /// Starts a stand-in and reads the address that it prints first.
-    pub fn start_stand_in(&mut self, name: &str, mut command: Command) -> io::Result<String> {
+    /// Starts a fake backend server and returns the address that it prints on its first line.
+    pub fn start_fake_server(&mut self, name: &str, mut command: Command) -> io::Result<String> {
         command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null()).process_group(0);
         let mut child = command.spawn()?;
         let output = child.stdout.take();
-        let kind = ProcessKind::StandIn;
+        let kind = ProcessKind::FakeServer;
         self.running.push(RunningProcess { name: name.to_owned(), kind, child });
         let mut line = String::new();
-        let output = output.ok_or_else(|| io::Error::other("a stand-in has no output"))?;
+        let output = output
+            .ok_or_else(|| io::Error::other("the standard output of a fake server is not piped"))?;
         BufReader::new(output).read_line(&mut line)?;
         match line.trim() {
             "" => Err(io::Error::other(format!("{name} did not start"))),
@@ -67,8 +70,8 @@
         }
     }
 
-    /// Fails when a process has ended, which none does by itself.
-    pub fn check(&mut self) -> io::Result<()> {
+    /// Fails if a process has ended; all processes run until they are stopped.
+    pub fn check_running(&mut self) -> io::Result<()> {
         for process in &mut self.running {
             if let Some(status) = process.child.try_wait()? {
                 return Err(io::Error::other(format!("{} ended with {status}", process.name)));
@@ -77,7 +80,7 @@
         Ok(())
     }
 
-    /// Ids of all processes, or of one kind.
+    /// Returns the process IDs of one kind, or of all processes.
     pub fn ids(&self, wanted: Option<ProcessKind>) -> Vec<String> {
         self.running
             .iter()
@@ -86,18 +89,18 @@
             .collect()
     }
 
-    /// Ends all processes, daemons first, and waits for each.
+    /// Stops all processes, daemons first, and waits until each has ended.
     pub async fn stop(mut self) -> io::Result<()> {
         let daemons = self.ids(Some(ProcessKind::Daemon));
         if !daemons.is_empty() {
-            let order = format!("kill -TERM {}", daemons.join(" "));
-            Command::new("sh").args(["-c", &order]).stderr(Stdio::null()).status()?;
+            let kill_command = format!("kill -TERM {}", daemons.join(" "));
+            Command::new("sh").args(["-c", &kill_command]).stderr(Stdio::null()).status()?;
         }
         let mut failed = Vec::new();
         for process in &mut self.running {
             let result = match process.kind {
-                ProcessKind::Daemon => end_daemon(process).await,
-                ProcessKind::StandIn => process.child.kill().and_then(|()| process.child.wait()),
+                ProcessKind::Daemon => wait_or_kill(process).await,
+                ProcessKind::FakeServer => process.child.kill().and_then(|()| process.child.wait()),
             };
             match (process.kind, result) {
                 (ProcessKind::Daemon, Ok(status)) if !status.success() => {
@@ -111,13 +114,13 @@
     }
 }
 
-async fn end_daemon(process: &mut RunningProcess) -> io::Result<std::process::ExitStatus> {
-    let until = Instant::now() + STOP_LIMIT;
-    while Instant::now() < until {
+async fn wait_or_kill(process: &mut RunningProcess) -> io::Result<std::process::ExitStatus> {
+    let deadline = Instant::now() + STOP_TIMEOUT;
+    while Instant::now() < deadline {
         if let Some(status) = process.child.try_wait()? {
             return Ok(status);
         }
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     process.child.kill()?;
     process.child.wait()
