--- a/examples/policy_report/baselines.rs
+++ b/examples/policy_report/baseline_router.rs
@@ -1,11 +1,12 @@
-//! Three plain routers to compare with. Each sends a request at once and lets it queue inside the
-//! server in order of arrival, retries a failure twice elsewhere as long as the caller has no token
-//! of it, and refuses only at the deadline.
+//! Three simple routers for comparison. Each sends a request immediately and lets it queue in the
+//! server in order of arrival. It retries a failed request up to twice, on untried servers if there
+//! are any, as long as the caller has received no token. Waiting requests are refused only at their
+//! deadline.
 
 use {
     super::{
-        draw::{DrawSource, mix},
-        router::{RoutePolicy, RouterSeat},
+        random_source::{RandomSource, mix_hash},
+        route_policy::{RoutePolicy, RouterIdentity},
     },
     oleandermount::{
         ids::{AttemptId, RequestId, ServerId},
@@ -21,61 +22,63 @@
     },
 };
 
-/// Sendings of one request at most.
-const SENDINGS: usize = 3;
-/// The level whose hash picks the server: the client's standing order, so that all chats of a
-/// client meet at one server. The organisation's prompt alone would put a large one on one server.
+/// Maximum number of sends per request.
+const MAX_SENDS: usize = 3;
+/// Index of the prefix level whose hash selects the server: the client's prompt, so that all chats
+/// of a client go to one server. The level of the organisation's prompt would send all requests of
+/// a large organisation to one server.
 const HASHED_LEVEL: usize = 1;
 
-/// How a plain router picks a server.
+/// Rule by which a baseline router selects a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum PlainRule {
-    /// One after the other.
+pub enum BaselineRule {
+    /// Servers in turn.
     RoundRobin,
-    /// The fewest requests by its last report and own requests in flight.
+    /// The server with the fewest requests: those of its last report and the router's own in
+    /// flight.
     LeastLoaded,
-    /// Rendezvous hash of the prompt's prefix.
+    /// Rendezvous hashing by the prompt's prefix.
     PrefixHash,
 }
 
 struct OpenRequest {
     ticket: RequestTicket,
     attempt: AttemptId,
-    /// Servers that it was sent to, the present one last.
+    /// Servers to which the request was sent, in order; the last one has the current attempt.
     tried: Vec<ServerId>,
     streaming: bool,
 }
 
-/// A router that follows one plain rule.
-pub struct PlainRouter {
-    rule: PlainRule,
-    source: DrawSource,
-    turn: usize,
+/// Router that follows one [`BaselineRule`].
+pub struct BaselineRouter {
+    rule: BaselineRule,
+    source: RandomSource,
+    rotation: usize,
     view: Arc<PolicyView>,
-    down: BTreeSet<ServerId>,
+    dead_servers: BTreeSet<ServerId>,
     reachable: Option<Vec<String>>,
-    /// Requests by server, as last reported.
-    reported: BTreeMap<ServerId, u32>,
-    /// Own requests in flight by server.
+    /// Requests at each server according to its last load report.
+    reported_load: BTreeMap<ServerId, u32>,
+    /// The router's own requests in flight at each server.
     in_flight: BTreeMap<ServerId, u32>,
     open: BTreeMap<RequestId, OpenRequest>,
-    /// Holds exactly the present attempt of each open request.
+    /// Open request of each current attempt; a request has exactly one.
     attempts: BTreeMap<AttemptId, RequestId>,
-    /// Deadlines of open requests that have no token yet.
+    /// Deadlines of the open requests without a token.
     deadlines: BTreeSet<(Instant, RequestId)>,
 }
 
-impl PlainRouter {
-    /// A router that knows no servers yet.
-    pub fn new(rule: PlainRule, seat: &RouterSeat) -> Self {
-        PlainRouter {
+impl BaselineRouter {
+    /// Creates a router without servers; `PolicyInput::Configure` delivers them.
+    pub fn new(rule: BaselineRule, identity: &RouterIdentity) -> Self {
+        BaselineRouter {
             rule,
-            source: DrawSource::new(seat.seed, "plain"),
-            turn: seat.seed as usize % 1_000,
+            source: RandomSource::new(identity.seed, "plain"),
+            rotation: identity.seed as usize % 1_000,
             view: Arc::default(),
-            down: BTreeSet::new(),
+            dead_servers: BTreeSet::new(),
             reachable: None,
-            reported: BTreeMap::new(),
+            reported_load: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             open: BTreeMap::new(),
             attempts: BTreeMap::new(),
@@ -93,11 +96,12 @@
 
     fn send(&mut self, now: Instant, request: RequestId) -> Vec<PolicyAction> {
         let open = &self.open[&request];
-        let Some(server) = self.pick(&open.ticket.work.clone(), &open.tried.clone()) else {
+        let Some(server) = self.select_server(&open.ticket.work.clone(), &open.tried.clone())
+        else {
             return self.refuse(request, RefusalReason::NoServer);
         };
         let attempt = (u128::from(self.source.seed()) << 64) | u128::from(self.source.seed());
-        let open = self.open.get_mut(&request).expect("it was found above");
+        let open = self.open.get_mut(&request).expect("the request is open");
         open.attempt = attempt;
         open.tried.push(server.clone());
         self.attempts.insert(attempt, request.clone());
@@ -118,38 +122,43 @@
         })]
     }
 
-    fn pick(&mut self, work: &RequestWork, tried: &[ServerId]) -> Option<ServerId> {
-        let able = self.view.servers.iter().filter(|(id, server)| {
+    fn select_server(&mut self, work: &RequestWork, tried: &[ServerId]) -> Option<ServerId> {
+        let eligible = self.view.servers.iter().filter(|(id, server)| {
             let domain = &server.failure_domain;
-            !self.down.contains(*id)
+            !self.dead_servers.contains(*id)
                 && self.reachable.as_ref().is_none_or(|reachable| reachable.contains(domain))
                 && match work {
                     RequestWork::Model { model, .. } => server.models.contains(model),
                     RequestWork::Service { service } => server.service.as_ref() == Some(service),
                 }
         });
-        let able: Vec<&ServerId> = able.map(|(id, _)| id).collect();
-        let fresh: Vec<&ServerId> = able.iter().copied().filter(|id| !tried.contains(id)).collect();
-        let pool = if fresh.is_empty() { able } else { fresh };
-        if pool.is_empty() {
+        let eligible: Vec<&ServerId> = eligible.map(|(id, _)| id).collect();
+        let untried: Vec<&ServerId> =
+            eligible.iter().copied().filter(|id| !tried.contains(id)).collect();
+        let candidates = if untried.is_empty() { eligible } else { untried };
+        if candidates.is_empty() {
             return None;
         }
-        self.turn += 1;
+        self.rotation += 1;
         let count = |of: &BTreeMap<ServerId, u32>, id: &ServerId| of.get(id).copied().unwrap_or(0);
-        let load = |id: &ServerId| count(&self.reported, id) + count(&self.in_flight, id);
-        let picked = match (self.rule, work) {
-            (PlainRule::PrefixHash, RequestWork::Model { levels, .. }) => {
+        let load = |id: &ServerId| count(&self.reported_load, id) + count(&self.in_flight, id);
+        let selected = match (self.rule, work) {
+            (BaselineRule::PrefixHash, RequestWork::Model { levels, .. }) => {
                 let key = levels.get(HASHED_LEVEL).or(levels.last()).map_or(0, |level| level.hash);
-                pool.iter().max_by_key(|id| id.bytes().fold(key, |hash, b| mix(hash, b.into())))
+                candidates
+                    .iter()
+                    .max_by_key(|id| id.bytes().fold(key, |hash, byte| mix_hash(hash, byte.into())))
             }
-            (PlainRule::LeastLoaded, _) => {
-                let start = self.turn % pool.len();
-                let turned = pool[start..].iter().chain(&pool[..start]);
-                turned.min_by_key(|id| load(id))
+            (BaselineRule::LeastLoaded, _) => {
+                let start = self.rotation % candidates.len();
+                let rotated = candidates[start..].iter().chain(&candidates[..start]);
+                rotated.min_by_key(|id| load(id))
+            }
+            (BaselineRule::RoundRobin | BaselineRule::PrefixHash, _) => {
+                candidates.get(self.rotation % candidates.len())
             }
-            (PlainRule::RoundRobin | PlainRule::PrefixHash, _) => pool.get(self.turn % pool.len()),
         };
-        picked.map(|id| (*id).clone())
+        selected.map(|id| (*id).clone())
     }
 
     fn fail(
@@ -160,19 +169,19 @@
     ) -> Vec<PolicyAction> {
         let Some(request) = self.attempts.remove(&attempt) else { return Vec::new() };
         let open = &self.open[&request];
-        self.leave(&open.tried[open.tried.len() - 1].clone());
+        self.end_attempt(&open.tried[open.tried.len() - 1].clone());
         let open = &self.open[&request];
         let never_ran = failure == AttemptFailure::NotConnected;
         if open.streaming || !(open.ticket.repeatable || never_ran) {
             return self.refuse(request, RefusalReason::ServerFailed);
         }
-        if open.tried.len() >= SENDINGS {
+        if open.tried.len() >= MAX_SENDS {
             return self.refuse(request, RefusalReason::RetriesExhausted);
         }
         self.send(now, request)
     }
 
-    fn leave(&mut self, server: &str) {
+    fn end_attempt(&mut self, server: &str) {
         if let Some(count) = self.in_flight.get_mut(server) {
             *count -= 1;
         }
@@ -190,21 +199,21 @@
         vec![PolicyAction::Refuse { request, reason, retry_after: None, did_run: DidRun::Unknown }]
     }
 
-    /// Cancels and closes a request whose caller waits no longer.
-    fn give_up(&mut self, request: &str) -> Vec<PolicyAction> {
+    /// Cancels and closes a request whose caller no longer waits for it.
+    fn cancel_request(&mut self, request: &str) -> Vec<PolicyAction> {
         let Some(open) = self.close(request) else { return Vec::new() };
         let Some(server) = open.tried.last().cloned() else { return Vec::new() };
-        self.leave(&server);
+        self.end_attempt(&server);
         vec![PolicyAction::Cancel { attempt: open.attempt, server }]
     }
 
-    fn expire(&mut self, now: Instant) -> Vec<PolicyAction> {
+    fn refuse_expired(&mut self, now: Instant) -> Vec<PolicyAction> {
         let mut actions = Vec::new();
         while let Some((deadline, request)) = self.deadlines.first().cloned() {
             if deadline > now {
                 break;
             }
-            actions.extend(self.give_up(&request));
+            actions.extend(self.cancel_request(&request));
             actions.extend(self.refuse(request, RefusalReason::DeadlinePassed));
         }
         actions
@@ -212,7 +221,7 @@
 
     fn first_token(&mut self, attempt: AttemptId) {
         if let Some(request) = self.attempts.get(&attempt) {
-            let open = self.open.get_mut(request).expect("attempts belong to open requests");
+            let open = self.open.get_mut(request).expect("each attempt belongs to an open request");
             open.streaming = true;
             self.deadlines.remove(&(open.ticket.deadline, request.clone()));
         }
@@ -222,12 +231,12 @@
         if let Some(request) = self.attempts.get(&attempt).cloned()
             && let Some(open) = self.close(&request)
         {
-            self.leave(&open.tried[open.tried.len() - 1]);
+            self.end_attempt(&open.tried[open.tried.len() - 1]);
         }
     }
 }
 
-impl RoutePolicy for PlainRouter {
+impl RoutePolicy for BaselineRouter {
     fn handle(&mut self, now: Instant, input: PolicyInput) -> Vec<PolicyAction> {
         match input {
             PolicyInput::Configure(view) => self.view = view,
@@ -237,18 +246,18 @@
             PolicyInput::Failed { attempt, failure, .. } => {
                 return self.fail(now, attempt, failure);
             }
-            PolicyInput::CallerDisconnected { request } => return self.give_up(&request),
+            PolicyInput::CallerDisconnected { request } => return self.cancel_request(&request),
             PolicyInput::Load(report) => {
-                self.reported.insert(report.server, report.running + report.waiting);
+                self.reported_load.insert(report.server, report.running + report.waiting);
             }
             PolicyInput::Health { server, health: ServerHealth::Alive { .. } } => {
-                self.down.remove(&server);
+                self.dead_servers.remove(&server);
             }
             PolicyInput::Health { server, .. } => {
-                self.down.insert(server);
+                self.dead_servers.insert(server);
             }
             PolicyInput::Reachable { domains } => self.reachable = Some(domains),
-            PolicyInput::Wake => return self.expire(now),
+            PolicyInput::Wake => return self.refuse_expired(now),
             PolicyInput::Progress { .. }
             | PolicyInput::Cache(_)
             | PolicyInput::Digest(_)
--- a/examples/policy_report/callers.rs
+++ b/examples/policy_report/callers.rs
@@ -1,192 +1,208 @@
-//! Callers: what each asked for, what became of it, and when it comes back.
+//! Callers: the request of each, its retries and its outcome.
 
 use {
     super::{
-        draw::{DrawSource, mix},
+        random_source::{RandomSource, mix_hash},
         site::{MODEL, ORGANISATION_SHARES, SERVICE},
-        traffic::{AskedRequest, AskedWork},
+        traffic::{CallerRequest, CallerWork},
     },
     oleandermount::policy::{RequestTicket, RequestWork},
     std::time::{Duration, Instant},
 };
 
-/// One way from a caller to a daemon.
+/// One-way network delay between a caller and a daemon.
 pub const CALLER_DELAY: Duration = Duration::from_millis(3);
-/// Asks of one request at most, the first included.
-const ASKS: u32 = 4;
-/// Asks of a request that crashes servers; its caller comes back whatever it hears.
-const POISON_ASKS: u32 = 20;
-/// What that caller waits when it is told no time.
-const POISON_PAUSE: Duration = Duration::from_secs(1);
-/// What a caller waits at least after its connection broke; up to four times as long.
-const BROKEN_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum submissions of a request, including the first.
+const MAX_SUBMISSIONS: u32 = 4;
+/// Maximum submissions of a request that crashes servers. Its caller retries after every refusal.
+const MAX_POISON_SUBMISSIONS: u32 = 20;
+/// Retry delay of such a request if the refusal carries no `Retry-After`.
+const POISON_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Minimum delay before a caller reconnects after its connection broke. The actual delay is random
+/// and up to four times as long.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// What became of a request.
+/// Final outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerOutcome {
-    /// The whole answer came.
+    /// The caller received the complete answer.
     Answered,
-    /// The last answer was a refusal or an error, for this reason.
+    /// The last submission was refused or failed for this reason.
     Refused(&'static str),
 }
 
-/// One request and its caller.
+/// State of a request and its caller.
 pub struct CallerRecord {
-    /// What it asked for.
-    pub asked: AskedRequest,
-    /// Asks so far.
-    pub asks: u32,
-    /// The daemon that has the present ask; none while the caller waits to come back.
+    /// Request that the caller submits.
+    pub request: CallerRequest,
+    /// Number of submissions so far.
+    pub submissions: u32,
+    /// Daemon that handles the current submission; none before the first submission, while the
+    /// caller waits for a retry and after the end.
     pub daemon: Option<usize>,
-    /// When the present ask reached its daemon.
-    pub asked_at: Duration,
-    /// When the caller stops waiting for the first token.
+    /// Time at which the current submission reached its daemon.
+    pub submitted_at: Duration,
+    /// Time until which the caller waits for the first token.
     pub deadline: Duration,
-    /// When the first token of the present ask reached the caller.
+    /// Time at which the first token of the current submission reached the caller.
     pub first_token: Option<Duration>,
-    /// When the last answer reached the caller, and what it was. Set once.
-    pub settled: Option<(Duration, CallerOutcome)>,
-    /// From each refused ask to its refusal, as the daemon saw it.
-    pub refusal_waits: Vec<Duration>,
-    /// Sendings to servers.
-    pub sent: u32,
-    /// Sendings that may have run, which a request that may not be repeated has at most once.
-    pub ran: u32,
+    /// Time at which the final outcome reached the caller, and the outcome. It is set once.
+    pub outcome: Option<(Duration, CallerOutcome)>,
+    /// Time from each refused submission to its refusal, measured at the daemon.
+    pub refusal_delays: Vec<Duration>,
+    /// Number of sends to servers.
+    pub sends: u32,
+    /// Number of sends that may have run; at most one for a non-repeatable request.
+    pub possible_runs: u32,
 }
 
 impl CallerRecord {
-    /// A caller that has not asked yet.
-    pub fn new(asked: AskedRequest) -> Self {
+    /// Creates a caller that has not submitted its request yet.
+    pub fn new(request: CallerRequest) -> Self {
         CallerRecord {
-            deadline: asked.at + asked.patience,
-            asked_at: asked.at,
-            asked,
-            asks: 0,
+            deadline: request.at + request.first_token_limit,
+            submitted_at: request.at,
+            request,
+            submissions: 0,
             daemon: None,
             first_token: None,
-            settled: None,
-            refusal_waits: Vec::new(),
-            sent: 0,
-            ran: 0,
+            outcome: None,
+            refusal_delays: Vec::new(),
+            sends: 0,
+            possible_runs: 0,
         }
     }
 
-    /// Notes that an ask reached `daemon`.
-    pub fn ask(&mut self, now: Duration, daemon: usize) {
-        self.asks += 1;
+    /// Records that a submission reached `daemon`.
+    pub fn record_submission(&mut self, now: Duration, daemon: usize) {
+        self.submissions += 1;
         self.daemon = Some(daemon);
-        self.asked_at = now;
+        self.submitted_at = now;
         self.first_token = None;
-        if self.asked.poison {
-            self.deadline = now + self.asked.patience;
+        if self.request.poison {
+            self.deadline = now + self.request.first_token_limit;
         }
     }
 
-    /// The ticket of the present ask.
+    /// Returns the dispatcher's ticket of the current submission.
     pub fn ticket(&self, index: usize, epoch: Instant) -> RequestTicket {
-        let work = match &self.asked.work {
-            AskedWork::Model { levels, output_tokens } => RequestWork::Model {
+        let work = match &self.request.work {
+            CallerWork::Model { levels, output_tokens } => RequestWork::Model {
                 model: MODEL.into(),
                 adapter: None,
                 prompt_tokens: levels.last().map_or(0, |level| level.tokens),
                 levels: levels.clone(),
-                // Callers give a limit, not the length that the answer will have.
+                // Callers state a limit for the answer, since its actual length is unknown in
+                // advance.
                 max_output_tokens: output_tokens * 2,
             },
-            AskedWork::Service { .. } => RequestWork::Service { service: SERVICE.into() },
+            CallerWork::Service { .. } => RequestWork::Service { service: SERVICE.into() },
         };
         RequestTicket {
-            request: request_name(index, self.asks),
-            organisation: organisation_name(self.asked.organisation),
-            class: self.asked.class,
+            request: request_name(index, self.submissions),
+            organisation: organisation_name(self.request.organisation),
+            class: self.request.class,
             deadline: epoch + self.deadline,
-            repeatable: self.asked.repeatable,
-            fingerprint: mix(0xf1f1, index as u64),
+            repeatable: self.request.repeatable,
+            fingerprint: mix_hash(0xf1f1, index as u64),
             work,
         }
     }
 
-    /// Takes a refusal; answers when the caller's next ask reaches a daemon, if it comes back.
-    pub fn refuse(
+    /// Processes a refusal and returns the time at which the retry reaches a daemon; none if the
+    /// caller does not retry.
+    pub fn handle_refusal(
         &mut self,
         now: Duration,
         reason: &'static str,
         retry_after: Option<Duration>,
-        source: &mut DrawSource,
+        source: &mut RandomSource,
     ) -> Option<Duration> {
         self.daemon = None;
-        self.refusal_waits.push(now - self.asked_at);
-        let heard = now + CALLER_DELAY;
-        let back = if self.asked.poison {
-            (self.asks < POISON_ASKS)
-                .then(|| heard + retry_after.unwrap_or(POISON_PAUSE) + CALLER_DELAY)
+        self.refusal_delays.push(now - self.submitted_at);
+        let received_at = now + CALLER_DELAY;
+        let retry_at = if self.request.poison {
+            (self.submissions < MAX_POISON_SUBMISSIONS)
+                .then(|| received_at + retry_after.unwrap_or(POISON_RETRY_DELAY) + CALLER_DELAY)
         } else {
-            // A person's client adds a little to what it is told.
+            // Clients add a jitter of up to a tenth to `Retry-After`.
             retry_after
-                .map(|wait| heard + wait.mul_f64(1.0 + 0.1 * source.unit()) + CALLER_DELAY)
-                .filter(|_| self.first_token.is_none() && self.asks < ASKS)
-                .filter(|back| *back < self.deadline)
+                .map(|delay| received_at + delay.mul_f64(1.0 + 0.1 * source.unit()) + CALLER_DELAY)
+                .filter(|_| self.first_token.is_none() && self.submissions < MAX_SUBMISSIONS)
+                .filter(|retry_at| *retry_at < self.deadline)
         };
-        if back.is_none() {
-            self.settled = Some((heard, CallerOutcome::Refused(reason)));
+        if retry_at.is_none() {
+            self.outcome = Some((received_at, CallerOutcome::Refused(reason)));
         }
-        back
+        retry_at
     }
 
-    /// Takes the loss of the daemon; answers when the next ask reaches another, if there is one.
-    pub fn lose_daemon(&mut self, now: Duration, source: &mut DrawSource) -> Option<Duration> {
+    /// Processes the loss of the daemon and returns the time at which the retry reaches another
+    /// daemon; none if the caller does not retry.
+    pub fn handle_daemon_loss(
+        &mut self,
+        now: Duration,
+        source: &mut RandomSource,
+    ) -> Option<Duration> {
         self.daemon = None;
-        let heard = now + CALLER_DELAY;
-        if !self.asked.repeatable || self.asks >= ASKS {
-            self.settled = Some((heard, CallerOutcome::Refused("daemon_lost")));
+        let received_at = now + CALLER_DELAY;
+        if !self.request.repeatable || self.submissions >= MAX_SUBMISSIONS {
+            self.outcome = Some((received_at, CallerOutcome::Refused("daemon_lost")));
             return None;
         }
-        let back = heard + BROKEN_PAUSE.mul_f64(1.0 + 3.0 * source.unit());
+        let retry_at = received_at + MIN_RECONNECT_DELAY.mul_f64(1.0 + 3.0 * source.unit());
         if self.first_token.is_some() {
-            // The caller had its first token in time, and wants the whole answer again.
-            self.deadline = back + self.asked.patience;
+            // The caller received its first token in time. It restarts the request for the complete
+            // answer, with a new limit for the first token.
+            self.deadline = retry_at + self.request.first_token_limit;
         }
-        Some(back)
+        Some(retry_at)
     }
 
-    /// From the first ask to the first token, as the caller sees it; for answered requests.
-    pub fn first_token_wait(&self) -> Option<Duration> {
-        match &self.settled {
+    /// Returns the time from the first submission to the first token at the caller; none for a
+    /// request that was not answered.
+    pub fn first_token_latency(&self) -> Option<Duration> {
+        match &self.outcome {
             Some((at, CallerOutcome::Answered)) => {
-                Some(self.first_token.unwrap_or(*at) - self.asked.at)
+                Some(self.first_token.unwrap_or(*at) - self.request.at)
             }
             _ => None,
         }
     }
 
-    /// Whether the whole answer came and its first token was in time.
+    /// Returns whether the answer is complete and its first token arrived in time.
     pub fn in_time(&self) -> bool {
-        self.first_token_wait().is_some_and(|wait| wait <= self.asked.patience + CALLER_DELAY)
+        self.first_token_latency()
+            .is_some_and(|delay| delay <= self.request.first_token_limit + CALLER_DELAY)
     }
 
-    /// Tokens of prompt and answer; plain service calls count none.
+    /// Returns the tokens of prompt and answer; 0 for a service call.
     pub fn tokens(&self) -> u64 {
-        match &self.asked.work {
-            AskedWork::Model { levels, output_tokens } => {
+        match &self.request.work {
+            CallerWork::Model { levels, output_tokens } => {
                 u64::from(levels.last().map_or(0, |level| level.tokens) + output_tokens)
             }
-            AskedWork::Service { .. } => 0,
+            CallerWork::Service { .. } => 0,
         }
     }
 }
 
-/// The name of one ask of a request.
-pub fn request_name(index: usize, ask: u32) -> String {
-    format!("r{index}.{ask}")
+/// Returns the request ID of one submission of a request.
+pub fn request_name(index: usize, submission: u32) -> String {
+    format!("r{index}.{submission}")
 }
 
-/// The request and ask that [`request_name`] named.
-pub fn parse_name(name: &str) -> (usize, u32) {
-    let (index, ask) = name[1..].split_once('.').expect("made by request_name");
-    (index.parse().expect("made by request_name"), ask.parse().expect("made by request_name"))
+/// Returns the request's index and the submission's number from a [`request_name`].
+pub fn parse_request_name(name: &str) -> (usize, u32) {
+    let (index, submission) =
+        name[1..].split_once('.').expect("the name has the form of request_name");
+    (
+        index.parse().expect("the name has the form of request_name"),
+        submission.parse().expect("the name has the form of request_name"),
+    )
 }
 
-/// The name of an organisation; the largest is the first.
+/// Returns the name of an organisation. Index 0 is the one with the most traffic.
 pub fn organisation_name(index: usize) -> String {
     debug_assert!(index < ORGANISATION_SHARES.len());
     format!("org-{index}")
--- a/examples/policy_report/report.rs
+++ b/examples/policy_report/report.rs
@@ -1,33 +1,33 @@
-//! Prints a run: a JSON object a class, or a row of a table.
+//! Formats the results of a run as JSON objects or table rows, one per class.
 
 use {
     super::harness::{
         callers::organisation_name,
-        tally::{ReportClass, RunTally, ratio},
+        run_metrics::{ReportClass, RunMetrics, ratio},
     },
     serde_json::{Map, Value, json},
     std::time::Duration,
 };
 
-/// What names a run.
+/// Label of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunLabel {
-    /// The site.
+    /// Name of the site.
     pub site: &'static str,
-    /// The load.
+    /// Name of the load.
     pub load: &'static str,
-    /// The policy.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
 }
 
-/// The lines of a run, one for each class that asked anything.
-pub fn json_lines(label: RunLabel, tally: &RunTally) -> Vec<String> {
-    classes(tally).map(|class| class_object(label, tally, class).to_string()).collect()
+/// Returns the JSON lines of a run, one for each class with requests.
+pub fn json_lines(label: RunLabel, run_metrics: &RunMetrics) -> Vec<String> {
+    classes(run_metrics).map(|class| class_object(label, run_metrics, class).to_string()).collect()
 }
 
-/// The head of the table.
+/// Returns the header line of the table.
 pub fn table_head() -> String {
     format!(
         "{:<18} {:<13} {:<12} {:>6} {:>8} {:>8} {:>8} {:>8} {:>6} {:>10} {:>6} {:>4}  {}",
@@ -47,19 +47,19 @@
     )
 }
 
-/// The rows of a run.
-pub fn table_rows(label: RunLabel, tally: &RunTally) -> Vec<String> {
-    classes(tally).map(|class| table_row(label, tally, class)).collect()
+/// Returns the table rows of a run, one for each class with requests.
+pub fn table_rows(label: RunLabel, run_metrics: &RunMetrics) -> Vec<String> {
+    classes(run_metrics).map(|class| table_row(label, run_metrics, class)).collect()
 }
 
-fn classes(tally: &RunTally) -> impl Iterator<Item = ReportClass> {
-    ReportClass::ALL.into_iter().filter(|class| !tally.class(*class).is_empty())
+fn classes(run_metrics: &RunMetrics) -> impl Iterator<Item = ReportClass> {
+    ReportClass::ALL.into_iter().filter(|class| !run_metrics.callers_of_class(*class).is_empty())
 }
 
-fn class_object(label: RunLabel, tally: &RunTally, class: ReportClass) -> Value {
-    let figures = tally.figures(class);
-    let work = tally.work.get(&class).copied().unwrap_or_default();
-    let shares: Map<String, Value> = figures
+fn class_object(label: RunLabel, run_metrics: &RunMetrics, class: ReportClass) -> Value {
+    let metrics = run_metrics.class_metrics(class);
+    let work = run_metrics.work.get(&class).copied().unwrap_or_default();
+    let shares: Map<String, Value> = metrics
         .shares
         .iter()
         .enumerate()
@@ -71,42 +71,42 @@
         "policy": label.policy,
         "seed": label.seed,
         "class": class.as_str(),
-        "asked": figures.asked,
-        "answered": figures.answered,
-        "goodput": rounded(figures.goodput()),
-        "p50_first_token_ms": millis(figures.p50),
-        "p99_first_token_ms": millis(figures.p99),
-        "p99_misses_ms": millis(figures.p99_misses),
+        "asked": metrics.requests,
+        "answered": metrics.answered,
+        "goodput": rounded(metrics.goodput()),
+        "p50_first_token_ms": millis(metrics.p50),
+        "p99_first_token_ms": millis(metrics.p99),
+        "p99_misses_ms": millis(metrics.p99_misses),
         "hit_rate": rounded(ratio(work.cached, work.prompt)),
         "prompt_tokens": work.prompt,
         "recomputed_tokens": work.recomputed,
-        "refused": figures.refused,
-        "sent_per_asked": rounded(ratio(figures.sent, figures.asked)),
-        "servers_lost": tally.servers_lost,
+        "refused": metrics.refused,
+        "sent_per_asked": rounded(ratio(metrics.sends, metrics.requests)),
+        "servers_lost": run_metrics.servers_lost,
         "share_by_organisation": shares,
-        "breaches": tally.breaches.len(),
+        "breaches": run_metrics.violations.len(),
     })
 }
 
-fn table_row(label: RunLabel, tally: &RunTally, class: ReportClass) -> String {
-    let figures = tally.figures(class);
-    let work = tally.work.get(&class).copied().unwrap_or_default();
+fn table_row(label: RunLabel, run_metrics: &RunMetrics, class: ReportClass) -> String {
+    let metrics = run_metrics.class_metrics(class);
+    let work = run_metrics.work.get(&class).copied().unwrap_or_default();
     let refused: Vec<String> =
-        figures.refused.iter().map(|(reason, count)| format!("{reason} {count}")).collect();
+        metrics.refused.iter().map(|(reason, count)| format!("{reason} {count}")).collect();
     format!(
         "{:<18} {:<13} {:<12} {:>6} {:>8.3} {:>8.1} {:>8.1} {:>8.1} {:>6.3} {:>10} {:>6.3} {:>4}  {}",
         label.load,
         label.policy,
         class.as_str(),
-        figures.asked,
-        figures.goodput(),
-        millis(figures.p50).unwrap_or(f64::NAN),
-        millis(figures.p99).unwrap_or(f64::NAN),
-        millis(figures.p99_misses).unwrap_or(f64::NAN),
+        metrics.requests,
+        metrics.goodput(),
+        millis(metrics.p50).unwrap_or(f64::NAN),
+        millis(metrics.p99).unwrap_or(f64::NAN),
+        millis(metrics.p99_misses).unwrap_or(f64::NAN),
         ratio(work.cached, work.prompt),
         work.recomputed,
-        ratio(figures.sent, figures.asked),
-        tally.servers_lost,
+        ratio(metrics.sends, metrics.requests),
+        run_metrics.servers_lost,
         refused.join(", "),
     )
 }
