--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -214,13 +214,13 @@
     }
 
     /// Records the incarnation and the clock of a daemon, unless a later incarnation is known.
-    pub fn note_incarnation(
+    pub fn record_incarnation(
         &mut self,
         vm: &VmId,
         incarnation: Incarnation,
         now_ms: u64,
     ) -> CommandOutcome {
-        self.daemons.note(vm, incarnation, now_ms)
+        self.daemons.record_incarnation(vm, incarnation, now_ms)
     }
 
     /// Records that all attempts of a daemon's incarnation below `floor` have ended. Calls that
--- a/src/control/ledger/daemon_incarnations.rs
+++ b/src/control/ledger/daemon_incarnations.rs
@@ -80,7 +80,12 @@
     }
 
     /// Records the incarnation and the clock of a daemon, unless a later incarnation is known.
-    pub fn note(&mut self, vm: &VmId, incarnation: Incarnation, now_ms: u64) -> CommandOutcome {
+    pub fn record_incarnation(
+        &mut self,
+        vm: &VmId,
+        incarnation: Incarnation,
+        now_ms: u64,
+    ) -> CommandOutcome {
         if let Err(outcome) = self.record(vm, incarnation, now_ms) {
             return outcome;
         }
--- a/src/control/orders.rs
+++ b/src/control/orders.rs
@@ -37,10 +37,10 @@
 impl From<LegacyWeightOrders> for WeightOrders {
     /// Keeps the version with the highest fencing number, under the number of its first entry.
     fn from(legacy: LegacyWeightOrders) -> Self {
-        let mut noted: Vec<_> = legacy.desired.into_iter().collect();
-        noted.sort_by_key(|(_, (_, number))| *number);
+        let mut by_number: Vec<_> = legacy.desired.into_iter().collect();
+        by_number.sort_by_key(|(_, (_, number))| *number);
         let mut orders = WeightOrders::default();
-        for ((_server, model), (weights, number)) in noted {
+        for ((_server, model), (weights, number)) in by_number {
             orders.desire(&model, &weights, number);
         }
         orders
@@ -90,7 +90,12 @@
     }
 
     /// Records a crash count. A lower count than the known one does not replace it.
-    pub fn note(&mut self, fingerprint: u64, crashes: u32, index: LogIndex) -> CommandOutcome {
+    pub fn record_crashes(
+        &mut self,
+        fingerprint: u64,
+        crashes: u32,
+        index: LogIndex,
+    ) -> CommandOutcome {
         let known = self.suspects.entry(fingerprint).or_default();
         *known = (known.0.max(crashes), index);
         if self.suspects.len() > SUSPECTS {
--- a/src/control/replica/contacts.rs
+++ b/src/control/replica/contacts.rs
@@ -26,7 +26,7 @@
 
 impl ContactList {
     /// Adds VMs that were just named.
-    pub fn note(&mut self, named: BTreeSet<VmId>) {
+    pub fn insert(&mut self, named: BTreeSet<VmId>) {
         self.vms.retain(|vm| !named.contains(vm));
         self.vms.extend(named);
         let surplus = self.vms.len().saturating_sub(MAX_CONTACTS);
@@ -45,12 +45,12 @@
         self.settings.founders.union(&self.configured_peers).cloned().collect()
     }
 
-    pub(super) fn note_contacts(&mut self, group: Option<GroupId>, mut named: BTreeSet<VmId>) {
+    pub(super) fn record_contacts(&mut self, group: Option<GroupId>, mut named: BTreeSet<VmId>) {
         let is_foreign =
             group.zip(self.hard_state.group).is_some_and(|(theirs, own)| theirs != own);
         if !is_foreign {
             named.remove(&self.settings.vm);
-            self.contacts.note(named);
+            self.contacts.insert(named);
         }
     }
 
--- a/src/control/replica/follower.rs
+++ b/src/control/replica/follower.rs
@@ -75,13 +75,13 @@
         match message.body {
             MessageBody::Heartbeat { commit, target, .. } => {
                 self.commit_to(commit);
-                self.note_target(now, target);
+                self.record_target(now, target);
                 self.reply(&address, MessageBody::HeartbeatReply { round });
             }
             MessageBody::Append { prev_index, prev_term, entries, commit, target, .. } => {
                 let appended = AppendedEntries { prev_index, prev_term, entries, commit };
                 self.receive_entries(&address, appended);
-                self.note_target(now, target);
+                self.record_target(now, target);
             }
             MessageBody::SnapshotChunk { head, offset, total, data, .. } => {
                 self.receive_chunk(&address, head, (offset, total), &data);
--- a/src/control/replica/freshness.rs
+++ b/src/control/replica/freshness.rs
@@ -9,7 +9,7 @@
 
 impl Replica {
     /// Records the target index sent by the leader.
-    pub(super) fn note_target(&mut self, now: Instant, target: LogIndex) {
+    pub(super) fn record_target(&mut self, now: Instant, target: LogIndex) {
         if self.applied >= target {
             self.fresh_at = Some(now);
         }
--- a/src/control/replica/receive.rs
+++ b/src/control/replica/receive.rs
@@ -18,10 +18,10 @@
         }
         if is_for_other_disk {
             // The sender knows a former disk of this VM, and therefore the group.
-            return self.note_contacts(message.group, BTreeSet::from([from]));
+            return self.record_contacts(message.group, BTreeSet::from([from]));
         }
         if let MessageBody::Contacts { vms } = message.body {
-            return self.note_contacts(message.group, vms);
+            return self.record_contacts(message.group, vms);
         }
         self.observe_peer(now, &from, &message);
         if matches!(message.body, MessageBody::Probe { .. }) {
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -113,7 +113,7 @@
             | Command::Release { .. }
             | Command::MarkUnknown { .. } => self.apply_claim(command),
             Command::NoteLife { vm, incarnation, now_ms } => {
-                self.ledger.note_incarnation(vm, *incarnation, *now_ms)
+                self.ledger.record_incarnation(vm, *incarnation, *now_ms)
             }
             Command::EndAttempts { vm, incarnation, floor, now_ms } => {
                 self.ledger.end_attempts(vm, *incarnation, *floor, *now_ms)
@@ -121,7 +121,7 @@
             Command::DesireWeights { model, weights, .. }
             | Command::DesireModel { model, weights } => self.orders.desire(model, weights, number),
             Command::NoteSuspect { fingerprint, strikes } => {
-                self.suspects.note(*fingerprint, *strikes, number.index)
+                self.suspects.record_crashes(*fingerprint, *strikes, number.index)
             }
             Command::PutDocument { number, body } => self.documents.put(*number, body),
             Command::NameWeights { model, version } => self.documents.name_weights(model, *version),
--- a/src/daemon/lifecycle.rs
+++ b/src/daemon/lifecycle.rs
@@ -31,7 +31,7 @@
         observe::metrics::{self as measures, MetricsError},
         options::{DaemonOptions, DaemonRole},
         pipeline::{
-            CoreParts, DispatcherHandle, DrainGate, PipelineCore, TraceLog,
+            CoreDependencies, DispatcherHandle, DrainGate, PipelineCore, TraceLog,
             deduplicate::{announce_incarnation, report_attempt_floor},
             dispatch::DispatchTask,
         },
@@ -353,7 +353,7 @@
         seed: random_seed(),
         disabled: options.life.disabled.clone(),
     });
-    PipelineCore::new(CoreParts {
+    PipelineCore::new(CoreDependencies {
         vm: options.identity.vm.clone(),
         incarnation: fresh_incarnation(),
         dispatcher: DispatcherHandle::new(dispatcher, duties, Arc::clone(&trace)),
--- a/src/fleet/history.rs
+++ b/src/fleet/history.rs
@@ -55,7 +55,7 @@
     /// Returns the update from the list with digest `held` to the list `current`; `None` if the
     /// lists are equal.
     pub fn change_since(&mut self, held: u64, current: &Arc<FleetSnapshot>) -> Option<FleetChange> {
-        let digest = self.note(current);
+        let digest = self.record_list(current);
         if digest == 0 || digest == held {
             return None;
         }
@@ -72,7 +72,7 @@
 
     /// Returns the digest of the current list, which is computed once regardless of the number of
     /// followers.
-    fn note(&mut self, current: &Arc<FleetSnapshot>) -> u64 {
+    fn record_list(&mut self, current: &Arc<FleetSnapshot>) -> u64 {
         if let Some((digest, last)) = self.published.back()
             && Arc::ptr_eq(last, current)
         {
--- a/src/fleet/watch.rs
+++ b/src/fleet/watch.rs
@@ -209,7 +209,7 @@
 impl ListMonitor {
     /// Records whether the list of `servers` servers was just confirmed. Returns true if a change
     /// was logged.
-    pub fn note(&mut self, confirmed: bool, servers: usize) -> bool {
+    pub fn record_confirmation(&mut self, confirmed: bool, servers: usize) -> bool {
         match (confirmed, self.unconfirmed_since) {
             (false, None) => {
                 self.unconfirmed_since = Some(Instant::now());
@@ -240,7 +240,7 @@
             let reading = source.read().await;
             let known = view.subscribe().borrow().servers.len();
             let servers = reading.as_ref().map_or(known, |snapshot| snapshot.servers.len());
-            monitor.note(reading.is_some(), servers);
+            monitor.record_confirmation(reading.is_some(), servers);
             reading.into_iter().for_each(|snapshot| view.apply_reading(snapshot));
         }
         sleep(READ_INTERVAL).await;
--- a/src/http_api/caller.rs
+++ b/src/http_api/caller.rs
@@ -424,7 +424,7 @@
     });
     match tokio::time::timeout_at(deadline.into(), running).await {
         Ok(Ok(result)) => result,
-        Err(_) if fuse.try_give_up() => Err(deadline_refusal()),
+        Err(_) if fuse.try_abandon() => Err(deadline_refusal()),
         Ok(Err(_)) | Err(_) => {
             let message = "the call did not end within the deadline and may still run; \
                            resend it with the same key";
--- a/src/pipeline.rs
+++ b/src/pipeline.rs
@@ -19,7 +19,7 @@
 pub mod usage;
 
 pub use self::{
-    core::{CoreParts, PipelineCore, ServingConfig},
+    core::{CoreDependencies, PipelineCore, ServingConfig},
     dispatch::{DispatchDirective, DispatcherHandle},
     drain::DrainGate,
     refusal::CallerRefusal,
--- a/src/pipeline/core.rs
+++ b/src/pipeline/core.rs
@@ -88,7 +88,7 @@
 }
 
 /// Arguments of [`PipelineCore::new`].
-pub struct CoreParts {
+pub struct CoreDependencies {
     /// The VM that the daemon runs on.
     pub vm: VmId,
     /// The incarnation of the daemon process.
@@ -127,8 +127,8 @@
 
 impl PipelineCore {
     /// Creates a core with an empty configuration of revision 0.
-    pub fn new(parts: CoreParts) -> Arc<Self> {
-        let CoreParts { vm, incarnation, dispatcher, control, gate, trace } = parts;
+    pub fn new(dependencies: CoreDependencies) -> Arc<Self> {
+        let CoreDependencies { vm, incarnation, dispatcher, control, gate, trace } = dependencies;
         Arc::new(PipelineCore {
             vm,
             incarnation,
--- a/src/pipeline/deduplicate.rs
+++ b/src/pipeline/deduplicate.rs
@@ -426,7 +426,7 @@
 
 impl CallClaim<Sent> {
     /// Restores the claim, because sending failed before the first byte was written.
-    pub fn nothing_sent(self) -> CallClaim<Claimed> {
+    pub fn restore_unsent(self) -> CallClaim<Claimed> {
         self.into_stage(ClaimStage::MayBeReserved)
     }
 
--- a/src/pipeline/send_state.rs
+++ b/src/pipeline/send_state.rs
@@ -5,7 +5,7 @@
 const UNSENT: u8 = 0;
 const UNCERTAIN: u8 = 1;
 const SENT: u8 = 2;
-const GIVEN_UP: u8 = 3;
+const ABANDONED: u8 = 3;
 
 /// Tracks whether a non-repeatable call may have run.
 ///
@@ -38,8 +38,8 @@
 
     /// Ends the call at its deadline. Returns `true` if nothing was sent and nothing will be sent.
     #[must_use]
-    pub fn try_give_up(&self) -> bool {
-        self.change(UNSENT, GIVEN_UP)
+    pub fn try_abandon(&self) -> bool {
+        self.change(UNSENT, ABANDONED)
     }
 
     fn change(&self, from: u8, to: u8) -> bool {
--- a/src/pipeline/service_call.rs
+++ b/src/pipeline/service_call.rs
@@ -148,7 +148,7 @@
                 return Ok(finish(&core, &call, &handle, order.attempt, response));
             }
             Err(error) if error.nothing_sent() => {
-                claim = sent.nothing_sent();
+                claim = sent.restore_unsent();
                 send_state.reset();
                 core.trace.record(&call.request, format!("nothing was sent: {error}"));
                 report_failure(&handle, order.attempt, error.failure(), None);
--- a/src/policy/dispatcher/arrivals.rs
+++ b/src/policy/dispatcher/arrivals.rs
@@ -74,7 +74,7 @@
         }
         let pool = self.table.by_key.get(&PoolKey::of(&ticket.work));
         let members = pool.map_or(&[][..], |pool| &self.table.pools[*pool].members[..]);
-        let served = members.iter().any(|index| self.table.servers[*index].takes_work());
+        let served = members.iter().any(|index| self.table.servers[*index].accepts_requests());
         // A status call must be answered, so it waits for a server until its deadline.
         let waits = !members.is_empty() && ticket.is_status_call();
         (!served && !waits).then_some((RefusalReason::NoServer, Some(NO_SERVER_PAUSE)))
@@ -91,7 +91,7 @@
         let RequestWork::Model { levels, prompt_tokens, max_output_tokens, .. } = work else {
             return MIN_COST;
         };
-        let held = levels.iter().rev().find(|level| self.prefix_table.knows(level.hash));
+        let held = levels.iter().rev().find(|level| self.prefix_table.contains(level.hash));
         let held = held.map_or(0, |level| level.tokens);
         let prompt = u64::from(prompt_tokens.saturating_sub(held));
         let output = self.expected_output(pool, *max_output_tokens);
@@ -130,7 +130,7 @@
     /// holds the best known prefix.
     pub(super) fn min_first_token(&self, pool: PoolIndex, work: &RequestWork) -> f64 {
         let RequestWork::Model { levels, prompt_tokens, .. } = work else { return 0.0 };
-        let held = levels.iter().rev().find(|level| self.prefix_table.knows(level.hash));
+        let held = levels.iter().rev().find(|level| self.prefix_table.contains(level.hash));
         let computed = prompt_tokens.saturating_sub(held.map_or(0, |level| level.tokens));
         let rate = self.table.pools[pool].fastest_rate.unwrap_or(f64::INFINITY);
         f64::from(computed) / rate
--- a/src/policy/dispatcher/attempts.rs
+++ b/src/policy/dispatcher/attempts.rs
@@ -69,8 +69,8 @@
         let state = state.clone();
         let taken = now.saturating_duration_since(state.sent);
         let server = &mut self.table.servers[state.server];
-        server.answer(attempt);
-        server.failures.record_answer();
+        server.record_first_token(attempt);
+        server.failures.record_success();
         server.window.record_first_token(now, state.predicted, taken);
         let computed = match cached {
             Some(cached) => (state.computed + state.expected_hit).saturating_sub(cached),
@@ -154,7 +154,7 @@
     /// Removes an attempt from the tables; later events of it are ignored.
     pub(super) fn end_attempt(&mut self, attempt: AttemptId) -> Option<AttemptState> {
         let state = self.attempts.remove(&attempt)?;
-        self.table.servers[state.server].end(attempt, &state);
+        self.table.servers[state.server].end_attempt(attempt, &state);
         if let Some(fingerprint) = state.suspect {
             self.running_suspects.remove(&fingerprint);
         }
@@ -326,7 +326,7 @@
         let fails = match failed.failure {
             AttemptFailure::Stale => return,
             AttemptFailure::CallerError => {
-                server.failures.record_answer();
+                server.failures.record_success();
                 return;
             }
             AttemptFailure::Refused | AttemptFailure::Declined => {
@@ -334,7 +334,7 @@
                 return;
             }
             AttemptFailure::WrongWeights => {
-                server.cache.forget_weights();
+                server.cache.clear_weights();
                 return;
             }
             AttemptFailure::Broken | AttemptFailure::NotConnected => {
--- a/src/policy/dispatcher/reports.rs
+++ b/src/policy/dispatcher/reports.rs
@@ -44,10 +44,10 @@
             return;
         }
         for hash in event.evicted.iter().take(MAX_EVENT_HASHES) {
-            self.prefix_table.forget_hash(*hash, index);
+            self.prefix_table.remove_holder(*hash, index);
         }
         for hash in event.stored.iter().take(MAX_EVENT_HASHES) {
-            if self.prefix_table.knows(*hash) {
+            if self.prefix_table.contains(*hash) {
                 self.prefix_table.record_hash(*hash, index, &self.table.servers[index].cache);
             }
         }
@@ -94,7 +94,7 @@
 
     pub(super) fn record_probe(&mut self, now: Instant, server: &ServerId, answered: bool) {
         let Some(index) = self.table.by_id.get(server).copied() else { return };
-        self.table.servers[index].failures.record_probed(now, answered);
+        self.table.servers[index].failures.record_probe_result(now, answered);
         self.mark_dirty(index);
     }
 }
--- a/src/policy/dispatcher/selection.rs
+++ b/src/policy/dispatcher/selection.rs
@@ -124,9 +124,10 @@
     fn has_room(&self, now: Instant, pool: PoolIndex) -> bool {
         let servers = &self.table.servers;
         let members = &self.table.pools[pool].members;
-        let mut usable = members.iter().filter(|index| servers[**index].takes_work()).peekable();
+        let mut usable =
+            members.iter().filter(|index| servers[**index].accepts_requests()).peekable();
         usable.peek().is_none()
-            || usable.any(|index| self.is_open(now, &servers[*index], WindowPart::Whole))
+            || usable.any(|index| self.is_open(now, &servers[*index], WindowPart::Full))
     }
 
     fn is_open(&self, now: Instant, server: &ServerState, part: WindowPart) -> bool {
@@ -224,7 +225,7 @@
             .members
             .iter()
             .map(|index| &servers[*index])
-            .filter(|server| server.takes_work())
+            .filter(|server| server.accepts_requests())
             .collect();
         if let (Some(pin), RequestWork::Model { model, .. }) =
             (&request.history.weights, &request.ticket.work)
@@ -257,7 +258,7 @@
             affinity = self.affinity_set(now, pool, levels, *prompt_tokens);
         }
         let over = self.table.pools[pool].queue.is_over_share(now, &request.ticket.organisation);
-        let part = if over { WindowPart::Unreserved } else { WindowPart::Whole };
+        let part = if over { WindowPart::Unreserved } else { WindowPart::Full };
         let urgency = self.urgency(pool, request, &hits, over);
         PlacementQuery { request, pool, hits, affinity, suspect, part, urgency }
     }
@@ -338,7 +339,7 @@
     ) -> bool {
         let server = &self.table.servers[index];
         let history = &query.request.history;
-        if !server.takes_work() || !server.pools.contains(&query.pool) {
+        if !server.accepts_requests() || !server.pools.contains(&query.pool) {
             return false;
         }
         if query.suspect && server.suspects > 0 {
--- a/src/policy/dispatcher/servers.rs
+++ b/src/policy/dispatcher/servers.rs
@@ -133,7 +133,7 @@
     }
 
     /// Returns whether it may get new requests at all.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         self.listed
             && self.reachable
             && !self.leaving
@@ -145,7 +145,7 @@
     /// started there could not be resumed, and no cache hits are expected.
     pub fn is_usable(&self) -> bool {
         let reserved = matches!(self.health, ServerHealth::Reserved { .. });
-        self.takes_work() && !reserved && !self.failures.is_ejected() && !self.unverified
+        self.accepts_requests() && !reserved && !self.failures.is_ejected() && !self.unverified
     }
 
     /// Returns the weights that new answers will be generated with, if known for certain.
@@ -179,7 +179,7 @@
     }
 
     /// Records an attempt that was sent.
-    pub fn begin(&mut self, attempt: AttemptId, state: &AttemptState) {
+    pub fn begin_attempt(&mut self, attempt: AttemptId, state: &AttemptState) {
         self.in_flight += 1;
         self.suspects += u32::from(state.suspect.is_some());
         self.pending_tokens[state.urgency] += u64::from(state.computed);
@@ -194,15 +194,15 @@
     }
 
     /// Records the first token of an attempt.
-    pub fn answer(&mut self, attempt: AttemptId) {
+    pub fn record_first_token(&mut self, attempt: AttemptId) {
         if let Some(unanswered) = self.unanswered.remove(&attempt) {
             self.pending_tokens[unanswered.urgency] -= u64::from(unanswered.tokens);
         }
     }
 
     /// Records the end of an attempt.
-    pub fn end(&mut self, attempt: AttemptId, state: &AttemptState) {
-        self.answer(attempt);
+    pub fn end_attempt(&mut self, attempt: AttemptId, state: &AttemptState) {
+        self.record_first_token(attempt);
         self.in_flight -= 1;
         self.suspects -= u32::from(state.suspect.is_some());
     }
--- a/src/policy/dispatcher/timers.rs
+++ b/src/policy/dispatcher/timers.rs
@@ -68,7 +68,7 @@
         self.ejected.retain(|index| {
             let server = &mut self.table.servers[*index];
             if server.listed && server.failures.probe_due().is_some_and(|at| at <= now) {
-                server.failures.record_probing();
+                server.failures.record_probe_sent();
                 let server = server.id.clone();
                 self.actions.push(PolicyAction::Probe { server });
             }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -54,7 +54,7 @@
     }
 
     /// Records a successful answer, which ends an ejection.
-    pub fn record_answer(&mut self) {
+    pub fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.ejected_until = None;
         self.probing = false;
@@ -80,13 +80,13 @@
     }
 
     /// Records that a probe was sent.
-    pub fn record_probing(&mut self) {
+    pub fn record_probe_sent(&mut self) {
         self.probing = true;
     }
 
     /// Records the result of a probe. A response readmits the server on probation, so that the next
     /// failure ejects it again; no response extends the ejection.
-    pub fn record_probed(&mut self, now: Instant, answered: bool) {
+    pub fn record_probe_result(&mut self, now: Instant, answered: bool) {
         if self.ejected_until.is_none() {
             return;
         }
--- a/src/policy/prefix.rs
+++ b/src/policy/prefix.rs
@@ -155,7 +155,7 @@
     }
 
     /// Clears the loaded weights, for example after an answer from other weights.
-    pub fn forget_weights(&mut self) {
+    pub fn clear_weights(&mut self) {
         self.weights.clear();
         self.generation += 1;
     }
@@ -284,14 +284,14 @@
     }
 
     /// Removes `server` from the holders of the prefix `hash`.
-    pub fn forget_hash(&mut self, hash: u64, server: ServerIndex) {
+    pub fn remove_holder(&mut self, hash: u64, server: ServerIndex) {
         if let Some(entry) = self.entries.get_mut(&hash) {
             entry.holders.retain(|holder| holder.server != server);
         }
     }
 
     /// Returns whether the prefix `hash` is tracked.
-    pub fn knows(&self, hash: u64) -> bool {
+    pub fn contains(&self, hash: u64) -> bool {
         self.entries.contains_key(&hash)
     }
 
--- a/src/policy/window.rs
+++ b/src/policy/window.rs
@@ -60,8 +60,8 @@
 /// The part of a window that a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WindowPart {
-    /// The whole window.
-    Whole,
+    /// The full window.
+    Full,
     /// The part that is not reserved for organisations within their share.
     Unreserved,
 }
@@ -116,7 +116,7 @@
     pub fn is_open(&self, now: Instant, own: u32, part: WindowPart) -> bool {
         let next = f64::from(own) + 1.0;
         let fits = match part {
-            WindowPart::Whole => next <= self.limit + EXTRA_REQUESTS,
+            WindowPart::Full => next <= self.limit + EXTRA_REQUESTS,
             WindowPart::Unreserved => {
                 let slots = f64::from(self.slots);
                 next <= self.limit && next + self.others(now) <= slots * (1.0 - RESERVED_FRACTION)
--- a/src/reverse_proxy/core.rs
+++ b/src/reverse_proxy/core.rs
@@ -29,7 +29,7 @@
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 
 /// Arguments of [`ProxyCore::new`].
-pub struct ProxyParts {
+pub struct ProxyDependencies {
     /// The VM that the process runs on.
     pub vm: VmId,
     /// What the placement of requests optimises.
@@ -65,8 +65,8 @@
 
 impl ProxyCore {
     /// Creates a core with an empty view.
-    pub fn new(parts: ProxyParts) -> Arc<Self> {
-        let ProxyParts { vm, objective, dialect, dispatcher } = parts;
+    pub fn new(dependencies: ProxyDependencies) -> Arc<Self> {
+        let ProxyDependencies { vm, objective, dialect, dispatcher } = dependencies;
         Arc::new(ProxyCore {
             vm,
             dialect,
--- a/src/roles/entry.rs
+++ b/src/roles/entry.rs
@@ -18,7 +18,7 @@
         pipeline::{DispatcherHandle, TraceLog, dispatch::DispatchTask},
         policy::{Dispatcher, DispatcherSettings, PolicyInput, SafeguardSet},
         reverse_proxy::{
-            CallerListener, ProxyCore, WireDialect, core::ProxyParts,
+            CallerListener, ProxyCore, WireDialect, core::ProxyDependencies,
             store_monitor::monitor_cache_store, view::ProxyView,
         },
         routing::{RouteFault, RouteIndex, RouteTable},
@@ -238,7 +238,7 @@
     fn reply_received(&self, reply: &FollowReply, state: &SharedState) {
         let known = state.fleet.as_ref().map_or(0, |fleet| fleet.servers.len());
         let mut notice = self.notice.lock().unwrap_or_else(PoisonError::into_inner);
-        notice.note(reply.list_fresh, known);
+        notice.record_confirmation(reply.list_fresh, known);
     }
 }
 
@@ -258,7 +258,8 @@
     });
     let (duties, duty_queue) = mpsc::channel(DUTY_QUEUE_LENGTH);
     let port = DispatcherHandle::new(dispatcher, duties, Arc::new(TraceLog::default()));
-    let core = ProxyCore::new(ProxyParts { vm, objective, dialect, dispatcher: Arc::clone(&port) });
+    let core =
+        ProxyCore::new(ProxyDependencies { vm, objective, dialect, dispatcher: Arc::clone(&port) });
     tasks.spawn(async move { port.run_wakeups().await });
     tasks.spawn(run_duties(Arc::clone(&core), duty_queue));
     tasks.spawn(monitor_cache_store(Arc::clone(&core)));
--- a/tests/claim_release.rs
+++ b/tests/claim_release.rs
@@ -9,7 +9,7 @@
         ids::FencingNumber,
         inventory::RequestClass,
         pipeline::{
-            CoreParts, DispatcherHandle, DrainGate, PipelineCore, TraceLog,
+            CoreDependencies, DispatcherHandle, DrainGate, PipelineCore, TraceLog,
             deduplicate::{CallClaim, ClaimResult, Claimed, claim, report_attempt_floor},
             limit::CallerContext,
             send_state::SendState,
@@ -119,7 +119,7 @@
         seed: 1,
         disabled: SafeguardSet::default(),
     });
-    PipelineCore::new(CoreParts {
+    PipelineCore::new(CoreDependencies {
         vm: vm.to_owned(),
         incarnation: 1,
         dispatcher: DispatcherHandle::new(dispatcher, mpsc::channel(1).0, Arc::clone(&trace)),
--- a/tests/prefix_levels.rs
+++ b/tests/prefix_levels.rs
@@ -87,5 +87,5 @@
         table.record_hash(7, hash as usize % 40, &cache);
     }
     assert_eq!(table.len(), 64);
-    assert!(table.knows(7) && !table.knows(8));
+    assert!(table.contains(7) && !table.contains(8));
 }
--- a/tests/send_state.rs
+++ b/tests/send_state.rs
@@ -7,20 +7,20 @@
 #[test]
 fn deadline_and_sending_are_exclusive() {
     let first = SendState::default();
-    assert!(first.try_give_up(), "nothing was sent yet");
+    assert!(first.try_abandon(), "nothing was sent yet");
     assert!(!first.try_send(), "the caller was told that nothing will be sent");
     let second = SendState::default();
     assert!(second.try_send());
-    assert!(!second.try_give_up(), "the call may have run");
+    assert!(!second.try_abandon(), "the call may have run");
     second.reset();
-    assert!(second.try_give_up(), "the attempt sent nothing");
+    assert!(second.try_abandon(), "the attempt sent nothing");
 }
 
 #[test]
 fn another_run_with_the_key_leaves_the_outcome_unknown() {
     let send_state = SendState::default();
     send_state.mark_uncertain();
-    assert!(!send_state.try_give_up(), "the observed run may be the caller's own");
+    assert!(!send_state.try_abandon(), "the observed run may be the caller's own");
     assert!(send_state.try_send(), "the other claim was released, so this call may be sent");
 }
 
@@ -28,11 +28,11 @@
 fn race_has_one_winner() {
     for _ in 0..200 {
         let send_state = SendState::default();
-        let (sent, gave_up) = std::thread::scope(|scope| {
+        let (sent, abandoned) = std::thread::scope(|scope| {
             let sender = scope.spawn(|| send_state.try_send());
-            let gave_up = send_state.try_give_up();
-            (sender.join().expect("no panic"), gave_up)
+            let abandoned = send_state.try_abandon();
+            (sender.join().expect("no panic"), abandoned)
         });
-        assert_ne!(sent, gave_up);
+        assert_ne!(sent, abandoned);
     }
 }
--- a/tests/uncertain_refusal.rs
+++ b/tests/uncertain_refusal.rs
@@ -9,8 +9,8 @@
         daemon::ControlPort,
         inventory::RequestClass,
         pipeline::{
-            CoreParts, DispatcherHandle, DrainGate, PipelineCore, TraceLog, deduplicate::claim,
-            limit::CallerContext, send_state::SendState,
+            CoreDependencies, DispatcherHandle, DrainGate, PipelineCore, TraceLog,
+            deduplicate::claim, limit::CallerContext, send_state::SendState,
         },
         policy::{DidRun, Dispatcher, DispatcherSettings, SafeguardSet},
     },
@@ -48,7 +48,7 @@
         seed: 1,
         disabled: SafeguardSet::default(),
     });
-    let core = PipelineCore::new(CoreParts {
+    let core = PipelineCore::new(CoreDependencies {
         vm: "a-1".to_owned(),
         incarnation: 1,
         dispatcher: DispatcherHandle::new(dispatcher, mpsc::channel(1).0, Arc::clone(&trace)),
