--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -23,7 +23,7 @@
     Refuse {
         /// The request.
         request: RequestId,
-        /// The reason, for metrics and answers.
+        /// The reason, for metrics and responses.
         reason: RefusalReason,
         /// Suggested delay before the caller retries; `None` if retrying does not help.
         retry_after: Option<Duration>,
@@ -41,7 +41,7 @@
     CountRetry {
         /// The request.
         request: RequestId,
-        /// The reason, for metrics and answers.
+        /// The reason, for metrics and responses.
         reason: RetryReason,
     },
 }
@@ -138,7 +138,7 @@
         RefusalReason::NotResumable,
     ];
 
-    /// Returns the name used in metrics and answers.
+    /// Returns the name used in metrics and responses.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalReason::DeadlineUnreachable => "deadline_unreachable",
@@ -166,7 +166,7 @@
     BrokenBeforeToken,
     /// The stream broke and is resumed after the relayed tokens.
     StreamResumed,
-    /// The server answered with a 5xx status.
+    /// The server responded with a 5xx status.
     ServerError,
     /// The server sent nothing within the timeout.
     TimedOut,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Admission control: refuses requests whose deadline cannot be met.
 //!
 //! Without admission control, the queue grows under overload until every request waits slightly
-//! longer than its caller does. The servers then stay busy with answers that no caller waits for,
+//! longer than its caller does. The servers then stay busy with responses that no caller waits for,
 //! and goodput drops to zero while load is highest.
 //!
 //! The expected wait is the cost queued ahead divided by the measured drain rate. A request that
--- a/src/policy/dispatcher.rs
+++ b/src/policy/dispatcher.rs
@@ -267,8 +267,9 @@
     fn configure(&mut self, view: Arc<PolicyView>) {
         let daemons = view.daemons.values().map(BTreeMap::len).sum::<usize>().max(1);
         let fair = self.is_enabled(PolicySafeguard::Fairness);
-        let make = move || if fair { FairQueue::default() } else { FairQueue::in_arrival_order() };
-        self.table.configure(&view, daemons, make);
+        let make_queue =
+            move || if fair { FairQueue::default() } else { FairQueue::in_arrival_order() };
+        self.table.configure(&view, daemons, make_queue);
         let prompt_keeps =
             view.servers.values().filter(|server| server.kind == ServerKind::PromptKeep);
         self.prompt_keeps = prompt_keeps.count();
--- a/src/policy/dispatcher/affinity.rs
+++ b/src/policy/dispatcher/affinity.rs
@@ -44,8 +44,8 @@
     ///
     /// The selection narrows from level to level: among the servers selected by the hash of the
     /// first level, the next level selects as many as its load needs, and so on until one is left.
-    /// So the contracts of one organisation are spread over several servers, while each contract
-    /// has one server.
+    /// Prompts with a common first level, such as those of one organisation, are distributed over
+    /// several servers, while prompts that also share the next levels use the same server.
     pub(super) fn affinity_set(
         &self,
         now: Instant,
@@ -55,8 +55,8 @@
     ) -> AffinitySet {
         let state = &self.table.pools[pool];
         let Some(first) = levels.first() else { return AffinitySet::default() };
-        let wanted = self.root_width(now, pool, first, prompt_tokens);
-        let mut servers = self.root_servers(state, first, wanted);
+        let count = self.root_width(now, pool, first, prompt_tokens);
+        let mut servers = self.root_servers(state, first, count);
         let mut tokens = first.tokens;
         for level in levels.iter().take(AFFINITY_LEVELS).skip(1) {
             if servers.len() <= 1 {
@@ -69,17 +69,17 @@
         AffinitySet { servers, tokens }
     }
 
-    /// Returns the first `wanted` usable servers for the first level on the ring.
+    /// Returns the first `count` usable servers for the first level on the ring.
     fn root_servers(
         &self,
         state: &PoolState,
         first: &PrefixLevel,
-        wanted: usize,
+        count: usize,
     ) -> Vec<ServerIndex> {
-        let mut servers = Vec::with_capacity(wanted);
+        let mut servers = Vec::with_capacity(count);
         let mut seen = vec![false; self.table.servers.len()];
         for index in state.ring.affinity_servers(first.hash) {
-            if servers.len() >= wanted {
+            if servers.len() >= count {
                 break;
             }
             let repeated = std::mem::replace(&mut seen[index], true);
@@ -110,9 +110,9 @@
 
     /// Returns the number of servers for the first level.
     ///
-    /// A first level that is longer than all that follows is the part worth caching. Spread over
-    /// many servers, its copies would evict each other, and each prompt would be computed
-    /// completely, so its number of servers depends only on its load.
+    /// A first level that is longer than the rest of the prompt is most of what caching saves. If
+    /// it were distributed over many servers, its copies would evict each other and each prompt
+    /// would be computed completely, so its number of servers depends only on its load.
     fn root_width(
         &self,
         now: Instant,
--- a/src/policy/dispatcher/arrivals.rs
+++ b/src/policy/dispatcher/arrivals.rs
@@ -21,9 +21,9 @@
 };
 
 /// Suggested retry delay if no server offers the model: about the restart time of an engine.
-const NO_SERVER_PAUSE: Duration = Duration::from_secs(2);
+const NO_SERVER_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Assumed output tokens of an answer before any measurement.
+/// Assumed output tokens of a response before any measurement.
 const INITIAL_OUTPUT: f64 = 128.0;
 
 impl Dispatcher {
@@ -39,16 +39,16 @@
         }
         let Some(pool) = self.table.by_key.get(&PoolKey::of(&ticket.work)).copied() else { return };
         let cost = self.estimate_cost(pool, &ticket.work);
-        if let Some(pause) = self.check_deadline(now, pool, &ticket, cost) {
+        if let Some(retry_after) = self.check_deadline(now, pool, &ticket, cost) {
             let reason = RefusalReason::DeadlineUnreachable;
-            self.refuse(ticket.request, reason, Some(pause), DidRun::No);
+            self.refuse(ticket.request, reason, Some(retry_after), DidRun::No);
             return;
         }
         if !self.make_room(now, pool, &ticket) {
             let over = self.table.pools[pool].queue.depth(&ticket.organisation) > MAX_WAITING / 2;
             let reason = if over { RefusalReason::OverShare } else { RefusalReason::QueueFull };
-            let pause = self.drain_pause(pool, cost);
-            self.refuse(ticket.request, reason, Some(pause), DidRun::No);
+            let retry_after = self.drain_delay(pool, cost);
+            self.refuse(ticket.request, reason, Some(retry_after), DidRun::No);
             return;
         }
         if let RequestWork::Model { levels, .. } = &ticket.work {
@@ -77,7 +77,7 @@
         let served = members.iter().any(|index| self.table.servers[*index].accepts_requests());
         // A status call must be answered, so it waits for a server until its deadline.
         let waits = !members.is_empty() && ticket.is_status_call();
-        (!served && !waits).then_some((RefusalReason::NoServer, Some(NO_SERVER_PAUSE)))
+        (!served && !waits).then_some((RefusalReason::NoServer, Some(NO_SERVER_RETRY_AFTER)))
     }
 
     pub(super) fn has_crashed_servers(&self, now: Instant, fingerprint: u64) -> bool {
@@ -138,7 +138,7 @@
 
     /// Returns how long the queue takes to drain `cost`, limited to the range of suggested retry
     /// delays.
-    pub(super) fn drain_pause(&self, pool: PoolIndex, cost: u64) -> Duration {
+    pub(super) fn drain_delay(&self, pool: PoolIndex, cost: u64) -> Duration {
         admission::clamp_retry_after(self.table.pools[pool].drain.time_for(cost))
     }
 
@@ -151,8 +151,13 @@
         }
         let own = queue.depth(&ticket.organisation);
         let Some(shed_candidate) = queue.shed_candidate(ticket.class, own) else { return false };
-        let pause = self.drain_pause(pool, shed_candidate.cost);
-        self.refuse_waiting(now, shed_candidate.number, RefusalReason::QueueFull, Some(pause));
+        let retry_after = self.drain_delay(pool, shed_candidate.cost);
+        self.refuse_waiting(
+            now,
+            shed_candidate.number,
+            RefusalReason::QueueFull,
+            Some(retry_after),
+        );
         true
     }
 
@@ -225,11 +230,10 @@
     /// Handles the disconnection of a caller: a waiting request is dropped, and a running one
     /// releases its slot.
     ///
-    /// A non-repeatable call is not cancelled at its server, since it may be partly done. Its slot
-    /// is released nevertheless: no further event of it arrives, so it would count as running, and
-    /// as more and more overdue, until the server got no requests at all. A call whose answer is
-    /// kept for a resend stays attached until it ends, whether or not its caller is still
-    /// connected.
+    /// A non-repeatable call is not cancelled at its server, since it may be partly executed. Its
+    /// slot is released nevertheless: no further event of it arrives, so it would count as
+    /// increasingly overdue until the server got no requests at all. A call whose response is
+    /// stored for resends is not affected, because its task runs to its end without the caller.
     pub(super) fn handle_disconnect(&mut self, now: Instant, request: &RequestId) {
         let Some(number) = self.numbers.remove(request) else { return };
         if self.dequeue(now, number).is_some() {
--- a/src/policy/dispatcher/attempts.rs
+++ b/src/policy/dispatcher/attempts.rs
@@ -23,20 +23,21 @@
 /// Smoothing factor of a pool's mean output, service time and affinity hit ratio.
 const MEAN_STEP: f64 = 0.05;
 
-/// Suggested retry delay, and window pause, after a failure for which the server gave none.
-const FAILURE_PAUSE: Duration = Duration::from_secs(1);
+/// Suggested retry delay, and minimum interval between two decreases of a window, after a failure
+/// for which the server requested no delay.
+const FAILURE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Minimum retry delay of a status call that no budget covers. It must be answered, so it is
 /// retried until its deadline, but at most once per second.
-const UNPAID_RETRY_PAUSE: Duration = Duration::from_secs(1);
+const UNBUDGETED_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Minimum retry delay of a request whose connection failed while no server of its pool is usable,
 /// for example when some engines crash while others load weights. A server restarts within a second
 /// or two. Without the delay, a request uses up its four attempts within 0.1 s on a server that
 /// refuses connections; with it they extend over 0.9 to 1.8 s.
-const NO_USABLE_SERVER_PAUSE: Duration = Duration::from_millis(300);
+const NO_USABLE_SERVER_DELAY: Duration = Duration::from_millis(300);
 
-/// The end of an attempt without a complete answer.
+/// The end of an attempt without a complete response.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedAttempt {
     /// The kind of failure.
@@ -78,7 +79,7 @@
         };
         server.speed.record_first_token(now, f64::from(computed), taken);
         self.update_speeds(state.server);
-        self.learn_cache_contents(&state, cached, computed);
+        self.update_cache_contents(&state, cached, computed);
         self.mark_dirty(state.server);
     }
 
@@ -100,11 +101,11 @@
     }
 
     /// Updates what the server's cache holds after a prompt was computed.
-    fn learn_cache_contents(&mut self, state: &AttemptState, cached: Option<u32>, computed: u32) {
+    fn update_cache_contents(&mut self, state: &AttemptState, cached: Option<u32>, computed: u32) {
         let server = &mut self.table.servers[state.server];
         server.cache.advance(computed);
-        // The server's incarnation or weights changed after the attempt was sent, so the answer
-        // says nothing about the current cache.
+        // The server's incarnation or weights changed after the attempt was sent, so the response
+        // does not describe the current cache.
         if server.cache.generation() != state.generation || server.unverified {
             return;
         }
@@ -230,11 +231,11 @@
         }
         let Some(reason) = retry::reason_of(failed.failure, relayed) else { return };
         let FailedRequest { pool, cost, sent } = request;
-        let pause = self.retry_pause(now, pool, &sent, failed);
-        let admitted = match (sent, pause) {
+        let retry_at = self.retry_time(now, pool, &sent, failed);
+        let admitted = match (sent, retry_at) {
             (SentRequest::Repeatable(staged), Some(at)) => staged.retry(at, reason),
-            (SentRequest::NonRepeatable(staged), pause) => {
-                match (NotExecutedProof::from_failure(failed.failure), pause) {
+            (SentRequest::NonRepeatable(staged), retry_at) => {
+                match (NotExecutedProof::from_failure(failed.failure), retry_at) {
                     (Some(proof), Some(at)) => staged.requeue_unsent(proof, at, reason),
                     _ => {
                         self.refuse(name, RefusalReason::ServerFailed, None, did_run);
@@ -244,7 +245,7 @@
             }
             (SentRequest::Repeatable(_), None) => {
                 let reason = RefusalReason::RetriesExhausted;
-                self.refuse(name, reason, Some(FAILURE_PAUSE), did_run);
+                self.refuse(name, reason, Some(FAILURE_RETRY_AFTER), did_run);
                 return;
             }
         };
@@ -281,7 +282,7 @@
 
     /// Returns when the request may be retried; `None` if its attempts or the budgets are
     /// exhausted.
-    fn retry_pause(
+    fn retry_time(
         &mut self,
         now: Instant,
         pool: PoolIndex,
@@ -296,23 +297,23 @@
         let tries = sent.history().tries;
         let mut at = retry::retry_at(now, tries, failed.retry_after, chance);
         if failed.failure == AttemptFailure::NotConnected && !self.has_usable_server(pool) {
-            at = at.max(now + NO_USABLE_SERVER_PAUSE.mul_f64(1.0 + chance));
+            at = at.max(now + NO_USABLE_SERVER_DELAY.mul_f64(1.0 + chance));
         }
-        // If operators limit retries, only those of requests that reached a server count. When a
-        // server crashes, requests not yet delivered go elsewhere free of charge, and the budget is
-        // left for requests interrupted in progress.
+        // If operators limit retries, only retries of requests that reached a server are charged.
+        // When a server crashes, the budget is then available for the requests that it interrupted,
+        // and not used up by requests that were never delivered.
         let reached = failed.failure != AttemptFailure::NotConnected;
-        let free = self.budgets.is_strict() && !reached;
-        let paid = free
+        let exempt = self.budgets.is_strict() && !reached;
+        let covered = exempt
             || !self.is_enabled(PolicySafeguard::RetryBudget)
             || self.budgets.withdraw(&ticket.organisation);
-        if ticket.is_status_call() && (paid || !self.budgets.is_strict()) {
-            let unpaid = now + UNPAID_RETRY_PAUSE.mul_f64(1.0 + chance);
-            return Some(if paid { at } else { at.max(unpaid) });
+        if ticket.is_status_call() && (covered || !self.budgets.is_strict()) {
+            let earliest = now + UNBUDGETED_RETRY_DELAY.mul_f64(1.0 + chance);
+            return Some(if covered { at } else { at.max(earliest) });
         }
         let fits = at < ticket.deadline || sent.history().relayed > 0;
-        let tried = tries >= MAX_TRIES && self.is_enabled(PolicySafeguard::RetryBudget);
-        (paid && fits && !tried).then_some(at)
+        let exhausted = tries >= MAX_TRIES && self.is_enabled(PolicySafeguard::RetryBudget);
+        (covered && fits && !exhausted).then_some(at)
     }
 
     fn has_usable_server(&self, pool: PoolIndex) -> bool {
@@ -330,7 +331,9 @@
                 return;
             }
             AttemptFailure::Refused | AttemptFailure::Declined => {
-                server.window.record_refused(now, failed.retry_after.unwrap_or(FAILURE_PAUSE));
+                server
+                    .window
+                    .record_refused(now, failed.retry_after.unwrap_or(FAILURE_RETRY_AFTER));
                 return;
             }
             AttemptFailure::WrongWeights => {
--- a/src/policy/dispatcher/cache_store.rs
+++ b/src/policy/dispatcher/cache_store.rs
@@ -33,9 +33,9 @@
 
 /// Maximum predicted first-token time in seconds of a prompt that exports its blocks. What a server
 /// computes after a change of weights must not be stored under the salt of its former weights,
-/// where all daemons would use it. A server that loads weights refuses what it has not begun to
-/// answer, so only a prompt that it starts late could cause that; prompts sent to a busy server
-/// therefore export nothing.
+/// where all daemons would use it. A server that loads weights refuses requests that it has not
+/// started, so only a prompt that starts late could cause this, and prompts sent to a busy server
+/// export nothing.
 const EXPORT_WITHIN: f64 = 0.5;
 
 /// Factor by which a daemon may exceed its even share of the link, since callers are spread
--- a/src/policy/dispatcher/peer_fetch.rs
+++ b/src/policy/dispatcher/peer_fetch.rs
@@ -84,8 +84,8 @@
         let weights = self.table.servers[target].certain_weights(model)?;
         // A server with other than the newest named weights may load at any time, even by an order
         // that arrives seconds late. What it still computes then is cached under the salt of its
-        // former weights, and a server that fetched it would answer from cache entries of other
-        // weights.
+        // former weights, and a server that fetched it would generate its response from cache
+        // entries of other weights.
         if self.newest_weights.get(model).is_some_and(|newest| newest != weights) {
             return None;
         }
@@ -110,7 +110,7 @@
             self.table.pools[query.pool]
                 .ring
                 .affinity_servers(first.hash)
-                .find(|one| is_valid_source(*one))
+                .find(|server| is_valid_source(*server))
         };
         affinity_server.map(guess).or(known).or_else(|| next().map(guess))
     }
--- a/src/policy/dispatcher/selection.rs
+++ b/src/policy/dispatcher/selection.rs
@@ -106,8 +106,8 @@
             }
             let waiting =
                 self.table.pools[pool].queue.candidates(MAX_SCANNED, MAX_SCANNED_PER_LANE);
-            let moved = waiting.into_iter().any(|work| self.try_place(now, pool, work));
-            if !moved {
+            let dequeued = waiting.into_iter().any(|work| self.try_place(now, pool, work));
+            if !dequeued {
                 return;
             }
         }
@@ -148,11 +148,11 @@
                 true
             }
             PlacementDecision::Refuse(reason) => {
-                let pause = match reason {
+                let retry_after = match reason {
                     RefusalReason::CrashesServers | RefusalReason::NotResumable => None,
-                    _ => Some(self.drain_pause(pool, work.cost)),
+                    _ => Some(self.drain_delay(pool, work.cost)),
                 };
-                self.refuse_waiting(now, work.number, reason, pause);
+                self.refuse_waiting(now, work.number, reason, retry_after);
                 true
             }
         }
@@ -205,8 +205,8 @@
         let remaining = request.ticket.deadline.saturating_duration_since(now).as_secs_f64();
         let late = best.cost.first_token() > remaining;
         let exempt = request.history.relayed > 0 || request.ticket.is_status_call();
-        // An idle server gets the request nevertheless: its estimate may be outdated, and an answer
-        // updates it.
+        // An idle server gets the request nevertheless: its estimate may be outdated, and a
+        // response updates it.
         let idle = self.table.servers[best.server].in_flight == 0;
         if late && !exempt && !idle && self.is_enabled(PolicySafeguard::Admission) {
             return PlacementDecision::Refuse(RefusalReason::DeadlineUnreachable);
@@ -373,10 +373,10 @@
         let mut slot_wait = server.window.slot_wait(now, server.in_flight) * server.speed.service();
         if !open {
             // The time already waited indicates the error of the estimate.
-            let turn = f64::from(server.waiters + 1);
+            let position = f64::from(server.waiters + 1);
             let waited = now.saturating_duration_since(query.request.history.arrived);
             slot_wait +=
-                turn * server.speed.service() / server.window.limit() + waited.as_secs_f64();
+                position * server.speed.service() / server.window.limit() + waited.as_secs_f64();
         }
         let overdue = match self.is_enabled(PolicySafeguard::Overdue) {
             true => server.overdue(now).as_secs_f64(),
--- a/src/policy/dispatcher/servers.rs
+++ b/src/policy/dispatcher/servers.rs
@@ -36,7 +36,7 @@
 pub const URGENCY_LEVELS: usize = 6;
 
 /// Fraction of other daemons' waiting tokens that is assumed to be served before a request, by
-/// urgency, since reports do not include the urgency of what waits.
+/// urgency, since reports do not include the urgency of waiting requests.
 const REMOTE_FRACTION: [f64; URGENCY_LEVELS] = [0.25, 0.5, 0.75, 0.75, 1.0, 1.0];
 
 /// Assumed hit ratio at affinity servers before any measurement.
@@ -60,7 +60,7 @@
     pub reachable: bool,
     /// Last reported membership state; alive until the first report.
     pub health: ServerHealth,
-    /// Whether its last load report said that it is shutting down.
+    /// Whether it was shutting down according to its last load report.
     pub leaving: bool,
     /// What is known about its prefix cache.
     pub cache: ServerCacheState,
@@ -148,7 +148,7 @@
         self.accepts_requests() && !reserved && !self.failures.is_ejected() && !self.unverified
     }
 
-    /// Returns the weights that new answers will be generated with, if known for certain.
+    /// Returns the weights that new responses will be generated with, if known for certain.
     pub fn certain_weights(&self, model: &str) -> Option<&WeightsVersion> {
         if self.unverified { None } else { self.cache.weights(model) }
     }
@@ -172,7 +172,7 @@
     }
 
     /// Returns the delay of the most overdue first token. A server that hangs produces no speed
-    /// samples, so its missing answers have to count.
+    /// samples, so its missing responses have to count.
     pub fn overdue(&self, now: Instant) -> Duration {
         let due = self.unanswered.values().map(|attempt| attempt.due).min();
         due.map_or(Duration::ZERO, |due| now.saturating_duration_since(due))
@@ -245,7 +245,7 @@
     pub queue: FairQueue,
     /// Measured drain rate of the queue.
     pub drain: DrainRate,
-    /// Mean number of tokens generated for an answer.
+    /// Mean number of tokens generated for a response.
     pub output: f64,
     /// Mean speed of the measured servers in prompt tokens per second; `None` until measured.
     pub typical_rate: Option<f64>,
@@ -254,7 +254,7 @@
     /// Fraction of requests that found a prefix cached at an affinity server although this daemon
     /// had not sent it there before, from 0 to 1.
     pub affinity_hit_ratio: f64,
-    /// Mean time from sending a request to its complete answer in seconds.
+    /// Mean time from sending a request to its complete response in seconds.
     pub service: f64,
     /// Whether a change may allow a waiting request to be sent.
     pub dirty: bool,
@@ -276,7 +276,12 @@
 
 impl ServerTable {
     /// Applies a configuration, retaining the state of servers that stay listed.
-    pub fn configure(&mut self, view: &PolicyView, daemons: usize, make: impl Fn() -> FairQueue) {
+    pub fn configure(
+        &mut self,
+        view: &PolicyView,
+        daemons: usize,
+        make_queue: impl Fn() -> FairQueue,
+    ) {
         self.unlist(view);
         for (id, server) in &view.servers {
             let index = self.list(id, server, daemons);
@@ -294,7 +299,7 @@
         for (key, members) in members {
             let pool = *self.by_key.entry(key).or_insert_with(|| {
                 self.pools.push(PoolState {
-                    queue: make(),
+                    queue: make_queue(),
                     service: 1.0,
                     affinity_hit_ratio: INITIAL_AFFINITY_HIT_RATIO,
                     ..Default::default()
--- a/src/policy/dispatcher/timers.rs
+++ b/src/policy/dispatcher/timers.rs
@@ -10,7 +10,7 @@
 };
 
 /// Interval at which waiting requests are considered again without an input, since estimates for
-/// other daemons' requests expire and the delay of overdue answers grows.
+/// other daemons' requests expire and the delay of overdue responses grows.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
@@ -38,8 +38,13 @@
         match &entry.phase {
             RequestPhase::Waiting(request) => {
                 if request.ticket.deadline <= now && request.history.relayed == 0 {
-                    let pause = self.drain_pause(entry.pool, entry.cost);
-                    self.refuse_waiting(now, number, RefusalReason::DeadlinePassed, Some(pause));
+                    let retry_after = self.drain_delay(entry.pool, entry.cost);
+                    self.refuse_waiting(
+                        now,
+                        number,
+                        RefusalReason::DeadlinePassed,
+                        Some(retry_after),
+                    );
                 } else {
                     self.table.pools[entry.pool].dirty = true;
                 }
--- a/src/policy/fairness.rs
+++ b/src/policy/fairness.rs
@@ -24,7 +24,7 @@
 
 /// Cost of a generated token relative to a prompt token. A generated token occupies one of 16 slots
 /// for about 25 ms, in which an engine computes about 20 prompt tokens; batching makes it cheaper
-/// while slots are free. The paper uses 2, as a price rather than a measured cost.
+/// while slots are free. Sheng et al. use 2, as a price rather than a measured cost.
 pub const OUTPUT_TOKEN_COST: u64 = 8;
 
 /// Minimum cost of a request, so that a flood of tiny requests is not free.
@@ -209,9 +209,9 @@
     /// corrects an earlier estimate.
     pub fn charge(&mut self, organisation: &str, class: RequestClass, cost: i64) {
         if cost > 0 {
-            for (lane, part) in CLASS_CREDIT.iter().enumerate().skip(class as usize + 1) {
+            for (lane, fraction) in CLASS_CREDIT.iter().enumerate().skip(class as usize + 1) {
                 if self.waiting[lane] > 0 {
-                    self.credit[lane] += cost as f64 * part;
+                    self.credit[lane] += cost as f64 * fraction;
                 }
             }
         }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,14 +1,14 @@
 //! Ejects failing backend servers and probes them until they recover.
 //!
-//! A server that fails or hangs may still be alive for membership. Without ejection it attracts
-//! requests: it fails fast, so its window stays open, and a constant share of all requests fails
-//! there.
+//! A server that fails or hangs may still pass the health checks of the membership. Without
+//! ejection it attracts requests: it fails fast, so its window stays open, and a constant share of
+//! all requests fails there.
 //!
 //! A server is ejected after several consecutive failures. The ejection time doubles with each
 //! further ejection, and a probe after it readmits the server. At most a third of a pool is
 //! ejected, since a fault common to all servers, such as a bad release or a network partition, must
 //! not leave the pool empty. Slow servers are not ejected: their predicted first-token time grows
-//! with each measured answer and with each overdue one, so they get only the requests that other
+//! with each measured response and with each overdue one, so they get only the requests that other
 //! servers cannot take.
 
 use std::time::{Duration, Instant};
@@ -30,11 +30,11 @@
 /// Failures and ejection state of one server.
 #[derive(Clone, Debug, Default)]
 pub struct FailureRecord {
-    /// Failures since the last successful answer.
+    /// Failures since the last successful response.
     consecutive_failures: u32,
-    /// Recent ejections; one less after each successful answer.
+    /// Recent ejections; one less after each successful response.
     ejections: u32,
-    /// When the ejection ends; a probe or an answer may end it earlier.
+    /// When the ejection ends; a probe or a response may end it earlier.
     ejected_until: Option<Instant>,
     /// Whether a probe is in flight.
     probing: bool,
@@ -53,7 +53,7 @@
         self.consecutive_failures = self.consecutive_failures.max(FAILURES_TO_EJECT - 1);
     }
 
-    /// Records a successful answer, which ends an ejection.
+    /// Records a successful response, which ends an ejection.
     pub fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.ejected_until = None;
@@ -63,9 +63,9 @@
 
     /// Ejects the server for a time that doubles with each recent ejection.
     pub fn eject(&mut self, now: Instant) {
-        let pause = MIN_EJECTION.saturating_mul(1 << self.ejections.min(8)).min(MAX_EJECTION);
+        let duration = MIN_EJECTION.saturating_mul(1 << self.ejections.min(8)).min(MAX_EJECTION);
         self.ejections += 1;
-        self.ejected_until = Some(now + pause);
+        self.ejected_until = Some(now + duration);
         self.probing = false;
     }
 
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -23,7 +23,7 @@
 };
 
 /// Assumed engine speed before any measurement, in prompt tokens per second. Engines in use range
-/// from some thousands to some tens of thousands; the first answer corrects it.
+/// from some thousands to some tens of thousands; the first response corrects it.
 const INITIAL_SPEED: f64 = 5_000.0;
 
 /// Assumed first-token time of an empty prompt before any measurement, in seconds.
@@ -38,11 +38,11 @@
 const BASE_DECREASE_STEP: f64 = 0.3;
 const BASE_INCREASE_STEP: f64 = 0.02;
 
-/// Number of latest answers from which a server's speed is estimated.
+/// Number of latest responses from which a server's speed is estimated.
 const MAX_SAMPLES: usize = 8;
 
-/// Maximum age of the answers from which a server's speed is estimated, so that a server that slows
-/// down is detected soon.
+/// Maximum age of the responses from which a server's speed is estimated, so that a server that
+/// slows down is detected soon.
 const MAX_SAMPLE_AGE: Duration = Duration::from_secs(15);
 
 /// Fractions of the pool's mean speed below which a server is classified as slow, and above which
@@ -50,7 +50,7 @@
 const SLOW_BELOW: f64 = 0.5;
 const SLOW_ABOVE: f64 = 0.7;
 
-/// Consecutive answers needed to reclassify a server as slow or as not slow.
+/// Consecutive responses needed to reclassify a server as slow or as not slow.
 const CONTRARY_SAMPLES: u32 = 3;
 
 /// Affinity weight of a slow server, which is better used for overflow than for prefixes of its
@@ -102,13 +102,13 @@
     rate: Option<f64>,
     /// First-token time of an empty prompt in seconds; `None` until measured.
     base: Option<f64>,
-    /// Time from sending to the complete answer in seconds; `None` until measured.
+    /// Time from sending to the complete response in seconds; `None` until measured.
     service: Option<f64>,
-    /// Lower bounds of the speed from the latest answers, oldest first; at most [`MAX_SAMPLES`].
+    /// Lower bounds of the speed from the latest responses, oldest first; at most [`MAX_SAMPLES`].
     latest: VecDeque<(Instant, f64)>,
     /// Whether it is classified as much slower than its pool.
     slow: bool,
-    /// Consecutive answers that contradict `slow`.
+    /// Consecutive responses that contradict `slow`.
     contrary_samples: u32,
 }
 
@@ -128,7 +128,7 @@
         self.base.unwrap_or(INITIAL_BASE)
     }
 
-    /// Returns the mean time from sending to the complete answer in seconds.
+    /// Returns the mean time from sending to the complete response in seconds.
     pub fn service(&self) -> f64 {
         self.service.unwrap_or(1.0)
     }
@@ -140,7 +140,7 @@
 
     /// Compares the speed with the pool's mean and updates the classification as slow.
     ///
-    /// A change needs several consecutive answers, and the two thresholds differ, since moving a
+    /// A change needs several consecutive responses, and the two thresholds differ, since moving a
     /// prefix to another affinity server costs a prefill and all daemons have to agree on it.
     pub fn compare(&mut self, typical: Option<f64>) {
         let (Some(rate), Some(typical)) = (self.rate, typical) else { return };
@@ -158,8 +158,8 @@
 
     /// Updates the speed from a first token that arrived after `taken`, with `tokens` to compute.
     ///
-    /// The queueing time is not known precisely, so an answer only gives a lower bound of the
-    /// speed; the estimate is the maximum over the latest answers.
+    /// The queueing time is not known precisely, so a response only gives a lower bound of the
+    /// speed; the estimate is the maximum over the latest responses.
     pub fn record_first_token(&mut self, now: Instant, tokens: f64, taken: Duration) {
         let taken = taken.as_secs_f64();
         if tokens < MIN_SPEED_TOKENS {
@@ -183,7 +183,7 @@
         self.rate = self.latest.iter().map(|(_, rate)| *rate).max_by(f64::total_cmp);
     }
 
-    /// Updates the mean service time from a complete answer that arrived after `taken`.
+    /// Updates the mean service time from a complete response that arrived after `taken`.
     pub fn record_finished(&mut self, taken: Duration) {
         let taken = taken.as_secs_f64();
         self.service =
@@ -205,7 +205,7 @@
 pub struct CandidateCost {
     /// Wait for a free slot.
     pub slot_wait: f64,
-    /// Time to compute the tokens queued ahead, and the delay of overdue answers.
+    /// Time to compute the tokens queued ahead, and the delay of overdue responses.
     pub queue_wait: f64,
     /// Time to prefill the prompt, including an import or a fetch.
     pub prefill: f64,
--- a/src/policy/prefix.rs
+++ b/src/policy/prefix.rs
@@ -6,9 +6,9 @@
 //! fits into one cache would be computed N times and the caches would hold N copies of it.
 //!
 //! Holders are learned from this daemon's own sends and from the cached tokens that engines report
-//! with their answers. Daemons do not read the whole stream of cache events, which arrive late and
-//! with gaps. A holder counts only for the incarnation and the weights it was learned under, and
-//! the hash of a level is seeded by organisation, model and adapter, so cache hits never cross
+//! with their responses. Daemons do not read the complete stream of cache events, which arrive late
+//! and with gaps. A holder counts only for the incarnation and the weights it was learned under,
+//! and the hash of a level is seeded by organisation, model and adapter, so cache hits never cross
 //! those boundaries.
 
 use {
@@ -43,7 +43,7 @@
 /// it was missed.
 const RETENTION_STEP: f64 = 0.2;
 
-/// A part of a prompt between two boundaries: a message, or a chunk of a long message.
+/// A section of a prompt between two boundaries: a message, or a chunk of a long message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment<'a> {
     /// The bytes exactly as they appear in the prompt.
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Clears the loaded weights, for example after an answer from other weights.
+    /// Clears the loaded weights, for example after a response from other weights.
     pub fn clear_weights(&mut self) {
         self.weights.clear();
         self.generation += 1;
@@ -302,7 +302,7 @@
     }
 
     /// Returns the servers expected to hold a level, deepest level first, with the tokens held; at
-    /// most `limit`. `counts` decides whether a holder is valid.
+    /// most `limit`. `is_valid` decides whether a holder counts.
     pub fn hits(
         &self,
         levels: &[PrefixLevel],
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -4,9 +4,9 @@
 //! If each of them were retried immediately, the remaining servers would get the load twice and
 //! fail as well, and the retry storm would outlast its cause.
 //!
-//! Retries are paid from budgets that first sends fill: one for the daemon and one for each
-//! organisation. With a tenth of a retry earned per first send, the long-term amplification is at
-//! most 1.1, whatever fails. The reserve covers the crash of one server under low load.
+//! Each retry is charged to two budgets that first sends fill: one of the daemon and one of the
+//! organisation. A first send earns a tenth of a retry, so the long-term amplification is at most
+//! 1.1, whatever fails. The reserve covers the crash of one server under low load.
 //! Non-repeatable requests that may have run are never retried: see
 //! [`super::dispatcher::lifecycle`].
 
@@ -91,14 +91,14 @@
 
 impl RetryBudgets {
     /// Limits the reserve of this daemon. If operators limit the retries of all daemons together in
-    /// a time span, each daemon gets its part. A larger reserve would let a crash that all daemons
+    /// a time span, each daemon gets its share. A larger reserve would let a crash that all daemons
     /// see at once exceed that limit many times over.
     pub fn limit_reserve(&mut self, retries: f64) {
         self.daemon.resize(retries);
         self.has_fleet_limit = true;
     }
 
-    /// Returns whether retries of status calls need budget, too.
+    /// Returns whether retries of status calls are charged to the budgets as well.
     pub fn is_strict(&self) -> bool {
         self.has_fleet_limit
     }
--- a/src/policy/safeguard.rs
+++ b/src/policy/safeguard.rs
@@ -25,7 +25,7 @@
     /// More than one server for a prefix: affinity servers in proportion to its request rate, and
     /// spillover when they are full.
     PrefixReplication,
-    /// Overdue answers as part of a server's predicted first-token time.
+    /// Overdue responses as part of a server's predicted first-token time.
     Overdue,
     /// Cache hits only under the same incarnation and weights of the server.
     CacheIdentity,
--- a/src/policy/suspect.rs
+++ b/src/policy/suspect.rs
@@ -98,7 +98,8 @@
         if record.crashes.contains(&(server, incarnation)) || record.crashes.len() >= 8 {
             return;
         }
-        // Crashes reported by another daemon differ from this one, which only this daemon saw.
+        // The crashes that another daemon reported are added to this one, which only this daemon
+        // observed. An unknown server represents each of them.
         if let Some((crash_count, _)) = record.peer_report {
             while (record.crashes.len() as u32) < crash_count.min(CRASHES_TO_REFUSE) {
                 record.crashes.push((ServerIndex::MAX, None));
--- a/src/policy/window.rs
+++ b/src/policy/window.rs
@@ -76,7 +76,7 @@
     /// Number of daemons that may send to the server; at least 1.
     daemons: usize,
     /// Late first tokens and refusals do not shrink the window again before this time.
-    cut_until: Option<Instant>,
+    next_decrease_at: Option<Instant>,
     /// In-flight requests of other daemons, and when they were reported.
     others: Option<(u32, Instant)>,
 }
@@ -88,7 +88,7 @@
             limit: 1.0,
             slots: slots.max(1),
             daemons,
-            cut_until: None,
+            next_decrease_at: None,
             others: None,
         };
         window.limit = window.idle_limit();
@@ -170,24 +170,24 @@
     /// Shrinks the window if a first token took far longer than predicted.
     pub fn record_first_token(&mut self, now: Instant, predicted: Duration, taken: Duration) {
         if taken > predicted.mul_f64(LATE_FACTOR).max(predicted + LATE_SLACK) {
-            self.cut(now, taken);
+            self.decrease(now, taken);
         }
     }
 
     /// Shrinks the window after the server refused a request for lack of capacity.
-    pub fn record_refused(&mut self, now: Instant, pause: Duration) {
-        self.cut(now, pause);
+    pub fn record_refused(&mut self, now: Instant, interval: Duration) {
+        self.decrease(now, interval);
     }
 
-    fn cut(&mut self, now: Instant, pause: Duration) {
-        if self.cut_until.is_none_or(|until| now >= until) {
+    fn decrease(&mut self, now: Instant, interval: Duration) {
+        if self.next_decrease_at.is_none_or(|until| now >= until) {
             self.limit = (self.limit * DECREASE).max(MIN_LIMIT);
-            self.cut_until = Some(now + pause);
+            self.next_decrease_at = Some(now + interval);
         }
     }
 
     fn idle_limit(&self) -> f64 {
-        let part = f64::from(self.slots) / self.daemons as f64;
-        (part * IDLE_SHARES).max(MIN_IDLE_LIMIT).min(f64::from(self.slots))
+        let share = f64::from(self.slots) / self.daemons as f64;
+        (share * IDLE_SHARES).max(MIN_IDLE_LIMIT).min(f64::from(self.slots))
     }
 }
