--- a/src/control/command.rs
+++ b/src/control/command.rs
@@ -100,9 +100,10 @@
         /// Milliseconds since the Unix epoch at the proposer, for retention only.
         now_ms: u64,
     },
-    /// Same as [`Command::DesireModel`]. Logs of earlier releases hold one entry per server.
+    /// Same as [`Command::DesireModel`]; logs of earlier releases contain one entry per server.
     DesireWeights {
-        /// Ignored: the desired weights of a model apply to all its servers.
+        /// Server of the earlier format. Ignored, because the desired weights of a model apply to
+        /// all its servers.
         server: ServerId,
         /// Model to load or serve.
         model: ModelId,
@@ -194,7 +195,7 @@
 /// Outcome of a committed command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// The configuration has been replaced. A resend gets the first outcome again.
+    /// The configuration has been replaced. A resend gets the outcome of the first application.
     Applied {
         /// New revision.
         revision: Revision,
@@ -259,9 +260,10 @@
 /// Why a proposal returned no outcome.
 #[derive(Clone, Debug, Display, PartialEq, Serialize, Deserialize)]
 pub enum ProposeError {
-    /// no quorum is reachable and the command did not enter the log; retry when the replicas of two failure domains can reach each other
+    /// no quorum is reachable and the command did not enter the log; retry when the replicas of two
+    /// failure domains can reach each other
     NoQuorum,
-    /// the command may or may not have been committed; ask again with the same operation id or key
+    /// the command may or may not have been committed; retry with the same operation id or key
     OutcomeUnknown,
     /// too many proposals wait; retry after a second
     Busy,
--- a/src/control/configuration.rs
+++ b/src/control/configuration.rs
@@ -1,5 +1,5 @@
-//! Configuration that is changed by compare-and-set on its revision. A resent change gets its first
-//! outcome again.
+//! Configuration that is changed by compare-and-set on its revision. A resent change gets the
+//! outcome of its first application.
 
 use {
     crate::{
@@ -147,7 +147,7 @@
         if request.expected != self.revision {
             return CommandOutcome::Conflict {
                 revision: self.revision,
-                winner: self.winner(request.expected),
+                winner: self.conflicting_digest(request.expected),
             };
         }
         let mut config = ActiveConfig::clone(&self.active);
@@ -181,7 +181,7 @@
 
     /// Digest of the change that created the revision after `expected`, or of the last change if
     /// that one is no longer retained.
-    fn winner(&self, expected: Revision) -> DigestHex {
+    fn conflicting_digest(&self, expected: Revision) -> DigestHex {
         self.changes
             .iter()
             .find(|change| change.revision == expected + 1)
--- a/src/control/document.rs
+++ b/src/control/document.rs
@@ -65,7 +65,7 @@
     /// Names a weights version if it is newer than the one named before.
     pub fn name_weights(&mut self, model: &ModelId, version: WeightsNumber) -> CommandOutcome {
         if !self.weights.contains_key(model) && self.weights.len() >= NAMED_MODELS {
-            let reason = "weights of too many models are named; 1,024 is the most";
+            let reason = "weights of 1,024 models are named already, which is the maximum";
             return CommandOutcome::Refused { reason: reason.to_owned() };
         }
         let named = self.weights.entry(model.clone()).or_default();
--- a/src/control/entry.rs
+++ b/src/control/entry.rs
@@ -168,7 +168,7 @@
 }
 
 impl SavedState {
-    /// State of an empty disk.
+    /// State of a disk that holds no data of a replica.
     pub fn empty(incarnation: Incarnation) -> Self {
         SavedState { incarnation, ..SavedState::default() }
     }
--- a/src/control/healing.rs
+++ b/src/control/healing.rs
@@ -20,7 +20,7 @@
     },
 };
 
-/// A member that has not replied for this long counts as unresponsive. It is longer than a restart
+/// Time without a reply after which a member counts as unresponsive. It is longer than a restart
 /// takes, and short compared with the seconds after which the next loss may follow.
 pub const VOTER_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -31,8 +31,8 @@
 /// Number of voters that a group of `founders` should have, given the control VMs that are
 /// currently known.
 ///
-/// Unresponsive members count as well. A group that shrank whenever a failure domain is cut off
-/// would tolerate fewer losses just then.
+/// Unresponsive members count as well. If the group shrank whenever a failure domain is cut off, it
+/// would tolerate fewer losses exactly while a loss is more likely.
 pub fn target_voters(status: &ReplicaStatus, founders: usize) -> usize {
     let members = status.members.members().count();
     let spares = status.non_members.keys().filter(|vm| status.members.incarnation(vm).is_none());
@@ -59,7 +59,7 @@
     }
     let unresponsive = unresponsive_member(now, status, &members.voters);
     if members.voters.len() > voters {
-        // A replaced voter may come back in working order. An even number of voters tolerates no
+        // A replaced voter may become responsive again. An even number of voters tolerates no
         // more losses and makes each write wait for one more disk.
         let surplus = oldest_reply(status, &members.voters).map(|(vm, _)| vm);
         return surplus.map(|vm| Command::RemoveReplica { vm });
--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -152,7 +152,7 @@
     }
 
     /// Stores the response of an executed call, even if its outcome was already recorded as
-    /// unknown. The holder knows the outcome, and storing it permits no further execution.
+    /// unknown: the holder has the outcome, and storing it permits no further execution.
     pub fn finish(
         &mut self,
         key: LedgerKey,
@@ -330,7 +330,7 @@
     }
 
     /// Drops closed calls whose retention has expired. Running calls stay regardless of their age,
-    /// because only the holder knows that they were not executed.
+    /// because only the holder can determine that they were not executed.
     fn expire(&mut self, clock_ms: u64, retention_ms: u64) {
         while let Some((closed_ms, key)) = self.closed.first().cloned() {
             if closed_ms.saturating_add(retention_ms) >= clock_ms {
--- a/src/control/message.rs
+++ b/src/control/message.rs
@@ -47,7 +47,8 @@
 /// Content of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// The sender is no voter and has no leader. Without a group it looks for one.
+    /// The sender is not a voter and knows no leader. If it belongs to no group, it searches for
+    /// one.
     Probe {
         /// Digest of the founders in the sender's settings.
         founders: u64,
@@ -57,7 +58,7 @@
         /// Founding membership, identical at each founder.
         membership: Membership,
     },
-    /// Asks whether a vote would be granted; the term does not change.
+    /// Requests a pre-vote: whether a vote would be granted. The term does not change.
     PreVote {
         /// Term in which the sender would be a candidate.
         next_term: Term,
--- a/src/control/orders.rs
+++ b/src/control/orders.rs
@@ -53,7 +53,7 @@
         &self.desired
     }
 
-    /// Sets the desired version under the fencing number of its log entry. The same version again
+    /// Sets the desired version under the fencing number of its log entry. An unchanged version
     /// keeps its number, so that a resend does not make a server reload the weights.
     pub fn desire(
         &mut self,
@@ -89,7 +89,8 @@
         self.suspects.iter().map(|(fingerprint, (crashes, _))| (*fingerprint, *crashes)).collect()
     }
 
-    /// Records a crash count. A lower count than the known one does not replace it.
+    /// Records a crash count reported at the log entry `index`. A lower count than the recorded one
+    /// does not replace it.
     pub fn record_crashes(
         &mut self,
         fingerprint: u64,
--- a/src/control/replica/election.rs
+++ b/src/control/replica/election.rs
@@ -13,7 +13,8 @@
 };
 
 impl Replica {
-    /// Whether this replica withholds its vote because it has heard from a leader recently.
+    /// Whether this replica withholds its vote because it has recently received a message from a
+    /// leader.
     ///
     /// The leader's lease depends on this rule: a replica that replied to a round votes for no
     /// other candidate until an election timeout after it, which is later than the end of the
@@ -32,7 +33,7 @@
         self.last_leader_contact + self.settings.timing.lease
     }
 
-    /// Clears a leader that has not been heard from for the duration of a lease. A partitioned
+    /// Clears a leader that has sent no message for the duration of a lease. A partitioned
     /// replica elects no leader for up to two election timeouts. If it still reported a leader, its
     /// followers would serve an outdated configuration for that time and refuse callers of new
     /// routes, although other replicas have the newest one.
@@ -163,7 +164,7 @@
 
     /// Counts a vote only if it comes from the disk named in the membership.
     ///
-    /// A voter that lost its disk no longer knows what it acknowledged. If it could vote under its
+    /// A voter that lost its disk has no record of what it acknowledged. If it could vote under its
     /// old name, a candidate without the committed entries could win.
     fn receive_vote_reply(
         &mut self,
--- a/src/control/replica/formation.rs
+++ b/src/control/replica/formation.rs
@@ -181,7 +181,7 @@
     }
 
     /// Disks outside the membership that have sent a message recently. A disk observed long ago may
-    /// be lost. If it were added, it would be found unresponsive and removed, over and over, before
+    /// be lost. If it were added, it would be repeatedly found unresponsive and removed before
     /// a working disk is considered.
     pub(super) fn non_members(&self, now: Instant) -> BTreeMap<VmId, Incarnation> {
         let expiry = self.settings.timing.probe * FRESH_PROBES;
--- a/src/control/replica/freshness.rs
+++ b/src/control/replica/freshness.rs
@@ -16,7 +16,7 @@
     }
 
     /// Index that followers of this leader must have applied. Before the first entry of its own
-    /// term is committed, the leader may not know everything that former leaders have committed.
+    /// term is committed, the leader may lack the commit index that former leaders have reached.
     pub(super) fn follower_target(&self) -> LogIndex {
         self.leader_state()
             .map_or(self.commit, |leader_state| self.commit.max(leader_state.term_start))
--- a/src/control/replica/leader.rs
+++ b/src/control/replica/leader.rs
@@ -246,7 +246,7 @@
 
     /// Steps down if no quorum has replied for an election timeout.
     ///
-    /// A partitioned leader would otherwise keep telling callers that it leads.
+    /// Otherwise a partitioned leader would continue to report itself as the leader.
     pub(super) fn check_quorum(&mut self, now: Instant) {
         let election = self.settings.timing.election;
         let Some(leader_state) = self.leader_state() else { return };
@@ -299,7 +299,7 @@
     ) -> Option<CommandOutcome> {
         let length = postcard::to_stdvec(&command).map_or(usize::MAX, |bytes| bytes.len());
         if length > self.settings.limits.command_bytes {
-            let reason = "the command is too long for the log; split it or shorten its parts";
+            let reason = "the command is too long for the log; split or shorten its content";
             return Some(CommandOutcome::Refused { reason: reason.to_owned() });
         }
         let payload = match self.membership_after(now, &command) {
--- a/src/control/replica/membership_change.rs
+++ b/src/control/replica/membership_change.rs
@@ -59,22 +59,26 @@
         &self,
         now: Instant,
         vm: &VmId,
-        asked: Option<Incarnation>,
+        requested: Option<Incarnation>,
     ) -> Result<Membership, CommandOutcome> {
-        let seen = self.observed_peers.get(vm).map(|observed| observed.incarnation);
-        let Some(incarnation) = seen.filter(|seen| asked.is_none_or(|asked| asked == *seen)) else {
-            return refuse("the leader has not heard from this disk; start its daemon, then retry");
+        let observed_disk = self.observed_peers.get(vm).map(|observed| observed.incarnation);
+        let Some(incarnation) = observed_disk
+            .filter(|observed_disk| requested.is_none_or(|requested| requested == *observed_disk))
+        else {
+            return refuse(
+                "the leader received no message from this disk; start its daemon, then retry",
+            );
         };
         let mut membership = self.membership().clone();
         if membership.is_member(vm, incarnation) {
             // An operator who names no disk refers to the new one. Until the leader receives a
             // message from it, the lost disk is the last one observed. Reporting success would
             // leave a lost disk in the group, and the next loss would end the quorum permanently.
-            return match asked {
+            return match requested {
                 Some(_) => Err(CommandOutcome::MembershipChanged),
                 None => refuse(
-                    "the disk heard from last is a replica already; if the VM has a new one, \
-                     start its daemon, then retry",
+                    "the disk that sent the last message is a replica already; if the VM has a \
+                     new one, start its daemon, then retry",
                 ),
             };
         }
@@ -111,7 +115,7 @@
             .flatten();
         match quorum_contact_at {
             Some(at) if now < at + self.settings.timing.election => Ok(membership),
-            _ => refuse("too few of the remaining replicas answer; bring them back first"),
+            _ => refuse("too few of the remaining replicas respond; start their daemons first"),
         }
     }
 
--- a/src/control/replica/progress.rs
+++ b/src/control/replica/progress.rs
@@ -33,7 +33,7 @@
     pub term_start: LogIndex,
     /// Current round.
     pub round: RoundNumber,
-    /// Start times of the most recent rounds; at most [`MAX_ROUNDS`].
+    /// Start times of the most recent rounds; at most `MAX_ROUNDS`.
     pub rounds: BTreeMap<RoundNumber, Instant>,
     /// Time of the next heartbeat.
     pub heartbeat_at: Instant,
--- a/src/control/replica/receive.rs
+++ b/src/control/replica/receive.rs
@@ -1,4 +1,4 @@
-//! Dispatches received messages to the part of the replica that handles them.
+//! Dispatches received messages to the module that handles them.
 
 use {
     super::Replica,
--- a/src/control/replica/types.rs
+++ b/src/control/replica/types.rs
@@ -129,8 +129,8 @@
         /// Proposed command.
         command: Command,
     },
-    /// The settings name these VMs now. A replica without a group probes them as well; they take no
-    /// part in founding a group.
+    /// The VMs named in the settings have changed. A replica without a group probes them, but they
+    /// do not participate in founding a group.
     ConfiguredPeers {
         /// VMs named in the settings.
         peers: BTreeSet<VmId>,
@@ -173,7 +173,7 @@
     NoQuorum,
     /// too many proposals wait; retry after a second
     Busy,
-    /// the command may or may not be committed; ask again with the same operation id or key
+    /// the command may or may not be committed; retry with the same operation id or key
     OutcomeUnknown,
 }
 
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -34,7 +34,7 @@
     ledger: IdempotencyLedger,
     orders: WeightOrders,
     suspects: SuspectTable,
-    /// Last field, so that a snapshot without it is a prefix of one with it.
+    /// The last field, so that snapshots of earlier versions, which lack it, are a prefix.
     documents: DocumentState,
 }
 
