--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -65,13 +65,14 @@
         servers.dedup_by(|one, other| one.id == other.id);
         if servers.len() > MAX_SERVERS {
             log::error!(listed = servers.len(), kept = MAX_SERVERS;
-                "the server list is too long and was truncated; split the installation");
+                "the server list is too long and was truncated; split the deployment");
             servers.truncate(MAX_SERVERS);
         }
         FleetSnapshot { servers }
     }
 
-    /// Keeps servers draining that were draining in an earlier snapshot of the same incarnation.
+    /// Marks servers as draining that were draining in an earlier snapshot under the same
+    /// incarnation.
     ///
     /// A follower that switches to another control VM may receive an older list, in which a server
     /// that is being removed is still ready. The server would then receive new work again shortly
--- a/src/fleet/history.rs
+++ b/src/fleet/history.rs
@@ -1,7 +1,7 @@
-//! Recently published server lists, so that followers receive differences instead of whole lists.
+//! Recently published server lists, so that followers receive differences instead of full lists.
 //!
 //! During a rollout of weights, hundreds of servers change one after the other within seconds while
-//! hundreds of daemons follow the list. Sending the whole list to each of them at each change takes
+//! hundreds of daemons follow the list. Sending the full list to each of them at each change takes
 //! so much CPU time of a control VM that the leader's heartbeats are delayed.
 
 use {
@@ -15,8 +15,8 @@
 };
 
 /// Number of retained lists, which covers several seconds of changes. A follower with an older list
-/// receives the whole list.
-const KEPT_LISTS: usize = 64;
+/// receives the full list.
+const MAX_LISTS: usize = 64;
 
 /// Difference between two server lists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,19 +32,19 @@
     pub removed: Vec<ServerId>,
 }
 
-/// Update that brings a follower to the current list.
+/// Update from the list that a follower holds to the current list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetChange {
     /// Difference to a recently published list.
     Delta(Arc<FleetDelta>),
-    /// Whole list, for a follower that holds none or an unknown one.
+    /// Full list, for a follower that holds none or an unknown one.
     Full(Arc<FleetSnapshot>),
 }
 
 /// Published lists by their digests.
 #[derive(Debug, Default)]
 pub struct FleetHistory {
-    /// Published lists, oldest first; at most [`KEPT_LISTS`]. The last one is the current list.
+    /// Published lists, oldest first; at most [`MAX_LISTS`]. The last one is the current list.
     published: VecDeque<(u64, Arc<FleetSnapshot>)>,
     /// Differences to the current list by the digest of their base; at most one for each retained
     /// list.
@@ -81,7 +81,7 @@
         let digest = current.digest();
         self.deltas.clear();
         self.published.retain(|(known, _)| *known != digest);
-        if self.published.len() >= KEPT_LISTS {
+        if self.published.len() >= MAX_LISTS {
             self.published.pop_front();
         }
         self.published.push_back((digest, Arc::clone(current)));
--- a/src/fleet/watch.rs
+++ b/src/fleet/watch.rs
@@ -4,7 +4,7 @@
 //! contact to the leader reads the list itself, so that a failure domain that is cut off still
 //! learns which servers are being removed. With one reading a second, all daemons know of such a
 //! server little more than a second after the list shows it, within the 3 s after which it must
-//! receive no new work. Each reading has a price, and twice the rate would gain half a second.
+//! receive no new work. Each reading has a cost, and twice the rate would save only half a second.
 
 use {
     super::{
@@ -39,12 +39,12 @@
 
 /// Source of the platform's server list.
 pub trait FleetSource: Send + Sync {
-    /// Reads the whole list. `None` if the platform could not be read; the reason is logged.
+    /// Reads the full list. `None` if the platform could not be read; the reason is logged.
     fn read(&self) -> BoxFuture<'_, Option<FleetSnapshot>>;
 }
 
 /// Time per listed server between two publications. While weights are loaded the list changes with
-/// each server, and a follower processes the whole list at each publication.
+/// each server, and a follower processes the full list at each publication.
 const PUBLISH_INTERVAL_PER_SERVER: Duration = Duration::from_micros(300);
 /// Maximum time between two publications.
 pub const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
@@ -227,8 +227,8 @@
     }
 }
 
-/// Reads the list whenever this VM is responsible for it. Never returns. `leads` tells whether this
-/// VM currently leads.
+/// Reads the list whenever this VM is responsible for it. Never returns. `leads` returns whether
+/// this VM currently leads the control replicas.
 pub async fn read_list(
     view: Arc<FleetView>,
     source: Arc<dyn FleetSource>,
--- a/src/storage/files.rs
+++ b/src/storage/files.rs
@@ -33,7 +33,7 @@
     /// Returns errors of the file system.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// Reads a whole file.
+    /// Reads a complete file.
     ///
     /// # Errors
     /// Returns errors of the file system.
--- a/src/storage/frame.rs
+++ b/src/storage/frame.rs
@@ -6,7 +6,7 @@
 /// Size of a frame header: magic, payload length, checksum of the payload, checksum of the
 /// preceding twelve bytes.
 pub const HEADER_BYTES: usize = 16;
-/// Unit of a disk write. A torn write leaves whole sectors unwritten.
+/// Unit of a disk write. A torn write leaves one or more complete sectors unwritten.
 const SECTOR_BYTES: usize = 512;
 
 /// Result of reading a frame at an offset of a file.
@@ -50,7 +50,7 @@
         return FrameRead::End;
     }
     let Some((header, body)) = rest.split_at_checked(HEADER_BYTES) else {
-        let begun = rest.iter().zip(&MAGIC).all(|(found, wanted)| found == wanted);
+        let begun = rest.iter().zip(&MAGIC).all(|(found, expected)| found == expected);
         return if begun { FrameRead::Torn } else { classify_unreadable(file, start) };
     };
     let number = |at: usize| {
--- a/src/storage/log_store.rs
+++ b/src/storage/log_store.rs
@@ -23,14 +23,16 @@
 /// Error of the store.
 #[derive(Debug, Display)]
 pub enum StorageError {
-    /// cannot {action} in the data folder: {error}; check space, rights and the disk, then start the daemon again
+    /// cannot {action} in the data folder: {error}; check space, rights and the disk, then start
+    /// the daemon again
     Files {
         /// Operation that failed.
         action: &'static str,
         /// Error of the file system.
         error: io::Error,
     },
-    /// the data folder has format version {found}, which this release does not read; run the release that wrote it
+    /// the data folder has format version {found}, which this release does not read; run the
+    /// release that wrote it
     UnknownVersion {
         /// Version of the files in the folder.
         found: u32,
