--- a/src/pipeline/core.rs
+++ b/src/pipeline/core.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// Arguments of [`PipelineCore::new`].
+/// Objects that a [`PipelineCore`] depends on.
 pub struct CoreDependencies {
     /// The VM that the daemon runs on.
     pub vm: VmId,
--- a/src/pipeline/deduplicate.rs
+++ b/src/pipeline/deduplicate.rs
@@ -130,7 +130,7 @@
     send_state: &SendState,
 ) -> Result<ClaimResult, CallerRefusal> {
     let key = (caller.organisation.clone(), key);
-    let mut pause = MIN_POLL_INTERVAL;
+    let mut interval = MIN_POLL_INTERVAL;
     let mut may_have_run = DidRun::No;
     let mut waiting_for = None;
     while Instant::now() < caller.deadline {
@@ -154,8 +154,8 @@
         // A call with this key runs on this daemon or on another one.
         may_have_run = DidRun::Unknown;
         send_state.mark_uncertain();
-        sleep(pause.min(caller.deadline.saturating_duration_since(Instant::now()))).await;
-        pause = (pause * 2).min(MAX_POLL_INTERVAL);
+        sleep(interval.min(caller.deadline.saturating_duration_since(Instant::now()))).await;
+        interval = (interval * 2).min(MAX_POLL_INTERVAL);
     }
     let message = "another call with this key is still running; send it again with the same key";
     let mut refusal = CallerRefusal::before_run(504, refusal::OUTCOME_UNKNOWN, message);
@@ -164,8 +164,8 @@
 }
 
 /// Adjusts a refusal if another call with the same key was found running. That may be an earlier
-/// attempt of the same caller, so that the refusal must not state that the call did not run,
-/// although this daemon sent nothing.
+/// attempt of the same caller, so the refusal must not state that the call did not run, although
+/// this daemon sent nothing.
 fn with_possible_run(refusal: CallerRefusal, may_have_run: DidRun) -> CallerRefusal {
     match may_have_run {
         DidRun::No => refusal,
@@ -275,7 +275,7 @@
     CallerRefusal::after_send(502, refusal::OUTCOME_UNKNOWN, message)
 }
 
-/// Determines what has to be proposed to the ledger when a claim ends.
+/// What has to be proposed to the ledger when a claim ends.
 enum ClaimStage {
     /// Nothing, because no reservation can have been granted.
     Unreserved,
@@ -360,7 +360,7 @@
     fn record_outcome(&self, command: Command) -> Option<JoinHandle<()>> {
         let (core, key) = (Arc::clone(&self.core), self.key.clone());
         spawn_detached(async move {
-            let mut pause = MIN_POLL_INTERVAL;
+            let mut interval = MIN_POLL_INTERVAL;
             loop {
                 match core.control.propose(command.clone()).await {
                     Ok(CommandOutcome::NotHolder) => {
@@ -372,8 +372,8 @@
                         log::debug!(error:% = error; "failed to record the outcome of a call")
                     }
                 }
-                sleep(pause).await;
-                pause = (pause * 2).min(MAX_SETTLE_INTERVAL);
+                sleep(interval).await;
+                interval = (interval * 2).min(MAX_SETTLE_INTERVAL);
             }
             core.claims.end_attempt(&key);
         })
--- a/src/pipeline/limit.rs
+++ b/src/pipeline/limit.rs
@@ -14,7 +14,7 @@
 pub const DEADLINE_HEADER: &str = "x-oleandermount-deadline-ms";
 /// Header with the request class.
 pub const CLASS_HEADER: &str = "x-oleandermount-class";
-/// Upper limit of deadlines: callers do not wait longer on an open connection.
+/// Upper limit of the time to a deadline; no caller waits longer on an open connection.
 const MAX_DEADLINE: Duration = Duration::from_secs(3600);
 
 /// The organisation, class and deadline of a request.
--- a/src/pipeline/prompt.rs
+++ b/src/pipeline/prompt.rs
@@ -50,7 +50,7 @@
     pub model: ModelId,
     /// The adapter, from a model name of the form `model:adapter`.
     pub adapter: Option<AdapterId>,
-    /// How the caller wants to receive the response.
+    /// The requested form of the response.
     pub delivery: ResponseDelivery,
     /// The prompt in chunks, in order.
     pub chunks: Vec<Vec<u8>>,
@@ -64,7 +64,7 @@
     pub body: Value,
 }
 
-/// How the caller wants to receive the response.
+/// The requested form of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseDelivery {
     /// As a single JSON body.
--- a/src/pipeline/refusal.rs
+++ b/src/pipeline/refusal.rs
@@ -103,19 +103,21 @@
 
 fn status_and_message(reason: RefusalReason) -> (u16, &'static str) {
     match reason {
-        RefusalReason::DeadlineUnreachable => {
-            (504, "the deadline cannot be met; allow more time or retry as Retry-After says")
-        }
+        RefusalReason::DeadlineUnreachable => (
+            504,
+            "the deadline cannot be met; allow more time or retry after the time in Retry-After",
+        ),
         RefusalReason::DeadlinePassed => {
             (504, "the deadline passed before a backend server began to respond")
         }
-        RefusalReason::QueueFull => (503, "the queue is full; retry as Retry-After says"),
+        RefusalReason::QueueFull => (503, "the queue is full; retry after the time in Retry-After"),
         RefusalReason::OverShare => {
-            (429, "the organisation exceeds its share; retry as Retry-After says")
-        }
-        RefusalReason::NoServer => {
-            (503, "no backend server for this request is reachable; retry as Retry-After says")
+            (429, "the organisation exceeds its share; retry after the time in Retry-After")
         }
+        RefusalReason::NoServer => (
+            503,
+            "no backend server for this request is reachable; retry after the time in Retry-After",
+        ),
         RefusalReason::CrashesServers => {
             (422, "this request has crashed backend servers; change it before you send it again")
         }
--- a/src/pipeline/relay.rs
+++ b/src/pipeline/relay.rs
@@ -82,7 +82,7 @@
 enum AttemptOutcome {
     Complete(TokenUsage),
     Failed(BackendError),
-    CallerGone,
+    CallerDisconnected,
     Cancelled,
     Refused(CallerRefusal),
 }
@@ -126,7 +126,9 @@
         let directive = tokio::select! {
             directive = handle.next() => directive,
             () = task.response.closed() => {
-                handle.notify(PolicyInput::CallerDisconnected { request: task.request.request.clone() });
+                handle.notify(PolicyInput::CallerDisconnected {
+                    request: task.request.request.clone(),
+                });
                 return;
             }
         };
@@ -146,7 +148,7 @@
     }
 }
 
-/// The request has ended and the caller gets nothing more.
+/// The request has ended, and nothing more is sent to the caller.
 struct RequestFinished;
 
 fn ticket(request: &ModelRequest) -> RequestTicket {
@@ -204,7 +206,7 @@
                 self.send_part(ResponsePart::Complete(usage)).await;
                 Some(RequestFinished)
             }
-            AttemptOutcome::CallerGone => {
+            AttemptOutcome::CallerDisconnected => {
                 self.core.trace.record(request, "the caller disconnected");
                 handle.notify(PolicyInput::CallerDisconnected { request: request.clone() });
                 Some(RequestFinished)
@@ -277,7 +279,7 @@
         loop {
             tokio::select! {
                 opened = &mut opening => return opened.map_err(AttemptOutcome::Failed),
-                () = self.response.closed() => return Err(AttemptOutcome::CallerGone),
+                () = self.response.closed() => return Err(AttemptOutcome::CallerDisconnected),
                 directive = handle.next() => if let Some(end) = end_from(directive, order.attempt) {
                     return Err(end);
                 },
@@ -320,7 +322,7 @@
         loop {
             let event = tokio::select! {
                 event = stream.next_event() => event,
-                () = self.response.closed() => return AttemptOutcome::CallerGone,
+                () = self.response.closed() => return AttemptOutcome::CallerDisconnected,
                 directive = handle.next() => match end_from(directive, order.attempt) {
                     Some(outcome) => return outcome,
                     None => continue,
@@ -346,7 +348,7 @@
                         unreported_tokens = 0;
                     }
                     if !self.relay_chunk(number, body).await {
-                        return AttemptOutcome::CallerGone;
+                        return AttemptOutcome::CallerDisconnected;
                     }
                 }
             }
--- a/src/pipeline/send_state.rs
+++ b/src/pipeline/send_state.rs
@@ -9,9 +9,9 @@
 
 /// Tracks whether a non-repeatable call may have run.
 ///
-/// The deadline and the task that sends the call race. An atomic state ensures that a caller is not
-/// told that its call did not run just before the call is sent, and that the outcome of a call that
-/// will never be sent is not reported as unknown.
+/// The deadline and the task that sends the call race. An atomic state ensures that a call is not
+/// sent after its caller was informed that it did not run, and that the outcome of a call that will
+/// never be sent is not reported as unknown.
 #[derive(Debug, Default)]
 pub struct SendState {
     state: AtomicU8,
@@ -24,8 +24,8 @@
         self.change(UNSENT, UNCERTAIN);
     }
 
-    /// Marks the call as sent. Returns `false` if the call must not be sent, because its caller has
-    /// been told that it did not run.
+    /// Marks the call as sent. Returns `false` if the call must not be sent, because its caller was
+    /// informed that it did not run.
     #[must_use]
     pub fn try_send(&self) -> bool {
         self.change(UNSENT, SENT) || self.change(UNCERTAIN, SENT)
--- a/src/pipeline/service_call.rs
+++ b/src/pipeline/service_call.rs
@@ -129,7 +129,7 @@
             DispatchDirective::Send(order) => order,
         };
         // Nothing is sent after the deadline: if the process is paused after the decision, the
-        // caller may have been told in the meantime that the call did not run.
+        // caller may have been informed in the meantime that the call did not run.
         let send_before = Instant::from(order.send_before.min(call.caller.deadline));
         let head_before = Instant::now() + LATE_RESPONSE_WAIT;
         if !send_state.try_send() {
--- a/src/pipeline/trace.rs
+++ b/src/pipeline/trace.rs
@@ -28,7 +28,7 @@
 }
 
 impl TraceLog {
-    /// Adds a line, which must not contain prompt text or keys.
+    /// Adds a line to the trace of a request; it must not contain prompt text or keys.
     pub fn record(&self, request: &RequestId, line: impl Into<String>) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         if !entries.lines.contains_key(request) {
--- a/src/reverse_proxy.rs
+++ b/src/reverse_proxy.rs
@@ -1,8 +1,8 @@
 //! HTTP reverse proxy that forwards requests to backend servers by route.
 //!
 //! A request is buffered, placed by the daemon's [`crate::policy::Dispatcher`], and its response is
-//! relayed unchanged. Only the [`dialect::WireDialect`] knows the names and the meaning of an
-//! installation's headers.
+//! relayed unchanged. Only the [`dialect::WireDialect`] depends on the names and the meaning of the
+//! headers of a deployment.
 
 pub mod accept;
 pub mod core;
--- a/src/reverse_proxy/core.rs
+++ b/src/reverse_proxy/core.rs
@@ -28,13 +28,13 @@
 /// distributed over 0 to 1, so that a traffic split is accurate after a few requests.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 
-/// Arguments of [`ProxyCore::new`].
+/// Objects that a [`ProxyCore`] depends on.
 pub struct ProxyDependencies {
     /// The VM that the process runs on.
     pub vm: VmId,
     /// What the placement of requests optimises.
     pub objective: DecisionObjective,
-    /// The header format of the installation.
+    /// The header format of the deployment.
     pub dialect: Arc<dyn WireDialect>,
     /// The dispatcher that places requests on backend servers.
     pub dispatcher: Arc<DispatcherHandle>,
@@ -44,7 +44,7 @@
 pub struct ProxyCore {
     /// The VM that the process runs on.
     pub vm: VmId,
-    /// The header format of the installation.
+    /// The header format of the deployment.
     pub dialect: Arc<dyn WireDialect>,
     /// The dispatcher that places requests on backend servers.
     pub dispatcher: Arc<DispatcherHandle>,
--- a/src/reverse_proxy/dialect.rs
+++ b/src/reverse_proxy/dialect.rs
@@ -1,4 +1,4 @@
-//! Interface to an installation's header format, for requests of callers and backend servers.
+//! Interface to a deployment's header format, for requests of callers and backend servers.
 
 use {
     crate::{
@@ -122,7 +122,7 @@
     pub retry_after: Option<Duration>,
 }
 
-/// Translates between an installation's headers and the types of this crate. Implementations make
+/// Translates between a deployment's headers and the types of this crate. Implementations make
 /// no routing decisions.
 pub trait WireDialect: Send + Sync {
     /// The request id that the caller assigned, or an empty string. Also called for requests that
--- a/src/reverse_proxy/exchange.rs
+++ b/src/reverse_proxy/exchange.rs
@@ -82,8 +82,8 @@
     pub events: u32,
 }
 
-/// Result of an attempt.
-enum Step {
+/// How the request continues after an attempt.
+enum AttemptStep {
     Response(Box<Response<ResponseBody>>),
     Stream(Box<StreamStart>),
     Continue,
@@ -115,21 +115,21 @@
             () = sleep_until(deadline.into()) => return exchange.expire(phase, open),
         };
         let step = match directive {
-            DispatchDirective::Cancel(_) => Step::Continue,
+            DispatchDirective::Cancel(_) => AttemptStep::Continue,
             DispatchDirective::Refuse { reason, retry_after, did_run } => {
                 return exchange.refused(reason, retry_after, did_run, phase, open);
             }
             DispatchDirective::Send(order) => exchange.attempt(*order).await,
         };
         match step {
-            Step::Continue => {}
-            Step::Refused(refusal) => return Err(refusal),
-            Step::Response(response) => {
+            AttemptStep::Continue => {}
+            AttemptStep::Refused(refusal) => return Err(refusal),
+            AttemptStep::Response(response) => {
                 let (parts, body) = response.into_parts();
                 let body = body.with_request(phase, open);
                 return Ok(Response::from_parts(parts, body));
             }
-            Step::Stream(start) => {
+            AttemptStep::Stream(start) => {
                 let parts = start.parts.clone();
                 let chunks = RelayedStream::new(exchange, *start).into_chunks();
                 return Ok(Response::from_parts(
@@ -160,14 +160,15 @@
             self.log_passed_failure(parts.status);
             return Ok(Response::from_parts(parts, ResponseBody::full(body, phase, Some(open))));
         }
-        // A request that may have run is never reported as not run, whatever the dispatcher states.
+        // A request that may have run is never reported as not run, regardless of the
+        // dispatcher's `did_run`.
         let did_run = if self.runs > 0 { DidRun::Unknown } else { did_run };
         self.log_refusal(reason.as_str(), retry_after);
         Err(dispatch_refusal(reason, retry_after, did_run))
     }
 
-    async fn attempt(&mut self, order: SendOrder) -> Step {
-        match self.begin(&order, &ResumePosition::default()).await {
+    async fn attempt(&mut self, order: SendOrder) -> AttemptStep {
+        match self.start_attempt(&order, &ResumePosition::default()).await {
             Ok(response) => self.handle_response(&order, response).await,
             Err(failure) => self.step_after_failure(failure),
         }
@@ -175,7 +176,7 @@
 
     /// Sends the request and reads the head of the response. A returned failure has already been
     /// reported to the dispatcher.
-    pub(super) async fn begin(
+    pub(super) async fn start_attempt(
         &mut self,
         order: &SendOrder,
         from: &ResumePosition,
@@ -197,7 +198,7 @@
         let limit = view.connections(&listed.service);
         let sent = tokio::select! {
             sent = self.core.pool.send(listed.address, request, non_repeatable, limit) => sent,
-            () = withdrawn(&mut self.handle, order.attempt) => {
+            () = wait_withdrawn(&mut self.handle, order.attempt) => {
                 // The dispatcher has withdrawn the attempt; its next directive ends the request.
                 self.runs += 1;
                 return Err(AttemptFailure::TimedOut);
@@ -346,25 +347,29 @@
 
     /// Determines the step after a reported failure: the dispatcher decides on the next attempt,
     /// unless the route allows no more runs.
-    fn step_after_failure(&mut self, failure: AttemptFailure) -> Step {
+    fn step_after_failure(&mut self, failure: AttemptFailure) -> AttemptStep {
         let unsent = matches!(
             failure,
             AttemptFailure::NotConnected | AttemptFailure::Declined | AttemptFailure::Stale
         );
         if unsent || self.may_run_again() || failure == AttemptFailure::TimedOut {
-            return Step::Continue;
+            return AttemptStep::Continue;
         }
         if let Some((parts, body)) = self.failure.take() {
             self.log_passed_failure(parts.status);
             let body = ResponseBody::full(body, ConnectionPhase::default(), None);
-            return Step::Response(Box::new(Response::from_parts(parts, body)));
+            return AttemptStep::Response(Box::new(Response::from_parts(parts, body)));
         }
         count_refusal(refusal::BACKEND_FAILED);
         self.log_refusal(refusal::BACKEND_FAILED, None);
-        Step::Refused(ProxyRefusal::new(StatusCode::BAD_GATEWAY, refusal::BACKEND_FAILED))
+        AttemptStep::Refused(ProxyRefusal::new(StatusCode::BAD_GATEWAY, refusal::BACKEND_FAILED))
     }
 
-    async fn handle_response(&mut self, order: &SendOrder, response: StartedResponse) -> Step {
+    async fn handle_response(
+        &mut self,
+        order: &SendOrder,
+        response: StartedResponse,
+    ) -> AttemptStep {
         if self.request.caller.route.kind.is_stream() && response.parts.status.is_success() {
             return self.start_stream(order, response).await;
         }
@@ -372,8 +377,8 @@
         let from_start = ResumePosition::default();
         let collected = tokio::select! {
             collected = Limited::new(body, MAX_RESPONSE_BYTES).collect() => collected,
-            () = withdrawn(&mut self.handle, order.attempt) => return Step::Continue,
-            () = sleep_until(self.request.deadline.into()) => return Step::Continue,
+            () = wait_withdrawn(&mut self.handle, order.attempt) => return AttemptStep::Continue,
+            () = sleep_until(self.request.deadline.into()) => return AttemptStep::Continue,
         };
         let Ok(collected) = collected else {
             self.core.recheck(&order.server);
@@ -392,17 +397,21 @@
         // The HTTP library sets the framing of the relayed response.
         parts.headers.remove(http::header::CONTENT_LENGTH);
         let body = ResponseBody::full(body, ConnectionPhase::default(), None);
-        Step::Response(Box::new(Response::from_parts(parts, body)))
+        AttemptStep::Response(Box::new(Response::from_parts(parts, body)))
     }
 
-    /// Waits for the first bytes of a stream. Until they arrive, another server can still take
-    /// over.
-    async fn start_stream(&mut self, order: &SendOrder, mut response: StartedResponse) -> Step {
+    /// Waits for the first bytes of a stream. Until they arrive, the request can still be sent to
+    /// another server.
+    async fn start_stream(
+        &mut self,
+        order: &SendOrder,
+        mut response: StartedResponse,
+    ) -> AttemptStep {
         let from_start = ResumePosition::default();
         let first = tokio::select! {
             first = response.body.frame() => first,
-            () = withdrawn(&mut self.handle, order.attempt) => return Step::Continue,
-            () = sleep_until(self.request.deadline.into()) => return Step::Continue,
+            () = wait_withdrawn(&mut self.handle, order.attempt) => return AttemptStep::Continue,
+            () = sleep_until(self.request.deadline.into()) => return AttemptStep::Continue,
         };
         match first {
             Some(Ok(frame)) => {
@@ -410,7 +419,14 @@
                 let first = frame.into_data().unwrap_or_default();
                 let StartedResponse { parts, head, body, connection } = response;
                 let order = order.clone();
-                Step::Stream(Box::new(StreamStart { parts, head, body, connection, first, order }))
+                AttemptStep::Stream(Box::new(StreamStart {
+                    parts,
+                    head,
+                    body,
+                    connection,
+                    first,
+                    order,
+                }))
             }
             Some(Err(_)) => {
                 self.core.recheck(&order.server);
@@ -422,7 +438,7 @@
                 self.log_completed(&order.server, response.parts.status);
                 response.connection.return_to_pool(response.head.idle_limit);
                 let body = ResponseBody::full(Bytes::new(), ConnectionPhase::default(), None);
-                Step::Response(Box::new(Response::from_parts(response.parts, body)))
+                AttemptStep::Response(Box::new(Response::from_parts(response.parts, body)))
             }
         }
     }
@@ -434,7 +450,7 @@
 }
 
 /// Waits until the dispatcher withdraws an attempt.
-async fn withdrawn(handle: &mut RequestHandle, attempt: AttemptId) {
+async fn wait_withdrawn(handle: &mut RequestHandle, attempt: AttemptId) {
     loop {
         if let DispatchDirective::Cancel(cancelled) = handle.next().await
             && cancelled == attempt
--- a/src/reverse_proxy/pool.rs
+++ b/src/reverse_proxy/pool.rs
@@ -42,8 +42,8 @@
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum idle time of connections to servers that do not report their idle timeout.
 const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(2);
-/// Part of a server's idle timeout in which a connection is no longer used, because the server may
-/// already be closing it.
+/// Time before the end of a server's idle timeout from which a connection is no longer used,
+/// because the server may already be closing it.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 /// Maximum idle time of a connection that is reused for a non-repeatable request.
 const NON_REPEATABLE_IDLE_LIMIT: Duration = Duration::from_millis(400);
--- a/src/reverse_proxy/relay.rs
+++ b/src/reverse_proxy/relay.rs
@@ -24,7 +24,8 @@
     tokio::time::sleep_until,
 };
 
-/// Maximum length of an event. A longer event is relayed in parts and the stream is not resumed.
+/// Maximum length of an event. A longer event is relayed in several chunks and the stream is not
+/// resumed.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// A stream whose first bytes have arrived.
@@ -223,7 +224,7 @@
                     return Err(TruncatedResponse::BackendFailed);
                 }
             };
-            let started = exchange.begin(&order, &self.position).await;
+            let started = exchange.start_attempt(&order, &self.position).await;
             let response = match started {
                 Ok(response) if response.parts.status.is_success() => response,
                 Ok(_) => {
--- a/src/reverse_proxy/store_monitor.rs
+++ b/src/reverse_proxy/store_monitor.rs
@@ -2,8 +2,8 @@
 //!
 //! An engine that is directed to import from an unreachable store waits some hundred milliseconds
 //! for it with every long prompt. The store is not on the server list. Therefore each proxy process
-//! holds an idle connection to it: the end of the connection reveals a crash at once, and an
-//! accepted connection reveals that the store is back.
+//! holds an idle connection to it: the end of the connection indicates a crash at once, and an
+//! accepted connection indicates that the store is reachable again.
 
 use {
     super::{core::ProxyCore, pool::CONNECT_TIMEOUT},
@@ -66,13 +66,13 @@
     }
 }
 
-fn set_reachable(core: &ProxyCore, reachable: &mut bool, now: bool, address: SocketAddr) {
-    if *reachable == now {
+fn set_reachable(core: &ProxyCore, reachable: &mut bool, is_reachable: bool, address: SocketAddr) {
+    if *reachable == is_reachable {
         return;
     }
-    *reachable = now;
-    core.set_store_reachable(now);
-    match now {
+    *reachable = is_reachable;
+    core.set_store_reachable(is_reachable);
+    match is_reachable {
         true => log::info!(address:% = address; "{}", events::KEEP_BACK),
         false => log::warn!(address:% = address; "{}", events::KEEP_LOST),
     }
--- a/src/reverse_proxy/view.rs
+++ b/src/reverse_proxy/view.rs
@@ -1,4 +1,4 @@
-//! The parts of the shared state that requests and the dispatcher use, rebuilt on each change.
+//! View of the shared state for requests and the dispatcher, rebuilt on each change.
 
 use {
     crate::{
--- a/src/roles/fleet_orders.rs
+++ b/src/roles/fleet_orders.rs
@@ -49,7 +49,7 @@
 /// orders that may be lost. An unanswered order is repeated while it can still meet the deadline. A
 /// draining server completes short answers at once. Longer answers continue during the load, so
 /// waiting for them would keep the server out of service for longer than it helps. Entries learn of
-/// the drain within [`SHOW_EVERY`].
+/// the drain within [`PUBLISH_INTERVAL`].
 pub const FLEET_TIMING: OrderTiming = OrderTiming {
     load_limit: Duration::from_millis(4_500),
     retry_wait: Duration::from_millis(300),
