--- a/tests/burst_arrivals.rs
+++ b/tests/burst_arrivals.rs
@@ -12,7 +12,7 @@
 
 const LENGTH: Duration = Duration::from_secs(50);
 
-/// Required goodput of chat requests over the whole run.
+/// Required goodput of chat requests over the complete run.
 const GOODPUT: f64 = 0.99;
 
 /// Three bursts of two seconds each exceed the capacity threefold. Chat requests still meet their
--- a/tests/cache_store.rs
+++ b/tests/cache_store.rs
@@ -148,8 +148,8 @@
     assert_eq!(fixture.send_prompt(2, LONG_PREFIX_TOKENS), Some(CacheStoreUse::TakeAndBring));
 }
 
-/// A burst of uncached prompts transfers no more than the link carries within seconds. A transfer
-/// that waits longer delays first tokens and is then not made at all.
+/// A burst of uncached prompts transfers no more than the link carries within seconds. Transfers
+/// that would have to wait longer are not made, because they would delay first tokens.
 #[test]
 fn transfers_are_limited_by_the_link() {
     let mut fixture = StoreFixture::new(Some(LINK_RATE));
--- a/tests/claim_release.rs
+++ b/tests/claim_release.rs
@@ -31,7 +31,7 @@
 
 /// Long enough for a few proposals to the ledger.
 const SHORT_WAIT: Duration = Duration::from_millis(400);
-/// Far longer than claiming a call takes that no other daemon has claimed.
+/// Far longer than it takes to claim a call that no other daemon has claimed.
 const LONG_WAIT: Duration = Duration::from_secs(20);
 
 /// More retries than it takes until the interval between them has reached its maximum.
--- a/tests/config_race.rs
+++ b/tests/config_race.rs
@@ -25,8 +25,8 @@
 }
 
 /// Of two changes with the same expected revision the one committed first is applied, and the other
-/// receives the digest of the winner. A resend after a lost response receives the first result even
-/// if more changes followed. It is never applied twice and never conflicts with itself.
+/// receives the digest of the applied one. A resend after a lost response receives the first result
+/// even if more changes followed. It is never applied twice and never conflicts with itself.
 #[test]
 fn equal_revisions_and_resends() {
     let mut state = ControlState::default();
--- a/tests/disk_faults.rs
+++ b/tests/disk_faults.rs
@@ -50,7 +50,7 @@
 
 /// Returns a folder after all writes, the state after the base of its last file, and the state
 /// after each further write.
-fn filled() -> (MemoryFiles, Vec<SavedState>) {
+fn folder_with_writes() -> (MemoryFiles, Vec<SavedState>) {
     let files = MemoryFiles::default();
     let mut store = LogStore::open(Box::new(files.clone()), INCARNATION).expect("it opens").store;
     let mut state = SavedState::empty(INCARNATION);
@@ -63,7 +63,7 @@
     (files, states.split_off(2))
 }
 
-fn the_log(content: &BTreeMap<String, Vec<u8>>) -> String {
+fn log_name(content: &BTreeMap<String, Vec<u8>>) -> String {
     content.keys().find(|name| name.starts_with("log-")).expect("there is a log").clone()
 }
 
@@ -88,14 +88,14 @@
 /// filled with zeros, since a file may grow before its bytes are written.
 #[test]
 fn each_prefix_recovers() {
-    let (files, states) = filled();
+    let (files, states) = folder_with_writes();
     let content = files.content();
-    let name = the_log(&content);
-    let whole = content[&name].clone();
+    let name = log_name(&content);
+    let log_file = content[&name].clone();
     let mut found = Vec::new();
-    for length in 0..=whole.len() {
+    for length in 0..=log_file.len() {
         let mut cut = content.clone();
-        cut.insert(name.clone(), whole[..length].to_vec());
+        cut.insert(name.clone(), log_file[..length].to_vec());
         let state = reopen(&cut);
         let known = state.as_ref().map(|state| {
             states.iter().position(|known| known == state).expect("a state between two writes")
@@ -105,8 +105,8 @@
             "a longer file never holds fewer writes"
         );
         if known.is_some() {
-            let mut padded = whole[..length].to_vec();
-            padded.resize(whole.len().next_multiple_of(512), 0);
+            let mut padded = log_file[..length].to_vec();
+            padded.resize(log_file.len().next_multiple_of(512), 0);
             cut.insert(name.clone(), padded);
             let padded = reopen(&cut);
             let same = padded == state;
@@ -121,12 +121,12 @@
 }
 
 /// Guards against a replica that restarts with part of its state after the disk returns wrong
-/// bytes. One bit of each byte of each file is flipped. The whole folder is quarantined, and the
-/// replica is empty under a new incarnation without a vote. If the log were truncated at the
-/// damage, an acknowledged call would be lost and the replica could elect a leader without it.
+/// bytes. One bit of each byte of each file is flipped. All files of the folder are quarantined,
+/// and the replica is empty under a new incarnation without a vote. If the log were truncated at
+/// the damage, an acknowledged call would be lost and the replica could elect a leader without it.
 #[test]
 fn flipped_bytes_are_quarantined() {
-    let (files, _) = filled();
+    let (files, _) = folder_with_writes();
     let content = files.content();
     for (name, bytes) in &content {
         for place in 0..bytes.len() {
@@ -136,7 +136,7 @@
         }
     }
     let mut missing = content.clone();
-    missing.remove(&the_log(&content));
+    missing.remove(&log_name(&content));
     assert_eq!(reopen(&missing), None, "the log is missing");
 }
 
@@ -206,10 +206,10 @@
 
 #[test]
 fn unknown_version_refused() {
-    let (files, _) = filled();
+    let (files, _) = folder_with_writes();
     let mut content = files.content();
     let header = postcard::to_stdvec(&(2_u32, "of a later release")).expect("it encodes");
-    content.insert(the_log(&content), encode_frame(&header));
+    content.insert(log_name(&content), encode_frame(&header));
     let files = MemoryFiles::with_files(&content);
     let error = LogStore::open(Box::new(files.clone()), NEXT_INCARNATION).err();
     assert!(matches!(error, Some(StorageError::UnknownVersion { found: 2 })));
--- a/tests/dispatch_outcomes.rs
+++ b/tests/dispatch_outcomes.rs
@@ -243,8 +243,8 @@
 }
 
 /// A service accepts a non-repeatable call and the connection breaks before the answer. The call
-/// may have been executed, so it must not be resent, and the caller is told that the outcome is
-/// unknown.
+/// may have been executed, so it must not be resent, and the caller is informed that the outcome
+/// is unknown.
 #[test]
 fn broken_non_repeatable_call_is_not_resent() {
     let now = Instant::now();
--- a/tests/fakes/replica_group.rs
+++ b/tests/fakes/replica_group.rs
@@ -325,8 +325,8 @@
         let Some(node) = self.nodes.get_mut(vm) else { return };
         let Some(replica) = node.replica.as_mut().filter(|_| node.paused_until <= now) else {
             if let ReplicaInput::Propose { proposal, .. } = input {
-                let nobody = LocalProposeError::NotLeader { leader: None };
-                self.outcomes.insert(proposal, Err(nobody));
+                let no_leader = LocalProposeError::NotLeader { leader: None };
+                self.outcomes.insert(proposal, Err(no_leader));
             }
             return;
         };
--- a/tests/fleet_list.rs
+++ b/tests/fleet_list.rs
@@ -1,4 +1,4 @@
-//! State received by a follower never goes back, whichever control VM it follows.
+//! The state of a follower is never replaced by an older one, whichever control VM it follows.
 
 use {
     oleandermount::{
@@ -36,7 +36,7 @@
 /// draining; its control VM is partitioned, and the next control VM has read the list a second
 /// earlier.
 #[test]
-fn draining_stays() {
+fn draining_server_stays_draining() {
     let mut state = SharedState::default();
     assert_eq!(listed(&mut state, list(ServerPhase::Ready, 1)), ServerPhase::Ready);
     assert_eq!(listed(&mut state, list(ServerPhase::Draining, 1)), ServerPhase::Draining);
@@ -48,7 +48,7 @@
     );
 }
 
-/// Guards against a control VM and a follower that exchange the whole list continuously because
+/// Guards against a control VM and a follower that exchange the full list continuously because
 /// their digests differ.
 #[test]
 fn digest_matches_sender() {
@@ -83,7 +83,7 @@
 }
 
 /// Guards against control VMs that fail to lead because of the lists that they send: each server
-/// that loads weights changes the list, and every daemon received the whole list each time.
+/// that loads weights changes the list, and every daemon received the full list each time.
 #[test]
 fn followers_get_differences() {
     let mut history = FleetHistory::default();
@@ -95,7 +95,7 @@
         let change = history.change_since(state.fleet_digest, &current).expect("it changed");
         let reply = match change {
             FleetChange::Full(fleet) => {
-                assert_eq!(loading, 0, "only the first list is sent whole");
+                assert_eq!(loading, 0, "only the first list is sent in full");
                 FollowReply { fleet: Some(FleetSnapshot::clone(&fleet)), ..FollowReply::default() }
             }
             FleetChange::Delta(delta) => FollowReply {
@@ -145,11 +145,11 @@
         ..FollowReply::default()
     });
     assert_eq!((state.fleet, state.fleet_digest), (None, 0));
-    let whole = history.change_since(77, &other);
+    let full = history.change_since(77, &other);
     assert_eq!(
-        whole,
+        full,
         Some(FleetChange::Full(other)),
-        "an unknown list is replaced by the whole list"
+        "an unknown list is replaced by the full list"
     );
 }
 
--- a/tests/healing_group.rs
+++ b/tests/healing_group.rs
@@ -68,8 +68,8 @@
     assert_eq!(next_repair(now, &status, VOTERS), removed);
 }
 
-/// Guards against a leader that adds a lost disk, finds it unresponsive and removes it, over and
-/// over, while a working replica is available.
+/// Guards against a leader that repeatedly adds a lost disk and removes it as unresponsive while a
+/// working replica is available.
 #[test]
 fn lost_disk_is_not_added() {
     let mut group = ReplicaGroup::new(&["a", "b", "c"], 1);
--- a/tests/healing_simulation.rs
+++ b/tests/healing_simulation.rs
@@ -28,7 +28,7 @@
 /// Number of seeds of each CI run.
 const SEEDS: u64 = 24;
 /// Seeds that failed before. 8: a learner that was lost before it had caught up blocked every later
-/// repair. 59: a lost disk was added and removed over and over. 75: a voter returned after a spare
+/// repair. 59: a lost disk was repeatedly added and removed. 75: a voter returned after a spare
 /// had taken its place, and the group stayed at six voters.
 const REGRESSION_SEEDS: [u64; 3] = [8, 59, 75];
 const ROUNDS: u64 = 150;
--- a/tests/seam_purity.rs
+++ b/tests/io_free_modules.rs
@@ -1,4 +1,5 @@
-//! Decision modules stay free of I/O and clocks, so that tests in virtual time run the daemon's code.
+//! Decision modules stay free of I/O and clocks, so that tests in virtual time run the daemon's
+//! code.
 
 use std::{
     fs,
--- a/tests/ledger_interleavings.rs
+++ b/tests/ledger_interleavings.rs
@@ -118,7 +118,7 @@
             {
                 match outcome {
                     CommandOutcome::Reserved => daemon.stage = AttemptStage::Granted,
-                    _ => self.give_up(number),
+                    _ => self.abandon_attempt(number),
                 }
             }
             Command::Finish { .. } if is_delivered => daemon.stage = AttemptStage::Ended,
@@ -127,7 +127,7 @@
     }
 
     /// Ends the attempt without sending the call; the release may be lost.
-    fn give_up(&mut self, number: usize) {
+    fn abandon_attempt(&mut self, number: usize) {
         let sends_release = self.below(2) == 0;
         let daemon = &mut self.daemons[number];
         daemon.stage = AttemptStage::Ended;
@@ -152,7 +152,7 @@
                 self.runs += 1;
             }
             (0, AttemptStage::Sent) => daemon.network.push(daemon.finish()),
-            (1, AttemptStage::Requested | AttemptStage::Granted) => self.give_up(number),
+            (1, AttemptStage::Requested | AttemptStage::Granted) => self.abandon_attempt(number),
             (2, _) => daemon.network.push(daemon.floor()),
             _ => self.deliver(number),
         }
--- a/tests/many_changes.rs
+++ b/tests/many_changes.rs
@@ -39,7 +39,7 @@
     entries.map(|entry| entry.and_then(|entry| entry.metadata()).map_or(0, |data| data.len())).sum()
 }
 
-/// After 600 changes and a restart the last one is in force immediately, before any leader is
+/// After 600 changes and a restart the last one is in effect immediately, before any leader is
 /// known. The folder contains one configuration and the changes since the last snapshot: each
 /// change is 2 KB, so a log without compaction would take 1.2 MB.
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/non_repeatable_calls.rs
+++ b/tests/non_repeatable_calls.rs
@@ -35,7 +35,7 @@
     assert!(runs <= 1, "{key} ran {runs} times");
     assert!(
         !surely_not_run || runs == 0,
-        "{key} ran, but its caller was told that it did not: {response:?}"
+        "{key} ran, but its caller was informed that it did not: {response:?}"
     );
     assert!(
         result != "yes" || runs == 1,
--- a/tests/prefix_levels.rs
+++ b/tests/prefix_levels.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// After a server restarts or loads other weights, its former cache contents are gone. No hit may
+/// After a server restarts or loads other weights, its former cache contents are lost. No hit may
 /// be expected, not even when the former incarnation is reported again.
 #[test]
 fn hits_end_with_incarnation_and_weights() {
--- a/tests/replica_simulation.rs
+++ b/tests/replica_simulation.rs
@@ -325,8 +325,8 @@
     assert!(recovered, "seed {seed}: the group is not repaired: {roles:#?}");
 }
 
-/// A non-repeatable call is executed at most once and an accepted configuration is kept, whatever
-/// happens to the control replicas. In each run messages are lost, duplicated and delayed, and
+/// A non-repeatable call is executed at most once and an accepted configuration is kept under any
+/// faults of the control replicas. In each run messages are lost, duplicated and delayed, and
 /// replicas crash, pause, are partitioned in one or both directions and return with empty disks,
 /// while daemons claim calls and operators change the configuration.
 #[test]
--- a/tests/retry_storm.rs
+++ b/tests/retry_storm.rs
@@ -20,7 +20,7 @@
 const MAX_SENT: f64 = 1.5;
 
 /// All engines answer with errors for ten seconds. Requests fail after few attempts, since retries
-/// are paid from a budget that first sends fill. Without budgets, each request is resent many
+/// are charged to a budget that first sends fill. Without budgets, each request is resent many
 /// times, and the engines get a multiple of the load when they recover.
 #[test]
 fn retries_are_bounded() {
--- a/tests/send_state.rs
+++ b/tests/send_state.rs
@@ -1,6 +1,6 @@
 //! The deadline of a non-repeatable call can pass while the daemon still claims the call or waits
-//! for a server. The caller must be told that the call did not run only if it can no longer be
-//! sent, and the call must not be sent after that, whichever comes first.
+//! for a server. The caller may be informed that the call did not run only if it can no longer
+//! be sent, and the call must not be sent after that.
 
 use oleandermount::pipeline::send_state::SendState;
 
@@ -8,7 +8,7 @@
 fn deadline_and_sending_are_exclusive() {
     let first = SendState::default();
     assert!(first.try_abandon(), "nothing was sent yet");
-    assert!(!first.try_send(), "the caller was told that nothing will be sent");
+    assert!(!first.try_send(), "the caller was informed that nothing will be sent");
     let second = SendState::default();
     assert!(second.try_send());
     assert!(!second.try_abandon(), "the call may have run");
