--- a/src/pipeline/core.rs
+++ b/src/pipeline/core.rs
@@ -46,7 +46,11 @@
         ServingConfig {
             keys: KeyIndex::new(register),
             rules: rules.collect(),
-            addresses: register.servers.iter().map(|one| (one.id.clone(), one.address)).collect(),
+            addresses: register
+                .servers
+                .iter()
+                .map(|server| (server.id.clone(), server.address))
+                .collect(),
             view: Arc::new(policy_view(&config)),
             config,
         }
@@ -56,16 +60,18 @@
 fn policy_view(config: &ActiveConfig) -> PolicyView {
     let register = &config.register;
     let servers =
-        register.servers.iter().filter(|one| one.kind != ServerKind::PromptKeep).map(|one| {
-            let view = ServerView {
-                failure_domain: one.failure_domain.clone(),
-                kind: one.kind,
-                models: one.models.clone(),
-                service: one.service.clone(),
-                slots: one.slots,
-            };
-            (one.id.clone(), view)
-        });
+        register.servers.iter().filter(|server| server.kind != ServerKind::PromptKeep).map(
+            |server| {
+                let view = ServerView {
+                    failure_domain: server.failure_domain.clone(),
+                    kind: server.kind,
+                    models: server.models.clone(),
+                    service: server.service.clone(),
+                    slots: server.slots,
+                };
+                (server.id.clone(), view)
+            },
+        );
     let mut daemons: BTreeMap<_, BTreeMap<_, _>> = BTreeMap::new();
     register.vms.iter().for_each(|vm| {
         let domain = daemons.entry(vm.failure_domain.clone()).or_default();
@@ -83,7 +89,11 @@
             .map(|rule| (rule.organisation.clone(), rule.weight))
             .collect(),
         daemons,
-        weights: register.models.iter().map(|one| (one.id.clone(), one.weights.clone())).collect(),
+        weights: register
+            .models
+            .iter()
+            .map(|model| (model.id.clone(), model.weights.clone()))
+            .collect(),
     }
 }
 
--- a/src/pipeline/limit.rs
+++ b/src/pipeline/limit.rs
@@ -86,8 +86,9 @@
     adapter: Option<&str>,
 ) -> Result<(), CallerRefusal> {
     let known = serving.config.register.models.iter().find(|record| record.id == model);
-    let has_adapter =
-        |name: &str| known.is_some_and(|record| record.adapters.iter().any(|one| one == name));
+    let has_adapter = |name: &str| {
+        known.is_some_and(|record| record.adapters.iter().any(|adapter| adapter == name))
+    };
     if known.is_none() || adapter.is_some_and(|name| !has_adapter(name)) {
         let message = format!("no model `{model}` with that adapter; GET /v1/models lists them");
         return Err(CallerRefusal::before_run(404, refusal::NOT_FOUND, message));
--- a/src/policy/rollout.rs
+++ b/src/policy/rollout.rs
@@ -77,11 +77,11 @@
                 loading += 1;
             }
         } else if busy < limit && loading < limit {
-            let last_one = server.serves() && serving <= 1;
-            if last_one && busy > 0 {
+            let is_last = server.serves() && serving <= 1;
+            if is_last && busy > 0 {
                 continue;
             }
-            if server.serves() && server.in_flight > 0 && !last_one {
+            if server.serves() && server.in_flight > 0 && !is_last {
                 step.drain.push(id.clone());
             } else {
                 step.load.push(id.clone());
