--- a/src/control/replica/freshness.rs
+++ b/src/control/replica/freshness.rs
@@ -9,14 +9,14 @@
 
 impl Replica {
     /// Records the target index sent by the leader.
-    pub(super) fn note_target(&mut self, now: Instant, target: LogIndex) {
+    pub(super) fn record_target(&mut self, now: Instant, target: LogIndex) {
         if self.applied >= target {
             self.fresh_at = Some(now);
         }
     }
 
     /// Index that followers of this leader must have applied. Before the first entry of its own
-    /// term is committed, the leader may not know everything that former leaders have committed.
+    /// term is committed, the leader may lack the commit index that former leaders have reached.
     pub(super) fn follower_target(&self) -> LogIndex {
         self.leader_state()
             .map_or(self.commit, |leader_state| self.commit.max(leader_state.term_start))
--- a/src/policy/dispatcher/timers.rs
+++ b/src/policy/dispatcher/timers.rs
@@ -10,7 +10,7 @@
 };
 
 /// Interval at which waiting requests are considered again without an input, since estimates for
-/// other daemons' requests expire and the delay of overdue answers grows.
+/// other daemons' requests expire and the delay of overdue responses grows.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
@@ -38,8 +38,13 @@
         match &entry.phase {
             RequestPhase::Waiting(request) => {
                 if request.ticket.deadline <= now && request.history.relayed == 0 {
-                    let pause = self.drain_pause(entry.pool, entry.cost);
-                    self.refuse_waiting(now, number, RefusalReason::DeadlinePassed, Some(pause));
+                    let retry_after = self.drain_delay(entry.pool, entry.cost);
+                    self.refuse_waiting(
+                        now,
+                        number,
+                        RefusalReason::DeadlinePassed,
+                        Some(retry_after),
+                    );
                 } else {
                     self.table.pools[entry.pool].dirty = true;
                 }
@@ -68,7 +73,7 @@
         self.ejected.retain(|index| {
             let server = &mut self.table.servers[*index];
             if server.listed && server.failures.probe_due().is_some_and(|at| at <= now) {
-                server.failures.record_probing();
+                server.failures.record_probe_sent();
                 let server = server.id.clone();
                 self.actions.push(PolicyAction::Probe { server });
             }
--- a/tests/prefix_levels.rs
+++ b/tests/prefix_levels.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// After a server restarts or loads other weights, its former cache contents are gone. No hit may
+/// After a server restarts or loads other weights, its former cache contents are lost. No hit may
 /// be expected, not even when the former incarnation is reported again.
 #[test]
 fn hits_end_with_incarnation_and_weights() {
@@ -87,5 +87,5 @@
         table.record_hash(7, hash as usize % 40, &cache);
     }
     assert_eq!(table.len(), 64);
-    assert!(table.knows(7) && !table.knows(8));
+    assert!(table.contains(7) && !table.contains(8));
 }
