--- a/examples/policy_report/main.rs
+++ b/examples/policy_report/main.rs
@@ -1,63 +1,64 @@
-//! Drives the dispatcher and three plain routers in virtual time over the same arrivals, and prints
-//! what callers got. `harness` tells what the model is and what it leaves out.
+//! Simulates the dispatcher and three baseline routers with the same arrivals in virtual time and
+//! prints what callers received. The module `harness` describes the model and its limits.
 
-mod aims;
 #[path = "harness.rs"]
 mod harness;
 mod report;
+mod targets;
 
 use {
     bpaf::Bpaf,
     harness::{
         PolicyName,
-        loads::{DigestReach, LoadName},
+        load_scenario::{DigestScope, LoadName},
+        run_metrics::RunMetrics,
         site::SiteName,
-        tally::RunTally,
     },
     oleandermount::policy::SafeguardSet,
     report::RunLabel,
     std::{io::Write, time::Duration},
 };
 
-/// Virtual time over which sessions start, in seconds: some forty refills of an engine's cache.
+/// Virtual time in seconds during which sessions start. Each engine fills its cache about forty
+/// times in it.
 const RUN_LENGTH: u64 = 80;
 
-/// Measures the routing policy against plain routers in virtual time.
+/// Compares the routing policy with baseline routers in virtual time.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct ReportOptions {
-    /// Seed of arrivals, faults and random choices.
+    /// Seed of the arrivals, faults and random choices.
     #[bpaf(argument("S"), fallback(1))]
     seed: u64,
-    /// Runs this many seeds, counting up from the first.
+    /// Number of consecutive seeds to run, starting at --seed.
     #[bpaf(argument("N"), fallback(1))]
     seeds: u64,
-    /// One load instead of all.
+    /// Runs only this load; the default is all loads.
     #[bpaf(argument::<String>("NAME"), parse(parse_load), optional)]
     load: Option<LoadName>,
-    /// The site: tuul or abay.
+    /// Site to simulate: tuul or abay.
     #[bpaf(argument::<String>("SITE"), parse(parse_site), fallback(SiteName::Tuul))]
     site: SiteName,
-    /// One JSON object a line for each load, policy and class.
+    /// Prints one JSON object per line for each load, policy and class.
     json: bool,
-    /// Virtual seconds over which sessions start.
+    /// Virtual time in seconds during which sessions start.
     #[bpaf(argument("SECONDS"), fallback(RUN_LENGTH))]
     length: u64,
-    /// Switches safeguards of the chosen policy off, to see what they give; commas between them.
+    /// Safeguards of the dispatcher to switch off, separated by commas.
     #[bpaf(argument("NAMES"), fallback(SafeguardSet::default()))]
     without: SafeguardSet,
-    /// Loses all cache events, so that the policy learns from answers alone.
+    /// Drops all cache events, so that the dispatcher learns cache contents only from answers.
     no_cache_events: bool,
-    /// Digests reach the daemons of the own failure domain alone.
+    /// Delivers digests only within the sender's failure domain.
     near_digests: bool,
-    /// Prints each aim with median and worst of the seeds instead.
+    /// Prints the target values, each with its median and worst value over the seeds, instead.
     aims: bool,
 }
 
 fn parse_load(name: String) -> Result<LoadName, String> {
     LoadName::ALL.into_iter().find(|load| load.as_str() == name).ok_or_else(|| {
         let names: Vec<&str> = LoadName::ALL.iter().map(|load| load.as_str()).collect();
-        format!("no load {name}; give one of {}", names.join(", "))
+        format!("unknown load {name}; use one of {}", names.join(", "))
     })
 }
 
@@ -65,7 +66,7 @@
     match name.as_str() {
         "tuul" => Ok(SiteName::Tuul),
         "abay" => Ok(SiteName::Abay),
-        _ => Err(format!("no site {name}; give tuul or abay")),
+        _ => Err(format!("unknown site {name}; use tuul or abay")),
     }
 }
 
@@ -75,7 +76,7 @@
     let seeds = options.seed..options.seed + options.seeds;
     if options.aims {
         let run = |_, load, policy, seed| run_load(&options, load, policy, seed);
-        for line in aims::aim_lines(options.site, seeds, &run) {
+        for line in targets::target_lines(options.site, seeds, &run) {
             writeln!(out, "{line}")?;
         }
         return Ok(());
@@ -93,17 +94,17 @@
     Ok(())
 }
 
-fn run_load(options: &ReportOptions, load: LoadName, policy: PolicyName, seed: u64) -> RunTally {
-    let mut scene = load.scene(options.site, seed, Duration::from_secs(options.length));
+fn run_load(options: &ReportOptions, load: LoadName, policy: PolicyName, seed: u64) -> RunMetrics {
+    let mut scenario = load.scenario(options.site, seed, Duration::from_secs(options.length));
     if options.no_cache_events {
-        scene.cache_loss = 1.0;
+        scenario.cache_loss = 1.0;
     }
     if options.near_digests {
-        scene.digest_reach = DigestReach::OwnDomain;
+        scenario.digest_scope = DigestScope::OwnDomain;
     }
     match policy {
-        PolicyName::Chosen => harness::run_without(scene, seed, &options.without),
-        PolicyName::Plain(_) => policy.run(scene, seed),
+        PolicyName::Chosen => harness::run_without(scenario, seed, &options.without),
+        PolicyName::Baseline(_) => policy.run(scenario, seed),
     }
 }
 
@@ -114,7 +115,7 @@
     load: LoadName,
     policy: PolicyName,
 ) -> std::io::Result<()> {
-    let tally = run_load(options, load, policy, seed);
+    let run_metrics = run_load(options, load, policy, seed);
     let label = RunLabel {
         site: options.site.as_str(),
         load: load.as_str(),
@@ -122,8 +123,8 @@
         seed,
     };
     let lines = match options.json {
-        true => report::json_lines(label, &tally),
-        false => report::table_rows(label, &tally),
+        true => report::json_lines(label, &run_metrics),
+        false => report::table_rows(label, &run_metrics),
     };
     for line in lines {
         writeln!(out, "{line}")?;
--- a/examples/policy_report/site.rs
+++ b/examples/policy_report/site.rs
@@ -1,7 +1,7 @@
-//! The two users' sites: failure domains, daemons, servers and organisations.
+//! Layouts of the simulated sites: failure domains, daemons, servers and organisations.
 
 use {
-    super::engine::ServerTraits,
+    super::simulated_server::ServerProperties,
     oleandermount::{
         ids::{FailureDomainId, ServerId, VmId},
         inventory::{DecisionObjective, ServerKind},
@@ -10,28 +10,29 @@
     std::collections::BTreeMap,
 };
 
-/// The one model that all engines run.
+/// Model that all engines serve.
 pub const MODEL: &str = "basket-7b";
-/// The version of its weights.
+/// Version of the weights of [`MODEL`].
 pub const WEIGHTS: &str = "w1";
-/// The one plain service.
+/// Service that all service servers provide.
 pub const SERVICE: &str = "app";
-/// Organisations at each site, and their shares of the traffic: a few are large.
+/// Traffic weight of each organisation of a site, in percent; a few organisations cause most of the
+/// traffic.
 pub const ORGANISATION_SHARES: [f64; 8] = [30.0, 22.0, 14.0, 10.0, 8.0, 7.0, 5.0, 4.0];
-/// Plain services answer many calls at once.
+/// Slots of a service server, which serves more concurrent calls than an engine.
 const SERVICE_SLOTS: usize = 32;
 
-/// Whose site it is.
+/// Name of a simulated site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SiteName {
-    /// Tuul Basket Cooperative: chat above all.
+    /// Tuul Basket Cooperative, whose traffic is mostly chat.
     Tuul,
-    /// Abay Geodetic Networks: long logs above all.
+    /// Abay Geodetic Networks, with more requests over long logs.
     Abay,
 }
 
 impl SiteName {
-    /// The name on the command line and in reports.
+    /// Returns the name used on the command line and in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             SiteName::Tuul => "tuul",
@@ -40,83 +41,90 @@
     }
 }
 
-/// One daemon's place.
+/// Placement of a daemon.
 #[derive(Clone, Debug)]
-pub struct DaemonSeat {
-    /// Its VM.
+pub struct DaemonPlacement {
+    /// VM that runs the daemon.
     pub vm: VmId,
-    /// Its failure domain, as an index.
+    /// Index of the VM's failure domain in [`SitePlan::domains`].
     pub domain: usize,
 }
 
-/// One backend server's place and properties.
+/// Placement and properties of a backend server.
 #[derive(Clone, Debug)]
-pub struct ServerSeat {
-    /// Its name.
+pub struct ServerPlacement {
+    /// Identifier of the server.
     pub id: ServerId,
-    /// Its failure domain, as an index.
+    /// Index of the server's failure domain in [`SitePlan::domains`].
     pub domain: usize,
-    /// What it does.
+    /// Engine or service.
     pub kind: ServerKind,
-    /// How fast it is.
-    pub traits: ServerTraits,
+    /// Slots, speed and cache size of the server.
+    pub properties: ServerProperties,
 }
 
-/// A whole site.
+/// Layout of a site.
 #[derive(Clone, Debug)]
 pub struct SitePlan {
-    /// Whose it is.
+    /// Name of the site, which sets the policy's objective.
     pub name: SiteName,
-    /// Names of the failure domains.
+    /// Identifiers of the failure domains.
     pub domains: Vec<FailureDomainId>,
-    /// Daemons, spread evenly over the domains.
-    pub daemons: Vec<DaemonSeat>,
-    /// Servers, spread evenly over the domains.
-    pub servers: Vec<ServerSeat>,
+    /// Daemons, distributed evenly over the failure domains.
+    pub daemons: Vec<DaemonPlacement>,
+    /// Servers, distributed evenly over the failure domains.
+    pub servers: Vec<ServerPlacement>,
 }
 
 impl SitePlan {
-    /// The site as the brief gives it.
+    /// Returns the layout of the named site, with three service servers.
     pub fn new(name: SiteName) -> Self {
         let (domains, daemons, engines) = match name {
             SiteName::Tuul => (["ub-north", "ub-central", "ub-south"], 6, 9),
             SiteName::Abay => (["addis-a", "addis-b", "addis-c"], 9, 18),
         };
         let daemons = (0..daemons)
-            .map(|index| DaemonSeat { vm: format!("entry-{index}"), domain: index % 3 })
+            .map(|index| DaemonPlacement { vm: format!("entry-{index}"), domain: index % 3 })
             .collect();
-        let engine =
-            ServerTraits { slots: 16, prefill_rate: 12_000.0, cache_tokens: 120_000, speed: 1.0 };
-        let service = ServerTraits { slots: SERVICE_SLOTS, ..engine.clone() };
-        let engines = (0..engines).map(|index| ServerSeat {
+        let engine = ServerProperties {
+            slots: 16,
+            prefill_rate: 12_000.0,
+            cache_tokens: 120_000,
+            speed: 1.0,
+        };
+        let service = ServerProperties { slots: SERVICE_SLOTS, ..engine.clone() };
+        let engines = (0..engines).map(|index| ServerPlacement {
             id: format!("engine-{index:02}"),
             domain: index % 3,
             kind: ServerKind::Engine,
-            traits: engine.clone(),
+            properties: engine.clone(),
         });
-        let services = (0..3).map(|index| ServerSeat {
+        let services = (0..3).map(|index| ServerPlacement {
             id: format!("service-{index}"),
             domain: index,
             kind: ServerKind::Service,
-            traits: service.clone(),
+            properties: service.clone(),
         });
         let servers = engines.chain(services).collect();
         SitePlan { name, domains: domains.map(String::from).into(), daemons, servers }
     }
 
-    /// Engines alone.
-    pub fn engines(&self) -> usize {
-        self.servers.iter().filter(|seat| seat.kind == ServerKind::Engine).count()
+    /// Returns the number of servers that are engines.
+    pub fn engine_count(&self) -> usize {
+        self.servers.iter().filter(|placement| placement.kind == ServerKind::Engine).count()
     }
 
-    /// The configuration that every router gets.
+    /// Returns the configuration that every router receives.
     pub fn view(&self) -> PolicyView {
         let mut daemons: BTreeMap<FailureDomainId, BTreeMap<VmId, f64>> = BTreeMap::new();
-        for seat in &self.daemons {
-            let domain = self.domains[seat.domain].clone();
-            daemons.entry(domain).or_default().insert(seat.vm.clone(), 1.0);
+        for placement in &self.daemons {
+            let domain = self.domains[placement.domain].clone();
+            daemons.entry(domain).or_default().insert(placement.vm.clone(), 1.0);
         }
-        let servers = self.servers.iter().map(|seat| (seat.id.clone(), self.server_view(seat)));
+        let servers = self
+            .servers
+            .iter()
+            .map(|placement| (placement.id.clone(), self.server_view(placement)));
         PolicyView {
             revision: 1,
             objective: match self.name {
@@ -130,14 +138,14 @@
         }
     }
 
-    fn server_view(&self, seat: &ServerSeat) -> ServerView {
-        let engine = seat.kind == ServerKind::Engine;
+    fn server_view(&self, placement: &ServerPlacement) -> ServerView {
+        let engine = placement.kind == ServerKind::Engine;
         ServerView {
-            failure_domain: self.domains[seat.domain].clone(),
-            kind: seat.kind,
+            failure_domain: self.domains[placement.domain].clone(),
+            kind: placement.kind,
             models: if engine { vec![MODEL.into()] } else { Vec::new() },
             service: (!engine).then(|| SERVICE.into()),
-            slots: seat.traits.slots as u32,
+            slots: placement.properties.slots as u32,
         }
     }
 }
--- a/examples/policy_report/traffic.rs
+++ b/examples/policy_report/traffic.rs
@@ -1,83 +1,88 @@
-//! Callers' requests, drawn before a run from its seed, so that every policy gets the same ones.
+//! Requests of the callers. They are generated from the seed before a run, so that every policy
+//! receives the same requests.
 
 use {
     super::{
-        draw::{DrawSource, mix},
+        random_source::{RandomSource, mix_hash},
         site::{ORGANISATION_SHARES, SiteName},
     },
     oleandermount::{inventory::RequestClass, policy::PrefixLevel},
     std::time::Duration,
 };
 
-/// Clients (standing orders, base stations) of each organisation; low ones are called more often.
-const CLIENTS: u32 = 30;
-/// Time that a person takes before the next turn of a chat, in milliseconds.
-const THINK_MS: std::ops::Range<u32> = 3_000..9_000;
-/// Calls to plain services for each model request.
-const SERVICE_SHARE: f64 = 0.5;
-/// Share of the service calls that must not be repeated.
-const BOOKING_SHARE: f64 = 0.2;
+/// Number of clients (standing orders, base stations) of each organisation. Clients with a low
+/// index send more requests.
+const CLIENTS_PER_ORGANISATION: u32 = 30;
+/// Think time of a user before the next turn of a session, in milliseconds.
+const THINK_TIME_MS: std::ops::Range<u32> = 3_000..9_000;
+/// Number of service calls per model request.
+const SERVICE_CALLS_PER_REQUEST: f64 = 0.5;
+/// Share of the service calls that are non-repeatable.
+const NON_REPEATABLE_SHARE: f64 = 0.2;
 
-/// What a request asks for.
+/// Work of a request.
 #[derive(Clone, Debug)]
-pub enum AskedWork {
-    /// A model's answer; the last level is the whole prompt.
+pub enum CallerWork {
+    /// Model request; the last level covers the whole prompt.
     Model { levels: Vec<PrefixLevel>, output_tokens: u32 },
-    /// A plain service's answer after `run` at a usual server.
+    /// Service call that runs for `run` on a server of normal speed.
     Service { run: Duration },
 }
 
-/// One request as its caller has it in mind.
+/// One request of a caller.
 #[derive(Clone, Debug)]
-pub struct AskedRequest {
-    /// When it reaches its first daemon.
+pub struct CallerRequest {
+    /// Time at which the first submission reaches a daemon.
     pub at: Duration,
-    /// Which daemon the balancer picks; each resend goes to the next one.
-    pub entry: usize,
-    /// Who sends it.
+    /// Number that selects the first daemon, modulo the number of daemons. Each retry goes to the
+    /// next daemon.
+    pub first_daemon: usize,
+    /// Index of the organisation in [`ORGANISATION_SHARES`].
     pub organisation: usize,
-    /// How urgent it is.
+    /// Class, which sets the priority and the first-token limit.
     pub class: RequestClass,
-    /// Time from the first ask to the latest useful first token.
-    pub patience: Duration,
-    /// Whether it may run more than once.
+    /// Maximum time from the first submission to the first token.
+    pub first_token_limit: Duration,
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// What it asks for.
-    pub work: AskedWork,
-    /// Whether it crashes each engine that runs it; its caller then asks again whatever it hears.
+    /// Work that a server performs for the request.
+    pub work: CallerWork,
+    /// Whether the request crashes each engine that runs it. Its caller then retries after every
+    /// refusal.
     pub poison: bool,
 }
 
-/// A stream of sessions with one mix.
+/// Specification of a stream of sessions.
 #[derive(Clone, Debug)]
 pub struct TrafficSpec {
-    /// Names the draws; streams of other purposes are not disturbed by it.
+    /// Purpose of the random source; streams with different purposes are independent.
     pub purpose: &'static str,
-    /// Model requests a second over all daemons.
+    /// Model requests per second over all daemons.
     pub rate: f64,
-    /// First and last moment of its sessions' starts.
+    /// Time from which sessions start.
     pub from: Duration,
-    /// Sessions start before this moment.
+    /// Time before which sessions start; requests at or after it are dropped.
     pub until: Duration,
-    /// What its sessions are.
+    /// Kind of the sessions.
     pub mix: TrafficMix,
 }
 
-/// What the sessions of a stream are.
+/// Kind of the sessions of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficMix {
-    /// The site's usual mix over all organisations and clients.
-    Usual(SiteName),
-    /// Chats of one organisation.
-    OneCaller(usize),
-    /// Single chats of one client of the largest organisation.
+    /// The site's mix of chats, document requests and batch jobs over all organisations and
+    /// clients.
+    SiteTraffic(SiteName),
+    /// Chats of the organisation with this index.
+    OneOrganisation(usize),
+    /// Single-turn chats of one client of the largest organisation.
     HotClient(u32),
-    /// Long batch jobs.
+    /// Long batch jobs of all organisations.
     LongJobs,
 }
 
-/// The time to a useful first token.
-pub fn patience(class: RequestClass) -> Duration {
+/// Returns the maximum time from the first submission to the first token for a class.
+pub fn first_token_limit(class: RequestClass) -> Duration {
     Duration::from_secs(match class {
         RequestClass::Interactive => 5,
         RequestClass::Standard => 20,
@@ -85,152 +90,183 @@
     })
 }
 
-/// Draws a stream's requests, in no order.
-pub fn draw_traffic(seed: u64, spec: &TrafficSpec) -> Vec<AskedRequest> {
-    let mut source = DrawSource::new(seed, spec.purpose);
-    let mut asked = Vec::new();
+/// Generates the requests of a stream; they are not sorted by time.
+pub fn generate_traffic(seed: u64, spec: &TrafficSpec) -> Vec<CallerRequest> {
+    let mut source = RandomSource::new(seed, spec.purpose);
+    let mut requests = Vec::new();
     let session_rate = spec.rate / session_length(spec.mix);
-    let mut at = spec.from + source.gap(session_rate);
+    let mut at = spec.from + source.exponential_gap(session_rate);
     while at < spec.until {
-        draw_session(&mut source, spec.mix, at, &mut asked);
-        at += source.gap(session_rate);
+        generate_session(&mut source, spec.mix, at, &mut requests);
+        at += source.exponential_gap(session_rate);
     }
-    asked.retain(|request| request.at < spec.until);
-    asked
+    requests.retain(|request| request.at < spec.until);
+    requests
 }
 
-/// Draws calls to the plain services.
-pub fn draw_calls(seed: u64, model_rate: f64, until: Duration) -> Vec<AskedRequest> {
-    let mut source = DrawSource::new(seed, "calls");
-    let mut asked = Vec::new();
-    let mut at = source.gap(model_rate * SERVICE_SHARE);
+/// Generates the service calls that accompany `model_rate` model requests per second.
+pub fn generate_service_calls(seed: u64, model_rate: f64, until: Duration) -> Vec<CallerRequest> {
+    let mut source = RandomSource::new(seed, "calls");
+    let mut requests = Vec::new();
+    let mut at = source.exponential_gap(model_rate * SERVICE_CALLS_PER_REQUEST);
     while at < until {
-        asked.push(AskedRequest {
+        requests.push(CallerRequest {
             at,
-            entry: source.within(0..1_000) as usize,
-            organisation: source.weighted(&ORGANISATION_SHARES),
+            first_daemon: source.in_range(0..1_000) as usize,
+            organisation: source.weighted_index(&ORGANISATION_SHARES),
             class: RequestClass::Interactive,
-            patience: patience(RequestClass::Interactive),
-            repeatable: source.unit() >= BOOKING_SHARE,
-            work: AskedWork::Service { run: Duration::from_millis(source.within(5..60).into()) },
+            first_token_limit: first_token_limit(RequestClass::Interactive),
+            repeatable: source.unit() >= NON_REPEATABLE_SHARE,
+            work: CallerWork::Service { run: Duration::from_millis(source.in_range(5..60).into()) },
             poison: false,
         });
-        at += source.gap(model_rate * SERVICE_SHARE);
+        at += source.exponential_gap(model_rate * SERVICE_CALLS_PER_REQUEST);
     }
-    asked
+    requests
 }
 
-/// Requests of a session on average.
+/// Mean number of requests per session.
 fn session_length(mix: TrafficMix) -> f64 {
     match mix {
-        TrafficMix::Usual(SiteName::Tuul) => 2.4,
-        TrafficMix::Usual(SiteName::Abay) => 2.2,
-        TrafficMix::OneCaller(_) => 3.0,
+        TrafficMix::SiteTraffic(SiteName::Tuul) => 2.4,
+        TrafficMix::SiteTraffic(SiteName::Abay) => 2.2,
+        TrafficMix::OneOrganisation(_) => 3.0,
         TrafficMix::HotClient(_) | TrafficMix::LongJobs => 1.0,
     }
 }
 
-/// One kind of session: turns, tokens of the first question and of later ones, tokens of an answer.
-struct SessionKind {
+/// Ranges of a session's values: number of turns, prompt tokens added by the first and by later
+/// turns, and tokens of an answer.
+struct SessionProfile {
     class: RequestClass,
     turns: std::ops::Range<u32>,
-    first: std::ops::Range<u32>,
-    later: std::ops::Range<u32>,
-    answer: std::ops::Range<u32>,
+    first_tokens: std::ops::Range<u32>,
+    later_tokens: std::ops::Range<u32>,
+    answer_tokens: std::ops::Range<u32>,
 }
 
-impl SessionKind {
+impl SessionProfile {
     fn chat(turns: std::ops::Range<u32>) -> Self {
         let class = RequestClass::Interactive;
-        SessionKind { class, turns, first: 60..300, later: 60..300, answer: 40..160 }
+        SessionProfile {
+            class,
+            turns,
+            first_tokens: 60..300,
+            later_tokens: 60..300,
+            answer_tokens: 40..160,
+        }
     }
 
-    fn check(turns: std::ops::Range<u32>) -> Self {
+    fn document(turns: std::ops::Range<u32>) -> Self {
         let class = RequestClass::Standard;
-        SessionKind { class, turns, first: 3_000..9_000, later: 100..400, answer: 120..300 }
+        SessionProfile {
+            class,
+            turns,
+            first_tokens: 3_000..9_000,
+            later_tokens: 100..400,
+            answer_tokens: 120..300,
+        }
     }
 
-    fn long() -> Self {
+    fn batch() -> Self {
         let class = RequestClass::Batch;
-        SessionKind { class, turns: 1..2, first: 16_000..32_000, later: 0..1, answer: 200..500 }
+        SessionProfile {
+            class,
+            turns: 1..2,
+            first_tokens: 16_000..32_000,
+            later_tokens: 0..1,
+            answer_tokens: 200..500,
+        }
     }
 
-    fn draw(source: &mut DrawSource, mix: TrafficMix) -> Self {
+    fn select(source: &mut RandomSource, mix: TrafficMix) -> Self {
         match mix {
-            TrafficMix::Usual(SiteName::Tuul) => match source.weighted(&[80.0, 18.0, 2.0]) {
-                0 => SessionKind::chat(1..6),
-                1 => SessionKind::check(1..2),
-                _ => SessionKind::long(),
-            },
-            TrafficMix::Usual(SiteName::Abay) => match source.weighted(&[55.0, 42.0, 3.0]) {
-                0 => SessionKind::chat(1..5),
-                1 => SessionKind::check(1..4),
-                _ => SessionKind::long(),
-            },
-            TrafficMix::OneCaller(_) => SessionKind::chat(1..6),
-            TrafficMix::HotClient(_) => SessionKind::chat(1..2),
-            TrafficMix::LongJobs => SessionKind::long(),
+            TrafficMix::SiteTraffic(SiteName::Tuul) => {
+                match source.weighted_index(&[80.0, 18.0, 2.0]) {
+                    0 => SessionProfile::chat(1..6),
+                    1 => SessionProfile::document(1..2),
+                    _ => SessionProfile::batch(),
+                }
+            }
+            TrafficMix::SiteTraffic(SiteName::Abay) => {
+                match source.weighted_index(&[55.0, 42.0, 3.0]) {
+                    0 => SessionProfile::chat(1..5),
+                    1 => SessionProfile::document(1..4),
+                    _ => SessionProfile::batch(),
+                }
+            }
+            TrafficMix::OneOrganisation(_) => SessionProfile::chat(1..6),
+            TrafficMix::HotClient(_) => SessionProfile::chat(1..2),
+            TrafficMix::LongJobs => SessionProfile::batch(),
         }
     }
 }
 
-fn draw_session(
-    source: &mut DrawSource,
+fn generate_session(
+    source: &mut RandomSource,
     mix: TrafficMix,
     start: Duration,
-    asked: &mut Vec<AskedRequest>,
+    requests: &mut Vec<CallerRequest>,
 ) {
-    let kind = SessionKind::draw(source, mix);
-    let (organisation, client) = draw_client(source, mix);
+    let profile = SessionProfile::select(source, mix);
+    let (organisation, client) = select_client(source, mix);
     let mut levels = shared_levels(organisation, client);
     let chat = source.seed();
     let mut at = start;
-    for turn in 0..source.within(kind.turns.clone()) {
-        let grown = source.within(if turn == 0 { kind.first.clone() } else { kind.later.clone() });
-        let last = levels.last().expect("two levels are shared");
+    for turn in 0..source.in_range(profile.turns.clone()) {
+        let added_tokens = source.in_range(if turn == 0 {
+            profile.first_tokens.clone()
+        } else {
+            profile.later_tokens.clone()
+        });
+        let last = levels.last().expect("a session starts with two shared levels");
         let level = PrefixLevel {
-            hash: mix_levels(last.hash, chat, turn.into()),
-            tokens: last.tokens + grown,
+            hash: hash_level(last.hash, chat, turn.into()),
+            tokens: last.tokens + added_tokens,
         };
         levels.push(level);
-        let output_tokens = source.within(kind.answer.clone());
-        asked.push(AskedRequest {
+        let output_tokens = source.in_range(profile.answer_tokens.clone());
+        requests.push(CallerRequest {
             at,
-            entry: source.within(0..1_000) as usize,
+            first_daemon: source.in_range(0..1_000) as usize,
             organisation,
-            class: kind.class,
-            patience: patience(kind.class),
+            class: profile.class,
+            first_token_limit: first_token_limit(profile.class),
             repeatable: true,
-            work: AskedWork::Model { levels: levels.clone(), output_tokens },
+            work: CallerWork::Model { levels: levels.clone(), output_tokens },
             poison: false,
         });
-        at += Duration::from_millis(source.within(THINK_MS).into());
+        at += Duration::from_millis(source.in_range(THINK_TIME_MS).into());
     }
 }
 
-fn draw_client(source: &mut DrawSource, mix: TrafficMix) -> (usize, u32) {
-    let zipf: Vec<f64> = (0..CLIENTS).map(|rank| 1.0 / f64::from(rank + 1)).collect();
+fn select_client(source: &mut RandomSource, mix: TrafficMix) -> (usize, u32) {
+    let zipf: Vec<f64> =
+        (0..CLIENTS_PER_ORGANISATION).map(|rank| 1.0 / f64::from(rank + 1)).collect();
     match mix {
-        TrafficMix::Usual(_) | TrafficMix::LongJobs => {
-            (source.weighted(&ORGANISATION_SHARES), source.weighted(&zipf) as u32)
+        TrafficMix::SiteTraffic(_) | TrafficMix::LongJobs => {
+            (source.weighted_index(&ORGANISATION_SHARES), source.weighted_index(&zipf) as u32)
+        }
+        TrafficMix::OneOrganisation(organisation) => {
+            (organisation, source.weighted_index(&zipf) as u32)
         }
-        TrafficMix::OneCaller(organisation) => (organisation, source.weighted(&zipf) as u32),
         TrafficMix::HotClient(client) => (0, client),
     }
 }
 
-/// The organisation's system prompt and the client's standing order.
+/// Returns the levels shared by all sessions of a client: the organisation's system prompt and the
+/// client's own prompt.
 fn shared_levels(organisation: usize, client: u32) -> Vec<PrefixLevel> {
-    let system = mix(0x5e1f, organisation as u64);
-    let order = mix_levels(system, 0x0de7, client.into());
-    let system_tokens = 1_500 + (system % 1_500) as u32;
-    let order_tokens = 2_000 + (order % 4_000) as u32;
+    let system_hash = mix_hash(0x5e1f, organisation as u64);
+    let client_hash = hash_level(system_hash, 0x0de7, client.into());
+    let system_tokens = 1_500 + (system_hash % 1_500) as u32;
+    let client_tokens = 2_000 + (client_hash % 4_000) as u32;
     vec![
-        PrefixLevel { hash: system, tokens: system_tokens },
-        PrefixLevel { hash: order, tokens: system_tokens + order_tokens },
+        PrefixLevel { hash: system_hash, tokens: system_tokens },
+        PrefixLevel { hash: client_hash, tokens: system_tokens + client_tokens },
     ]
 }
 
-fn mix_levels(below: u64, salt: u64, index: u64) -> u64 {
-    mix(mix(below, salt), index)
+fn hash_level(parent: u64, salt: u64, index: u64) -> u64 {
+    mix_hash(mix_hash(parent, salt), index)
 }
--- a/src/backend/service.rs
+++ b/src/backend/service.rs
@@ -1,9 +1,9 @@
-//! The client for plain services.
+//! Client for plain services.
 
 use {
     super::{
         ATTEMPT_HEADER, BackendError,
-        connection::{ExchangeLimits, attempt_text, exchange},
+        connection::{ExchangeLimits, exchange, format_attempt_id},
     },
     crate::ids::AttemptId,
     bytes::Bytes,
@@ -13,54 +13,54 @@
     tokio::time::{Instant, timeout_at},
 };
 
-/// Services answer callers with forms and lists; more than this is refused.
-pub const ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// Limit for response bodies; services return forms and lists that are smaller.
+pub const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// One call to a plain service.
+/// A call to a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceRequest {
-    /// HTTP method.
+    /// HTTP method of the caller's request.
     pub method: Method,
-    /// Path and query within the service, with the leading slash.
+    /// Path and query within the service, with a leading slash.
     pub path: String,
-    /// The caller's headers that are passed on.
+    /// Headers of the caller that are forwarded.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete request body.
     pub body: Bytes,
 }
 
-/// A service's whole answer, whatever its status.
+/// Complete response of a service, with any status.
 #[derive(Clone, Debug)]
-pub struct ServiceAnswer {
+pub struct ServiceResponse {
     /// HTTP status.
     pub status: u16,
-    /// `Content-Type`.
+    /// Value of `Content-Type`, or `application/octet-stream` if absent.
     pub content_type: String,
-    /// When the service asked to come back, in seconds.
+    /// Value of `Retry-After` in seconds, if present.
     pub retry_after: Option<u64>,
-    /// The whole body.
+    /// Complete response body.
     pub body: Bytes,
 }
 
-/// Sends one call once and reads the whole answer.
+/// Sends a call, without retries, and reads the complete response.
 ///
 /// # Errors
-/// As [`exchange`]; an answer cut short is `Broken` and never passed on.
+/// Those of [`exchange`]; a truncated or too large response is `Broken` and not forwarded.
 pub async fn call(
     address: SocketAddr,
     attempt: AttemptId,
     request: ServiceRequest,
     limits: ExchangeLimits,
-) -> Result<ServiceAnswer, BackendError> {
+) -> Result<ServiceResponse, BackendError> {
     let started = Instant::now();
     let ServiceRequest { method, path, headers, body } = request;
     let mut outgoing = Request::new(Full::new(body));
     *outgoing.method_mut() = method;
     *outgoing.uri_mut() = path
         .parse()
-        .map_err(|_| BackendError::Malformed("the path is not valid for a request".to_owned()))?;
+        .map_err(|_| BackendError::Malformed("the request path is not a valid URI".to_owned()))?;
     *outgoing.headers_mut() = headers;
-    let fixed = [("host", "backend".to_owned()), (ATTEMPT_HEADER, attempt_text(attempt))];
+    let fixed = [("host", "backend".to_owned()), (ATTEMPT_HEADER, format_attempt_id(attempt))];
     fixed.into_iter().for_each(|(name, value)| {
         let value = value.parse().expect("digits and letters are valid header values");
         outgoing.headers_mut().insert(name, value);
@@ -74,11 +74,11 @@
     let content_type =
         text(header::CONTENT_TYPE).unwrap_or_else(|| "application/octet-stream".to_owned());
     let retry_after = text(header::RETRY_AFTER).and_then(|value| value.parse().ok());
-    let body = Limited::new(open.response.body_mut(), ANSWER_BYTES);
+    let body = Limited::new(open.response.body_mut(), MAX_RESPONSE_BYTES);
     let body = timeout_at(limits.head_before, body.collect())
         .await
         .map_err(|_| BackendError::TimedOut(started.elapsed()))?
         .map_err(|_| BackendError::Broken)?
         .to_bytes();
-    Ok(ServiceAnswer { status, content_type, retry_after, body })
+    Ok(ServiceResponse { status, content_type, retry_after, body })
 }
--- a/src/daemon/status_desk.rs
+++ b/src/daemon/status_service.rs
@@ -1,12 +1,12 @@
-//! Answers what operators ask of a running daemon.
+//! Answers operators' requests to a running daemon.
 
 use {
-    super::{peer_desk::DeskParts, peer_status::ask_status, server_board::ServerBoard},
+    super::{peer_service::DaemonParts, peer_status::fetch_statuses, server_table::ServerTable},
     crate::{
-        gateway::operator::{
+        http_api::operator::{
             SourceError, StatusSource,
             wire::{
-                ConfigChange, DaemonStatus, LifeState, OrganisationStatus, ReplicaEntry,
+                ConfigChange, DaemonState, DaemonStatus, OrganisationStatus, ReplicaEntry,
                 ServerStatus, VmRevision,
             },
         },
@@ -22,31 +22,31 @@
     },
 };
 
-/// An order or a question to one daemon takes a round trip; longer means it cannot be reached.
-const PEER_LIMIT: Duration = Duration::from_secs(2);
+/// Time limit of a request to one daemon, which takes a round trip.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers for one daemon.
-pub struct StatusDesk {
-    /// Who it is.
+/// Answers operators' requests at one daemon.
+pub struct StatusService {
+    /// The identity of the daemon.
     pub identity: IdentityOptions,
-    /// When it started.
+    /// The time at which the daemon started.
     pub started: Instant,
-    /// The parts it asks.
-    pub parts: DeskParts,
-    /// What is known of backend servers.
-    pub board: Arc<ServerBoard>,
-    /// The way to other daemons.
+    /// The parts that the answers are taken from.
+    pub parts: DaemonParts,
+    /// The last known state of each backend server.
+    pub server_table: Arc<ServerTable>,
+    /// The network to the other daemons.
     pub network: PeerNetwork,
 }
 
-impl StatusSource for StatusDesk {
+impl StatusSource for StatusService {
     fn status(&self) -> DaemonStatus {
         let replica = self.parts.replica.as_ref().map(|replica| replica.status());
         let revision = self.parts.revision();
         let state = match (self.parts.core.gate.is_draining(), revision) {
-            (true, _) => LifeState::Draining,
-            (false, 0) => LifeState::Starting,
-            (false, _) => LifeState::Serving,
+            (true, _) => DaemonState::Draining,
+            (false, 0) => DaemonState::Starting,
+            (false, _) => DaemonState::Serving,
         };
         let role = match self.identity.role {
             DaemonRole::Entry => "entry",
@@ -70,7 +70,7 @@
     fn servers(&self) -> Vec<ServerStatus> {
         let serving = self.parts.core.serving();
         let in_flight = self.parts.core.usage.in_flight();
-        let reports = self.board.snapshot();
+        let reports = self.server_table.snapshot();
         let servers = serving.config.register.servers.iter();
         servers
             .map(|record| {
@@ -93,7 +93,7 @@
     }
 
     fn organisations(&self, limit: usize) -> Vec<OrganisationStatus> {
-        let heaviest = self.parts.core.usage.heaviest(limit);
+        let heaviest = self.parts.core.usage.busiest_organisations(limit);
         heaviest
             .into_iter()
             .map(|(id, usage)| OrganisationStatus {
@@ -142,8 +142,8 @@
 
     fn revisions(&self) -> BoxFuture<'_, Vec<VmRevision>> {
         Box::pin(async move {
-            // This daemon itself comes first: before its first register it knows no other, and an
-            // empty list would look like a revision in force everywhere.
+            // The list always contains this daemon: before its first register it knows no other,
+            // and an empty list would look as if the revision were in force everywhere.
             let own = VmRevision {
                 vm: self.identity.vm.clone(),
                 failure_domain: self.identity.failure_domain.clone(),
@@ -152,11 +152,14 @@
             let serving = self.parts.core.serving();
             let others = serving.config.register.vms.iter().filter(|vm| vm.id != own.vm);
             let names: Vec<VmId> = others.clone().map(|vm| vm.id.clone()).collect();
-            let answers = ask_status(&self.network, names).await;
+            let answers = fetch_statuses(&self.network, names).await;
             let others = others.map(|vm| VmRevision {
                 vm: vm.id.clone(),
                 failure_domain: vm.failure_domain.clone(),
-                revision: answers.get(&vm.id).and_then(Option::as_ref).map(|told| told.revision),
+                revision: answers
+                    .get(&vm.id)
+                    .and_then(Option::as_ref)
+                    .map(|status| status.revision),
             });
             std::iter::once(own.clone()).chain(others).collect()
         })
@@ -165,18 +168,18 @@
     fn drain(&self, vm: VmId) -> BoxFuture<'_, Result<(), SourceError>> {
         Box::pin(async move {
             if vm == self.identity.vm {
-                self.parts.core.gate.begin();
+                self.parts.core.gate.begin_drain();
                 return Ok(());
             }
             let known =
-                self.parts.core.serving().config.register.vms.iter().any(|one| one.id == vm);
+                self.parts.core.serving().config.register.vms.iter().any(|record| record.id == vm);
             if !known {
                 return Err(SourceError::UnknownVm(vm));
             }
-            match self.network.call(&vm, PeerRequest::Drain, PEER_LIMIT).await {
+            match self.network.call(&vm, PeerRequest::Drain, PEER_TIMEOUT).await {
                 Ok(PeerReply::Draining) => Ok(()),
                 Ok(_) => Err(SourceError::OutcomeUnknown(vm)),
-                Err(error) if error.surely_not_sent() => Err(SourceError::Unreachable(vm)),
+                Err(error) if error.definitely_not_sent() => Err(SourceError::Unreachable(vm)),
                 Err(_) => Err(SourceError::OutcomeUnknown(vm)),
             }
         })
@@ -187,13 +190,14 @@
         request: RequestId,
     ) -> BoxFuture<'_, Result<BTreeMap<VmId, Vec<String>>, SourceError>> {
         Box::pin(async move {
-            // A request id is VM, life and count; the VM's name may hold dots itself.
+            // A request id consists of VM, incarnation and count, joined by dots; the name of the
+            // VM may contain dots itself.
             let vm = request.rsplitn(3, '.').nth(2).unwrap_or_default().to_owned();
             let lines = if vm == self.identity.vm {
                 self.parts.core.trace.lines(&request)
             } else {
                 let question = PeerRequest::Explain { request: request.clone() };
-                match self.network.call(&vm, question, PEER_LIMIT).await {
+                match self.network.call(&vm, question, PEER_TIMEOUT).await {
                     Ok(PeerReply::Explained(lines)) => lines,
                     _ => return Err(SourceError::Unreachable(vm)),
                 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,23 +1,23 @@
-//! oleandermount routes language-model traffic with long shared prompts.
+//! A router for language-model traffic with long shared prompts.
 //!
-//! The library holds everything; the two binaries only parse options and start it. `policy` and
-//! `control` are pure state machines: they see no network, no clock and no task.
+//! All logic is in this library; the two binaries parse their options and call it. `policy` and
+//! `control` are deterministic state machines without access to network, clock or tasks.
 
 pub mod backend;
 pub mod control;
 pub mod daemon;
-pub mod edge;
 pub mod fleet;
 pub mod follow;
-pub mod gateway;
+pub mod http_api;
 pub mod ids;
 pub mod inventory;
-pub mod node;
 pub mod observe;
 pub mod operator_client;
 pub mod options;
 pub mod pipeline;
 pub mod policy;
+pub mod reverse_proxy;
+pub mod roles;
 pub mod routing;
 pub mod storage;
 pub mod transport;
--- a/src/operator_client/connection.rs
+++ b/src/operator_client/connection.rs
@@ -1,8 +1,8 @@
-//! Speaks HTTP to daemons, one address after the other.
+//! HTTP client for the operators' API of daemons, with failover between addresses.
 
 use {
     super::error::ClientError,
-    crate::gateway::operator::wire::{DidHappen, FaultBody, OperatorFault},
+    crate::http_api::operator::wire::{DidHappen, ErrorBody, OperatorError},
     bytes::Bytes,
     http::{Method, Request, StatusCode, Uri, header},
     http_body_util::{BodyExt, Full, Limited},
@@ -14,37 +14,37 @@
     std::time::Duration,
 };
 
-/// A daemon that does not take a connection by then is down or cut off.
+/// A daemon that accepts no connection within this time is considered unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// A change waits for a quorum, which may just be electing a leader.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
-/// The largest register with its rules stays well below this.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+/// A change waits for a quorum, which may be electing a leader.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Limit for response bodies; the largest register with its rules is much smaller.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// What one daemon made of one request.
+/// Outcome of one request to one daemon.
 #[derive(Clone, Debug)]
-pub enum TryResult {
-    /// The body of a 200.
+pub enum RequestOutcome {
+    /// The daemon responded with status 200 and this body.
     Answered(Bytes),
-    /// The daemon refused.
-    Refused(Box<OperatorFault>),
-    /// Nothing reached a daemon.
+    /// The daemon refused the request.
+    Refused(Box<OperatorError>),
+    /// The request did not reach a daemon.
     NotSent(String),
-    /// The request was sent and its answer lost.
-    Lost(String),
+    /// The request was sent, but its response was not received.
+    ResponseLost(String),
 }
 
-/// The operators' addresses that a command may use.
+/// HTTP client with the operators' addresses of daemons.
 pub struct AdminConnection {
     client: Client<HttpConnector, Full<Bytes>>,
     addresses: Vec<Uri>,
 }
 
 impl AdminConnection {
-    /// Takes addresses such as `http://10.0.0.7:8081`.
+    /// Creates a client for addresses such as `http://10.0.0.7:8081`.
     ///
     /// # Errors
-    /// No address, or one of another form.
+    /// `Usage` if there is no address or one is malformed.
     pub fn new(addresses: &[String]) -> Result<Self, ClientError> {
         if addresses.is_empty() {
             let text = "--admin and OLEANDERMOUNT_ADMIN_URLS are empty: give at least one address";
@@ -62,59 +62,61 @@
             .collect::<Result<Vec<_>, _>>()?;
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // The library would send again by itself what a broken connection may have carried; here
-        // each sending is counted, so that an unknown outcome is told.
+        // By default hyper retries requests that a broken connection may have transmitted. Each
+        // request must be sent once, so that an unknown outcome is reported.
         let client =
             Client::builder(TokioExecutor::new()).retry_canceled_requests(false).build(connector);
         Ok(AdminConnection { client, addresses })
     }
 
-    /// The addresses, in the order in which they are tried.
+    /// Addresses in the order in which they are tried.
     pub fn addresses(&self) -> &[Uri] {
         &self.addresses
     }
 
-    /// Asks one daemon after the other until one answers.
+    /// Sends a GET request to one daemon after the other until one returns a result.
     ///
     /// # Errors
-    /// The last refusal, or `Unreachable` when there was none.
-    pub async fn ask<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
+    /// The last refusal, or `Unreachable` if no daemon responded.
+    pub async fn query<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
         let mut refused = None;
-        let mut seen = Vec::new();
+        let mut failures = Vec::new();
         for address in &self.addresses {
             match self.send(address, Method::GET, path, Bytes::new()).await {
-                TryResult::Answered(body) => return read_answer(&body),
-                TryResult::Refused(fault) => refused = Some(ClientError::Refused(fault)),
-                TryResult::NotSent(text) | TryResult::Lost(text) => seen.push(text),
+                RequestOutcome::Answered(body) => return parse_response(&body),
+                RequestOutcome::Refused(fault) => refused = Some(ClientError::Refused(fault)),
+                RequestOutcome::NotSent(text) | RequestOutcome::ResponseLost(text) => {
+                    failures.push(text)
+                }
             }
         }
-        Err(refused.unwrap_or(ClientError::Unreachable(seen)))
+        Err(refused.unwrap_or(ClientError::Unreachable(failures)))
     }
 
-    /// Asks the daemon at one address.
+    /// Sends a GET request to the daemon at one address.
     ///
     /// # Errors
-    /// Its refusal, or `Unreachable`.
-    pub async fn ask_one<T: DeserializeOwned>(
+    /// The refusal of the daemon, or `Unreachable`.
+    pub async fn query_one<T: DeserializeOwned>(
         &self,
         address: &Uri,
         path: &str,
     ) -> Result<T, ClientError> {
         match self.send(address, Method::GET, path, Bytes::new()).await {
-            TryResult::Answered(body) => read_answer(&body),
-            TryResult::Refused(fault) => Err(ClientError::Refused(fault)),
-            TryResult::NotSent(text) | TryResult::Lost(text) => {
+            RequestOutcome::Answered(body) => parse_response(&body),
+            RequestOutcome::Refused(fault) => Err(ClientError::Refused(fault)),
+            RequestOutcome::NotSent(text) | RequestOutcome::ResponseLost(text) => {
                 Err(ClientError::Unreachable(vec![text]))
             }
         }
     }
 
-    /// Sends a change or an order to one daemon after the other until its outcome is known. That
-    /// is safe since a change carries its operation id, and the orders are idempotent.
+    /// Sends a change or an order to one daemon after the other until its outcome is known. Resending
+    /// is safe because a change has an operation id and orders are idempotent.
     ///
     /// # Errors
-    /// A refusal; `Unreachable` when nothing was sent; `OutcomeUnknown` when something was and no
-    /// daemon could tell what came of it.
+    /// A refusal; `Unreachable` if nothing was sent; `OutcomeUnknown` if something was sent and no
+    /// daemon reported the outcome.
     pub async fn change<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -124,34 +126,34 @@
         let body = serde_json::to_vec(body).expect("changes have string keys only");
         let body = Bytes::from(body);
         let mut refused = None;
-        let mut seen = Vec::new();
+        let mut failures = Vec::new();
         let mut lost = false;
         for address in &self.addresses {
             match self.send(address, method.clone(), path, body.clone()).await {
-                TryResult::Answered(body) => return read_answer(&body),
-                // A conflict is what the log itself decided, so earlier tries lost as well.
-                TryResult::Refused(fault) if fault.code == "conflict" => {
+                RequestOutcome::Answered(body) => return parse_response(&body),
+                // The replicated log decides conflicts, so earlier attempts had no effect either.
+                RequestOutcome::Refused(fault) if fault.code == "conflict" => {
                     return Err(ClientError::Refused(fault));
                 }
-                TryResult::Refused(fault) => {
+                RequestOutcome::Refused(fault) => {
                     lost |= fault.did_happen == DidHappen::Unknown;
-                    seen.push(format!("{address}: {}", fault.message));
+                    failures.push(format!("{address}: {}", fault.message));
                     refused = Some(ClientError::Refused(fault));
                 }
-                TryResult::NotSent(text) => seen.push(text),
-                TryResult::Lost(text) => {
+                RequestOutcome::NotSent(text) => failures.push(text),
+                RequestOutcome::ResponseLost(text) => {
                     lost = true;
-                    seen.push(text);
+                    failures.push(text);
                 }
             }
         }
         if lost {
-            return Err(ClientError::OutcomeUnknown { operation: None, seen });
+            return Err(ClientError::OutcomeUnknown { operation: None, failures });
         }
-        Err(refused.unwrap_or(ClientError::Unreachable(seen)))
+        Err(refused.unwrap_or(ClientError::Unreachable(failures)))
     }
 
-    async fn send(&self, address: &Uri, method: Method, path: &str, body: Bytes) -> TryResult {
+    async fn send(&self, address: &Uri, method: Method, path: &str, body: Bytes) -> RequestOutcome {
         let base = address.to_string();
         let request = Request::builder()
             .method(method)
@@ -160,14 +162,14 @@
             .body(Full::from(body));
         let request = match request {
             Ok(request) => request,
-            Err(error) => return TryResult::NotSent(format!("{address}: {error}")),
+            Err(error) => return RequestOutcome::NotSent(format!("{address}: {error}")),
         };
-        match tokio::time::timeout(ANSWER_TIMEOUT, self.client.request(request)).await {
-            Err(_) => TryResult::Lost(format!("{address}: no answer in time")),
+        match tokio::time::timeout(RESPONSE_TIMEOUT, self.client.request(request)).await {
+            Err(_) => RequestOutcome::ResponseLost(format!("{address}: no response in time")),
             Ok(Err(error)) if error.is_connect() => {
-                TryResult::NotSent(format!("{address}: cannot connect"))
+                RequestOutcome::NotSent(format!("{address}: cannot connect"))
             }
-            Ok(Err(error)) => TryResult::Lost(format!("{address}: {error}")),
+            Ok(Err(error)) => RequestOutcome::ResponseLost(format!("{address}: {error}")),
             Ok(Ok(response)) => read_response(address, response).await,
         }
     }
@@ -176,30 +178,32 @@
 async fn read_response(
     address: &Uri,
     response: http::Response<hyper::body::Incoming>,
-) -> TryResult {
+) -> RequestOutcome {
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_ANSWER).collect();
-    let body = match tokio::time::timeout(ANSWER_TIMEOUT, body).await {
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect();
+    let body = match tokio::time::timeout(RESPONSE_TIMEOUT, body).await {
         Ok(Ok(collected)) => collected.to_bytes(),
-        Ok(Err(error)) => return TryResult::Lost(format!("{address}: {error}")),
-        Err(_) => return TryResult::Lost(format!("{address}: the answer broke off")),
+        Ok(Err(error)) => return RequestOutcome::ResponseLost(format!("{address}: {error}")),
+        Err(_) => return RequestOutcome::ResponseLost(format!("{address}: incomplete response")),
     };
     if status == StatusCode::OK {
-        return TryResult::Answered(body);
+        return RequestOutcome::Answered(body);
     }
-    match serde_json::from_slice::<FaultBody>(&body) {
-        Ok(body) => TryResult::Refused(Box::new(body.error)),
+    match serde_json::from_slice::<ErrorBody>(&body) {
+        Ok(body) => RequestOutcome::Refused(Box::new(body.error)),
         Err(_) => {
-            let message = format!("{address} answered {status}; is it an operators' address?");
-            TryResult::Refused(Box::new(OperatorFault::unknown("not_understood", message)))
+            let message = format!(
+                "{address} responded with {status}; check that it is an operators' address"
+            );
+            RequestOutcome::Refused(Box::new(OperatorError::unknown("not_understood", message)))
         }
     }
 }
 
-fn read_answer<T: DeserializeOwned>(body: &Bytes) -> Result<T, ClientError> {
+fn parse_response<T: DeserializeOwned>(body: &Bytes) -> Result<T, ClientError> {
     serde_json::from_slice(body).map_err(|error| {
         let message =
-            format!("the answer is not understood ({error}); use a client of the daemon's version");
-        ClientError::Refused(Box::new(OperatorFault::unknown("not_understood", message)))
+            format!("cannot parse the response ({error}); use a client of the daemon's version");
+        ClientError::Refused(Box::new(OperatorError::unknown("not_understood", message)))
     })
 }
--- a/src/operator_client/questions.rs
+++ b/src/operator_client/queries.rs
@@ -1,4 +1,4 @@
-//! Commands that only ask.
+//! Commands that only query daemons.
 
 use {
     super::{
@@ -8,9 +8,9 @@
         table::{TextTable, or_dash},
     },
     crate::{
-        gateway::operator::wire::{
+        http_api::operator::wire::{
             ConfigChange, ConfigReport, DaemonStatus, ExplainReport, OrganisationStatus,
-            ReplicaEntry, ServerStatus, WhereReport,
+            ReplicaEntry, RevisionReport, ServerStatus,
         },
         ids::{RequestId, Revision},
     },
@@ -18,37 +18,38 @@
     std::time::{Duration, Instant},
 };
 
-/// Short beside the seconds that a change takes, long beside the answers of a few hundred daemons.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+/// Short compared with the seconds that a change takes, and long compared with the time in which a
+/// few hundred daemons respond.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Serialize)]
 struct StatusRow {
     admin: String,
-    /// Absent when the daemon did not answer.
+    /// Absent if the daemon did not respond.
     status: Option<DaemonStatus>,
 }
 
-/// `status`: every address is asked, since each daemon knows only itself.
+/// `status`: queries every address, because each daemon knows only its own state.
 pub async fn status(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let mut rows = Vec::new();
-    let mut seen = Vec::new();
+    let mut failures = Vec::new();
     for address in connection.addresses() {
-        let answer = connection.ask_one::<DaemonStatus>(address, "/v1/status").await;
-        let status = match answer {
+        let response = connection.query_one::<DaemonStatus>(address, "/v1/status").await;
+        let status = match response {
             Ok(status) => Some(status),
             Err(ClientError::Unreachable(texts)) => {
-                seen.extend(texts);
+                failures.extend(texts);
                 None
             }
             Err(error) => {
-                seen.push(error.to_string());
+                failures.push(error.to_string());
                 None
             }
         };
         rows.push(StatusRow { admin: address.to_string(), status });
     }
     if rows.iter().all(|row| row.status.is_none()) {
-        return Err(ClientError::Unreachable(seen));
+        return Err(ClientError::Unreachable(failures));
     }
     let head = [
         "vm",
@@ -88,9 +89,9 @@
     ]
 }
 
-/// `servers`.
+/// `servers`: the backend servers as seen by the first daemon that responds.
 pub async fn servers(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
-    let servers: Vec<ServerStatus> = connection.ask("/v1/servers").await?;
+    let servers: Vec<ServerStatus> = connection.query("/v1/servers").await?;
     let mut table = TextTable::new(&[
         "server",
         "domain",
@@ -105,7 +106,7 @@
     for server in &servers {
         let weights: Vec<String> =
             server.weights.iter().map(|(model, version)| format!("{model}@{version}")).collect();
-        let kind = serde_json::to_value(server.kind).expect("a kind is a word");
+        let kind = serde_json::to_value(server.kind).expect("a server kind serializes to a string");
         table.row([
             server.id.clone(),
             server.failure_domain.clone(),
@@ -121,13 +122,13 @@
     Ok(ClientReport::table(&servers, &table))
 }
 
-/// `organisations`.
+/// `organisations`: at most `limit` organisations with the most usage.
 pub async fn organisations(
     connection: &AdminConnection,
     limit: usize,
 ) -> Result<ClientReport, ClientError> {
     let path = format!("/v1/organisations?limit={limit}");
-    let organisations: Vec<OrganisationStatus> = connection.ask(&path).await?;
+    let organisations: Vec<OrganisationStatus> = connection.query(&path).await?;
     let mut table =
         TextTable::new(&["organisation", "requests", "answered", "refused", "tokens", "in flight"]);
     for organisation in &organisations {
@@ -143,9 +144,9 @@
     Ok(ClientReport::table(&organisations, &table))
 }
 
-/// `replica list`.
+/// `replica list`: members of the control group.
 pub async fn replicas(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
-    let replicas: Vec<ReplicaEntry> = connection.ask("/v1/replicas").await?;
+    let replicas: Vec<ReplicaEntry> = connection.query("/v1/replicas").await?;
     let mut table = TextTable::new(&["vm", "role", "incarnation", "applied"]);
     for replica in &replicas {
         let role = match (replica.leader, replica.voter) {
@@ -163,9 +164,9 @@
     Ok(ClientReport::table(&replicas, &table))
 }
 
-/// `config show`.
+/// `config show`: summary of the active configuration.
 pub async fn config(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
-    let config: ConfigReport = connection.ask("/v1/config").await?;
+    let config: ConfigReport = connection.query("/v1/config").await?;
     let register = &config.register;
     let mut table = TextTable::new(&["what", "value"]);
     let rows = [
@@ -187,9 +188,9 @@
     Ok(ClientReport::table(&config, &table))
 }
 
-/// `config history`.
+/// `config history`: the latest configuration changes.
 pub async fn history(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
-    let changes: Vec<ConfigChange> = connection.ask("/v1/config/history").await?;
+    let changes: Vec<ConfigChange> = connection.query("/v1/config/history").await?;
     let mut table = TextTable::new(&["revision", "part", "operation", "digest"]);
     for change in &changes {
         table.row([
@@ -202,7 +203,7 @@
     Ok(ClientReport::table(&changes, &table))
 }
 
-/// `config wait`: asks again until the revision is in force everywhere.
+/// `config wait`: polls until the revision is active on all VMs.
 pub async fn wait(
     connection: &AdminConnection,
     revision: Revision,
@@ -211,7 +212,7 @@
     let until = Instant::now() + timeout;
     let path = format!("/v1/config/where?revision={revision}");
     loop {
-        let report = connection.ask::<WhereReport>(&path).await;
+        let report = connection.query::<RevisionReport>(&path).await;
         if let Ok(report) = &report
             && report.behind().next().is_none()
         {
@@ -219,13 +220,15 @@
             return Ok(ClientReport::text(report, text));
         }
         if Instant::now() >= until {
-            return Err(report.map_or_else(|error| error, |report| still_behind(&report, timeout)));
+            return Err(
+                report.map_or_else(|error| error, |report| revision_pending(&report, timeout))
+            );
         }
-        tokio::time::sleep(ASK_AGAIN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn still_behind(report: &WhereReport, timeout: Duration) -> ClientError {
+fn revision_pending(report: &RevisionReport, timeout: Duration) -> ClientError {
     let rows: Vec<String> = report
         .behind()
         .map(|vm| match vm.revision {
@@ -233,15 +236,15 @@
             None => format!("{} ({}): does not answer", vm.vm, vm.failure_domain),
         })
         .collect();
-    ClientError::StillBehind(format!(
-        "revision {} is not in force everywhere after {}; look at these VMs, or wait again:\n  {}",
+    ClientError::RevisionPending(format!(
+        "revision {} is not active on all VMs after {}; check these VMs, or wait again:\n  {}",
         report.revision,
         humantime::format_duration(timeout),
         rows.join("\n  ")
     ))
 }
 
-/// `explain`.
+/// `explain`: trace of a request from all daemons that processed it.
 pub async fn explain(
     connection: &AdminConnection,
     request: RequestId,
@@ -249,10 +252,10 @@
     let known =
         request.chars().all(|letter| letter.is_ascii_alphanumeric() || "-_.".contains(letter));
     if request.is_empty() || !known {
-        let remedy = "give the answer's X-Oleandermount-Request-Id as it stands there";
+        let remedy = "give the exact value of X-Oleandermount-Request-Id from the response";
         return Err(ClientError::Usage(format!("\"{request}\" is no request id: {remedy}")));
     }
-    let report: ExplainReport = connection.ask(&format!("/v1/explain/{request}")).await?;
+    let report: ExplainReport = connection.query(&format!("/v1/explain/{request}")).await?;
     let text = report
         .traces
         .iter()
--- a/src/options/group.rs
+++ b/src/options/group.rs
@@ -1,9 +1,9 @@
-//! The daemons a daemon starts from, and the state it keeps on disk.
+//! Options of the control group: initial peers, founders and data folder.
 
 use {
     super::{
         DaemonRole, IdentityOptions, OptionFault,
-        values::{NAME_REMEDY, is_name, text, wrong},
+        values::{NAME_REMEDY, is_name, report_invalid, text},
     },
     crate::ids::VmId,
     bpaf::{Parser, construct},
@@ -14,20 +14,21 @@
     },
 };
 
-/// Voters may fail one at a time with three, two at a time with five, three with seven; more
-/// only make each write slower.
+/// A group of three voters tolerates one failure, five tolerate two and seven tolerate three; more
+/// voters only slow down each write.
 const MAX_FOUNDERS: usize = 7;
 
-/// The daemons a daemon starts from, and the state it keeps.
+/// Initial peers, founders and data folder of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupOptions {
-    /// Daemons to ask first, by VM; the register names the others later. Never holds this VM.
+    /// Addresses of the daemons to contact first, by VM; other daemons are found in the register.
+    /// Does not contain this VM.
     pub peers: BTreeMap<VmId, SocketAddr>,
-    /// The voters that form the control group the first time. Each is this VM or one of `peers`.
-    /// Later starts go by what is on disk.
+    /// Initial voters of the control group, each of which is this VM or one of `peers`. A daemon with
+    /// state on disk ignores them.
     pub founders: BTreeSet<VmId>,
-    /// Where a control replica keeps its state. Present when `role` is control and when this VM
-    /// is a founder.
+    /// Folder for the state of a control replica. Present if `role` is control or if this VM is a
+    /// founder.
     pub data_dir: Option<PathBuf>,
 }
 
@@ -43,19 +44,19 @@
         "peers",
         "OLEANDERMOUNT_PEERS",
         "VM=IP:PORT,…",
-        "Other daemons to ask first, by the addresses of their --peer-listen",
+        "Addresses of other daemons to contact first, as in their --peer-listen",
     );
     let founders = text(
         "founders",
         "OLEANDERMOUNT_FOUNDERS",
         "VM,…",
-        "The voters that form the control group the first time; the same list on each of them",
+        "Initial voters of the control group; must be the same list on each of them",
     );
     let data_dir = text(
         "data-dir",
         "OLEANDERMOUNT_DATA_DIR",
         "PATH",
-        "The data folder; with it the daemon is a control replica as well",
+        "Data folder; if given, the daemon is a control replica as well",
     );
     construct!(RawGroup { peers, founders, data_dir })
 }
@@ -70,13 +71,13 @@
     let founders = founder_set(raw.founders, faults);
     for founder in &founders {
         if *founder != identity.vm && !peers.contains_key(founder) {
-            let remedy = "name its address in --peers, or correct the name";
-            wrong(faults, "--founders", founder, remedy);
+            let remedy = "add its address to --peers, or correct the name";
+            report_invalid(faults, "--founders", founder, remedy);
         }
     }
     let data_dir = raw.data_dir.map(PathBuf::from);
     if let Some(path) = data_dir.as_ref().filter(|path| path.exists() && !path.is_dir()) {
-        wrong(faults, "--data-dir", path.display(), "this is a file; give a folder");
+        report_invalid(faults, "--data-dir", path.display(), "this is a file; give a folder");
     }
     if data_dir.is_none() {
         require_data_dir(identity, &founders, faults);
@@ -90,9 +91,9 @@
     faults: &mut Vec<OptionFault>,
 ) {
     let remedy = match identity.role {
-        DaemonRole::Control => "a control VM keeps state; give a folder on a disk",
+        DaemonRole::Control => "a control VM stores state; give a folder on a disk",
         DaemonRole::Entry if founders.contains(&identity.vm) => {
-            "this VM is a founder and keeps state; give a folder on a disk"
+            "this VM is a founder and stores state; give a folder on a disk"
         }
         DaemonRole::Entry => return,
     };
@@ -100,7 +101,7 @@
         .push(OptionFault::Missing { option: "--data-dir".to_owned(), remedy: remedy.to_owned() });
 }
 
-fn items(given: Option<String>) -> Vec<String> {
+fn list_items(given: Option<String>) -> Vec<String> {
     given
         .iter()
         .flat_map(|list| list.split(','))
@@ -112,18 +113,18 @@
 
 fn peer_map(given: Option<String>, faults: &mut Vec<OptionFault>) -> BTreeMap<VmId, SocketAddr> {
     let mut peers = BTreeMap::new();
-    for item in items(given) {
+    for item in list_items(given) {
         let parts = item.split_once('=');
         let address = parts.and_then(|(_, address)| address.parse::<SocketAddr>().ok());
         match (parts, address) {
             (Some((vm, _)), Some(address)) if is_name(vm) => {
                 if peers.insert(vm.to_owned(), address).is_some() {
-                    wrong(faults, "--peers", vm, "it is named twice; keep one address");
+                    report_invalid(faults, "--peers", vm, "it is listed twice; keep one address");
                 }
             }
             _ => {
                 let remedy = "give each daemon as VM=IP:PORT, such as ub-north-1=10.0.0.7:8082";
-                wrong(faults, "--peers", item, remedy);
+                report_invalid(faults, "--peers", item, remedy);
             }
         }
     }
@@ -132,17 +133,17 @@
 
 fn founder_set(given: Option<String>, faults: &mut Vec<OptionFault>) -> BTreeSet<VmId> {
     let mut founders = BTreeSet::new();
-    for item in items(given) {
+    for item in list_items(given) {
         if !is_name(&item) {
-            wrong(faults, "--founders", &item, NAME_REMEDY);
+            report_invalid(faults, "--founders", &item, NAME_REMEDY);
         }
         if !founders.insert(item.clone()) {
-            wrong(faults, "--founders", item, "it is named twice; name each voter once");
+            report_invalid(faults, "--founders", item, "it is listed twice; list each voter once");
         }
     }
     if founders.len() > MAX_FOUNDERS {
-        let remedy = format!("name at most {MAX_FOUNDERS} voters, spread over failure domains");
-        wrong(faults, "--founders", founders.len(), remedy);
+        let remedy = format!("list at most {MAX_FOUNDERS} voters, in different failure domains");
+        report_invalid(faults, "--founders", founders.len(), remedy);
     }
     founders
 }
--- a/src/options/keys.rs
+++ b/src/options/keys.rs
@@ -1,4 +1,4 @@
-//! The files that prove to other daemons who this one is.
+//! Options of the certificate and key files that authenticate a daemon to other daemons.
 
 use {
     super::{
@@ -21,11 +21,11 @@
         "authority",
         "OLEANDERMOUNT_AUTHORITY",
         "FILE",
-        "The certificate of the authority that all daemons share (PEM)",
+        "Certificate of the authority of all daemons (PEM)",
     );
     let certificate =
-        text("certificate", "OLEANDERMOUNT_CERTIFICATE", "FILE", "This VM's certificate (PEM)");
-    let key = text("key", "OLEANDERMOUNT_KEY", "FILE", "The private key of the certificate (PEM)");
+        text("certificate", "OLEANDERMOUNT_CERTIFICATE", "FILE", "Certificate of this VM (PEM)");
+    let key = text("key", "OLEANDERMOUNT_KEY", "FILE", "Private key of the certificate (PEM)");
     construct!(RawKeys { authority, certificate, key })
 }
 
@@ -35,19 +35,19 @@
     faults: &mut Vec<OptionFault>,
 ) -> Option<KeyFiles> {
     let remedy = format!(
-        "daemons talk to each other only under keys; make them with `oleandermountctl keys create \
-         --out DIR --vm {}` and give all three files",
+        "daemons authenticate each other by certificates; create them with `oleandermountctl keys \
+         create --out DIR --vm {}` and give all three files",
         identity.vm
     );
-    let mut take = |option: &str, given: Option<String>| {
+    let mut required_file = |option: &str, given: Option<String>| {
         if given.is_none() {
             let option = option.to_owned();
             faults.push(OptionFault::Missing { option, remedy: remedy.clone() });
         }
         given.map(|given| file(faults, option, given))
     };
-    let authority = take("--authority", raw.authority);
-    let certificate = take("--certificate", raw.certificate);
-    let key = take("--key", raw.key);
+    let authority = required_file("--authority", raw.authority);
+    let certificate = required_file("--certificate", raw.certificate);
+    let key = required_file("--key", raw.key);
     Some(KeyFiles { authority: authority?, certificate: certificate?, key: key? })
 }
--- a/src/options/values.rs
+++ b/src/options/values.rs
@@ -1,4 +1,4 @@
-//! Turns option texts into values and notes a fault for each that is wrong.
+//! Converts option texts to values and reports a fault for each invalid one.
 
 use {
     super::OptionFault,
@@ -6,11 +6,11 @@
     std::{net::SocketAddr, ops::RangeInclusive, path::PathBuf, time::Duration},
 };
 
-/// The longest accepted name of a VM or failure domain: it stands in logs, metrics and
-/// certificates, where longer names are cut or refused.
-const MAX_NAME: usize = 63;
+/// Maximum length of the name of a VM or failure domain. Names appear in logs, metrics and
+/// certificates, where longer names are truncated or rejected.
+const MAX_NAME_BYTES: usize = 63;
 
-/// Reads one named option as text.
+/// Parser of an optional named option as text.
 pub(super) fn text(
     flag: &'static str,
     variable: &'static str,
@@ -20,36 +20,40 @@
     long(flag).env(variable).help(help).argument::<String>(metavar).optional()
 }
 
-/// Notes that `option` has a `value` that cannot be used.
-pub(super) fn wrong(
+/// Reports an invalid `value` of `option`.
+pub(super) fn report_invalid(
     faults: &mut Vec<OptionFault>,
     option: &str,
     value: impl ToString,
     remedy: impl ToString,
 ) {
-    faults.push(OptionFault::Wrong {
+    faults.push(OptionFault::Invalid {
         option: option.to_owned(),
         value: value.to_string(),
         remedy: remedy.to_string(),
     });
 }
 
-/// Whether `name` can stand in logs, metrics, paths and certificates unchanged.
+/// Whether `name` can appear unchanged in logs, metrics, paths and certificates.
 pub fn is_name(name: &str) -> bool {
     !name.is_empty()
-        && name.len() <= MAX_NAME
+        && name.len() <= MAX_NAME_BYTES
         && name.chars().all(|letter| letter.is_ascii_alphanumeric() || "-_.".contains(letter))
 }
 
-/// What a valid name looks like, for messages.
+/// Description of a valid name for error messages.
 pub const NAME_REMEDY: &str = "use 1 to 63 letters, digits, dots, dashes or underscores";
 
-/// A name that must be present.
-pub(super) fn name(faults: &mut Vec<OptionFault>, option: &str, given: Option<String>) -> String {
+/// Parses a required name.
+pub(super) fn required_name(
+    faults: &mut Vec<OptionFault>,
+    option: &str,
+    given: Option<String>,
+) -> String {
     match given {
         Some(name) if is_name(&name) => name,
         Some(other) => {
-            wrong(faults, option, &other, NAME_REMEDY);
+            report_invalid(faults, option, &other, NAME_REMEDY);
             other
         }
         None => {
@@ -62,29 +66,34 @@
     }
 }
 
-/// An address and port.
+/// Parses an IP address with a port.
 pub(super) fn address(
     faults: &mut Vec<OptionFault>,
     option: &str,
     given: Option<String>,
-    usual: SocketAddr,
+    default: SocketAddr,
 ) -> SocketAddr {
-    let Some(given) = given else { return usual };
+    let Some(given) = given else { return default };
     given.parse().unwrap_or_else(|_| {
-        wrong(faults, option, given, "give an IP address and a port such as 10.0.0.7:8080");
-        usual
+        report_invalid(
+            faults,
+            option,
+            given,
+            "give an IP address and a port such as 10.0.0.7:8080",
+        );
+        default
     })
 }
 
-/// A duration such as `500ms` or `30s`, within `range`.
+/// Parses a duration such as `500ms` or `30s`, within `range`.
 pub(super) fn duration(
     faults: &mut Vec<OptionFault>,
     option: &str,
     given: Option<String>,
-    usual: Duration,
+    default: Duration,
     range: RangeInclusive<Duration>,
 ) -> Duration {
-    let Some(given) = given else { return usual };
+    let Some(given) = given else { return default };
     match humantime::parse_duration(&given) {
         Ok(duration) if range.contains(&duration) => duration,
         _ => {
@@ -92,43 +101,43 @@
                 "give a duration from {} to {}, such as {}",
                 humantime::format_duration(*range.start()),
                 humantime::format_duration(*range.end()),
-                humantime::format_duration(usual)
+                humantime::format_duration(default)
             );
-            wrong(faults, option, given, remedy);
-            usual
+            report_invalid(faults, option, given, remedy);
+            default
         }
     }
 }
 
-/// A whole number within `range`.
+/// Parses a whole number within `range`.
 pub(super) fn count(
     faults: &mut Vec<OptionFault>,
     option: &str,
     given: Option<String>,
-    usual: usize,
+    default: usize,
     range: RangeInclusive<usize>,
 ) -> usize {
-    let Some(given) = given else { return usual };
+    let Some(given) = given else { return default };
     match given.parse() {
         Ok(count) if range.contains(&count) => count,
         _ => {
             let (least, most) = range.into_inner();
-            let remedy = format!("give a whole number from {least} to {most}, such as {usual}");
-            wrong(faults, option, given, remedy);
-            usual
+            let remedy = format!("give a whole number from {least} to {most}, such as {default}");
+            report_invalid(faults, option, given, remedy);
+            default
         }
     }
 }
 
-/// A file that must exist and be readable.
+/// Parses the path of a file that must exist and be readable.
 pub(super) fn file(faults: &mut Vec<OptionFault>, option: &str, given: String) -> PathBuf {
     let path = PathBuf::from(&given);
     if let Err(error) = std::fs::File::open(&path) {
         let remedy = format!(
-            "the file cannot be read ({error}); make it with `oleandermountctl keys create` or \
-             give its right path"
+            "the file cannot be read ({error}); create it with `oleandermountctl keys create` or \
+             correct the path"
         );
-        wrong(faults, option, given, remedy);
+        report_invalid(faults, option, given, remedy);
     }
     path
 }
--- a/src/pipeline.rs
+++ b/src/pipeline.rs
@@ -1,7 +1,7 @@
-//! Requests go through filters in order: identify, limit, deduplicate, admit, place, relay.
+//! Request processing stages: identify, limit, deduplicate, admit, place and relay.
 //!
-//! Each filter is one module with one job; a refusal leaves the pipe at once as a
-//! [`CallerRefusal`], which says truthfully whether the request ran.
+//! Each stage is one module. A stage that rejects a request ends the processing with a
+//! [`CallerRefusal`], which states whether the request may have run.
 
 pub mod core;
 pub mod counters;
@@ -13,16 +13,16 @@
 pub mod prompt;
 pub mod refusal;
 pub mod relay;
-pub mod send_fuse;
+pub mod send_state;
 pub mod service_call;
 pub mod trace;
 pub mod usage;
 
 pub use self::{
-    core::{CoreParts, PipelineCore, ServingConfig},
-    dispatch::{Directive, DispatchPort},
+    core::{CoreDependencies, PipelineCore, ServingConfig},
+    dispatch::{DispatchDirective, DispatcherHandle},
     drain::DrainGate,
     refusal::CallerRefusal,
     trace::TraceLog,
-    usage::UsageBoard,
+    usage::UsageTracker,
 };
--- /dev/null
+++ b/src/reverse_proxy/core.rs
@@ -0,0 +1,182 @@
+//! State that is shared by all requests of a proxy process.
+
+use {
+    super::{
+        dialect::{ResponseHead, WireDialect},
+        pool::ConnectionPool,
+        recheck::RecheckList,
+        view::{ProxyView, qualified_model},
+    },
+    crate::{
+        ids::{ModelId, ServerId, ServiceId, VmId, WeightsNumber},
+        inventory::DecisionObjective,
+        pipeline::{DispatcherHandle, DrainGate},
+        policy::{LoadReport, PolicyInput},
+    },
+    arc_swap::ArcSwap,
+    std::{
+        collections::{BTreeMap, BTreeSet},
+        net::SocketAddr,
+        sync::{
+            Arc, Mutex, PoisonError,
+            atomic::{AtomicBool, AtomicU64, Ordering},
+        },
+    },
+};
+
+/// Fractional part of the golden ratio. The fractional parts of its successive multiples are evenly
+/// distributed over 0 to 1, so that a traffic split is accurate after a few requests.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
+
+/// Objects that a [`ProxyCore`] depends on.
+pub struct ProxyDependencies {
+    /// The VM that the process runs on.
+    pub vm: VmId,
+    /// What the placement of requests optimises.
+    pub objective: DecisionObjective,
+    /// The header format of the deployment.
+    pub dialect: Arc<dyn WireDialect>,
+    /// The dispatcher that places requests on backend servers.
+    pub dispatcher: Arc<DispatcherHandle>,
+}
+
+/// State that is shared by all requests of a proxy process.
+pub struct ProxyCore {
+    /// The VM that the process runs on.
+    pub vm: VmId,
+    /// The header format of the deployment.
+    pub dialect: Arc<dyn WireDialect>,
+    /// The dispatcher that places requests on backend servers.
+    pub dispatcher: Arc<DispatcherHandle>,
+    /// Pooled connections to backend servers.
+    pub pool: ConnectionPool,
+    /// Admits requests until the process drains.
+    pub gate: DrainGate,
+    /// Servers that are being probed after a connection failure.
+    pub recheck: RecheckList,
+    /// Whether the engines' shared cache store is reachable.
+    store_reachable: AtomicBool,
+    objective: DecisionObjective,
+    view: ArcSwap<ProxyView>,
+    /// The weights and the incarnation that responses have reported, by server of the view.
+    reported_weights: Mutex<BTreeMap<ServerId, (u64, WeightsNumber)>>,
+    split_counter: AtomicU64,
+}
+
+impl ProxyCore {
+    /// Creates a core with an empty view.
+    pub fn new(dependencies: ProxyDependencies) -> Arc<Self> {
+        let ProxyDependencies { vm, objective, dialect, dispatcher } = dependencies;
+        Arc::new(ProxyCore {
+            vm,
+            dialect,
+            dispatcher,
+            pool: ConnectionPool::default(),
+            gate: DrainGate::default(),
+            recheck: RecheckList::default(),
+            store_reachable: AtomicBool::new(false),
+            objective,
+            view: ArcSwap::default(),
+            reported_weights: Mutex::default(),
+            split_counter: AtomicU64::new(0),
+        })
+    }
+
+    /// The current view.
+    pub fn view(&self) -> Arc<ProxyView> {
+        self.view.load_full()
+    }
+
+    /// Replaces the view and passes the changes to the dispatcher.
+    pub fn apply(&self, view: ProxyView) {
+        let former = self.view();
+        let inputs = view.inputs(&self.vm, self.objective, &former);
+        let used: BTreeSet<_> = view.servers.values().map(|server| server.address).collect();
+        self.lock_weights().retain(|server, _| view.servers.contains_key(server));
+        self.view.store(Arc::new(view));
+        self.dispatcher.notify_all(inputs);
+        self.notify_store_link();
+        self.pool.close_unused(&used);
+    }
+
+    /// Sets whether the engines' shared cache store is reachable.
+    pub fn set_store_reachable(&self, reachable: bool) {
+        self.store_reachable.store(reachable, Ordering::Relaxed);
+        self.notify_store_link();
+    }
+
+    /// The address of the engines' shared cache store; `None` while it is unreachable.
+    pub fn store_address(&self) -> Option<SocketAddr> {
+        let store =
+            self.view().cache_store().filter(|_| self.store_reachable.load(Ordering::Relaxed))?;
+        Some(store.0)
+    }
+
+    fn notify_store_link(&self) {
+        let store =
+            self.view().cache_store().filter(|_| self.store_reachable.load(Ordering::Relaxed));
+        self.dispatcher.notify(PolicyInput::CacheStoreLink { rate: store.map(|(_, rate)| rate) });
+    }
+
+    /// The address of a server; `None` if the server is not listed.
+    pub fn address(&self, server: &ServerId) -> Option<SocketAddr> {
+        self.view().servers.get(server).map(|listed| listed.address)
+    }
+
+    /// The next number of an evenly distributed sequence in 0 to 1, for splitting traffic by
+    /// weight.
+    pub fn next_split_value(&self) -> f64 {
+        let count = self.split_counter.fetch_add(1, Ordering::Relaxed);
+        (count as f64 * GOLDEN_RATIO_FRACTION).fract()
+    }
+
+    /// Records the weights and the load that the head of a response reports for its server.
+    pub fn record_response(&self, server: &ServerId, model: Option<&ModelId>, head: &ResponseHead) {
+        let view = self.view();
+        let Some(listed) = view.servers.get(server) else { return };
+        if let Some(version) = head.weights {
+            self.lock_weights().insert(server.clone(), (listed.incarnation, version));
+        }
+        let Some((running, waiting)) = head.load else { return };
+        let version = self.server_weights(server, &listed.service, model);
+        let weights = listed.weights.iter().map(|(listed_model, listed_version)| {
+            let reported = version.filter(|_| model == Some(listed_model));
+            (
+                qualified_model(&listed.service, listed_model),
+                reported.unwrap_or(*listed_version).to_string(),
+            )
+        });
+        self.dispatcher.notify(PolicyInput::Load(LoadReport {
+            server: server.clone(),
+            incarnation: listed.incarnation,
+            weights: weights.collect(),
+            running,
+            waiting,
+            waiting_tokens: 0,
+            cache_used: 0.0,
+            leaving: false,
+        }));
+    }
+
+    /// The weights of a server according to the server list and to its responses. The newer of both
+    /// applies, because a server never returns to older weights within an incarnation.
+    pub fn server_weights(
+        &self,
+        server: &ServerId,
+        service: &ServiceId,
+        model: Option<&ModelId>,
+    ) -> Option<WeightsNumber> {
+        let view = self.view();
+        let listed = view.servers.get(server).filter(|listed| listed.service == *service)?;
+        let listed_version = listed.weights.get(model?).copied();
+        let reported = self.lock_weights().get(server).copied();
+        let reported = reported
+            .filter(|(incarnation, _)| *incarnation == listed.incarnation)
+            .map(|(_, version)| version);
+        listed_version.max(reported)
+    }
+
+    fn lock_weights(&self) -> std::sync::MutexGuard<'_, BTreeMap<ServerId, (u64, WeightsNumber)>> {
+        self.reported_weights.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- /dev/null
+++ b/src/reverse_proxy/exchange.rs
@@ -0,0 +1,468 @@
+//! Runs a request: executes the dispatcher's decisions until there is a response.
+
+mod logging;
+
+use {
+    super::{
+        core::ProxyCore,
+        dialect::{BackendCall, ProxyRefusal, ResponseHead, ResponseVerdict},
+        headers::strip_connection,
+        pool::{LeasedConnection, PoolError},
+        relay::{RelayedStream, StreamStart},
+        request::BufferedRequest,
+        response::{ProxyResult, ResponseBody, dispatch_refusal},
+        timeout_stream::ConnectionPhase,
+    },
+    crate::{
+        ids::AttemptId,
+        observe::{events, metrics::refusal},
+        pipeline::{
+            DispatchDirective,
+            counters::{
+                count_mismatched_response, count_refusal, count_request, record_queue_wait,
+            },
+            dispatch::RequestHandle,
+            drain::OpenRequest,
+        },
+        policy::{
+            AttemptFailure, CacheStoreUse, DidRun, PolicyInput, RefusalReason, SendOrder,
+            ServerHealth, prefix::cache_salt,
+        },
+    },
+    bytes::Bytes,
+    http::{Request, Response, StatusCode, response},
+    http_body_util::{BodyExt, Full, Limited},
+    hyper::body::Incoming,
+    std::{
+        sync::Arc,
+        time::{Duration, Instant},
+    },
+    tokio::time::{sleep_until, timeout},
+};
+
+/// Maximum size of a response that is buffered until it is complete; only streams may be longer.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// Maximum size of a refusal's body that is read so that its connection can be reused.
+const MAX_REFUSAL_BYTES: usize = 4 << 10;
+/// How long to wait for the body of a refusal, which usually arrives with its head.
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(20);
+/// Delay before a request is placed again after the connection limit of a server was reached: about
+/// the time that an engine takes for one token.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(30);
+
+/// A request and the state of its attempts.
+pub struct HttpExchange {
+    pub(super) core: Arc<ProxyCore>,
+    pub(super) request: BufferedRequest,
+    pub(super) handle: RequestHandle,
+    /// Number of servers that may have begun to run the request.
+    pub(super) runs: u32,
+    /// A server's error response, which is passed on if no other server succeeds.
+    failure: Option<(response::Parts, Bytes)>,
+    /// Whether the request was sent at least once.
+    is_sent: bool,
+    /// Whether the outcome was logged. If not when this value is dropped, the caller has
+    /// disconnected.
+    is_logged: bool,
+}
+
+/// A response whose head has arrived.
+pub(super) struct StartedResponse {
+    pub parts: response::Parts,
+    pub head: ResponseHead,
+    pub body: Incoming,
+    pub connection: LeasedConnection,
+}
+
+/// The point after which a stream is resumed.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ResumePosition {
+    pub event: Option<String>,
+    pub weights: Option<u64>,
+    pub events: u32,
+}
+
+/// How the request continues after an attempt.
+enum AttemptStep {
+    Response(Box<Response<ResponseBody>>),
+    Stream(Box<StreamStart>),
+    Continue,
+    Refused(ProxyRefusal),
+}
+
+/// Runs a request until its response begins; the response body continues to relay a stream.
+pub async fn run(
+    core: Arc<ProxyCore>,
+    request: BufferedRequest,
+    phase: ConnectionPhase,
+    open: OpenRequest,
+) -> ProxyResult {
+    count_request(request.caller.class);
+    let handle = core.dispatcher.submit(request.ticket());
+    let mut exchange = HttpExchange {
+        core,
+        request,
+        handle,
+        runs: 0,
+        failure: None,
+        is_sent: false,
+        is_logged: false,
+    };
+    loop {
+        let deadline = exchange.request.deadline;
+        let directive = tokio::select! {
+            directive = exchange.handle.next() => directive,
+            () = sleep_until(deadline.into()) => return exchange.expire(phase, open),
+        };
+        let step = match directive {
+            DispatchDirective::Cancel(_) => AttemptStep::Continue,
+            DispatchDirective::Refuse { reason, retry_after, did_run } => {
+                return exchange.refused(reason, retry_after, did_run, phase, open);
+            }
+            DispatchDirective::Send(order) => exchange.attempt(*order).await,
+        };
+        match step {
+            AttemptStep::Continue => {}
+            AttemptStep::Refused(refusal) => return Err(refusal),
+            AttemptStep::Response(response) => {
+                let (parts, body) = response.into_parts();
+                let body = body.with_request(phase, open);
+                return Ok(Response::from_parts(parts, body));
+            }
+            AttemptStep::Stream(start) => {
+                let parts = start.parts.clone();
+                let chunks = RelayedStream::new(exchange, *start).into_chunks();
+                return Ok(Response::from_parts(
+                    parts,
+                    ResponseBody::stream(chunks, phase, Some(open)),
+                ));
+            }
+        }
+    }
+}
+
+impl HttpExchange {
+    /// Ends the request at its deadline.
+    fn expire(self, phase: ConnectionPhase, open: OpenRequest) -> ProxyResult {
+        let did_run = if self.runs == 0 { DidRun::No } else { DidRun::Unknown };
+        self.refused(RefusalReason::DeadlinePassed, None, did_run, phase, open)
+    }
+
+    fn refused(
+        mut self,
+        reason: RefusalReason,
+        retry_after: Option<Duration>,
+        did_run: DidRun,
+        phase: ConnectionPhase,
+        open: OpenRequest,
+    ) -> ProxyResult {
+        if let Some((parts, body)) = self.failure.take() {
+            self.log_passed_failure(parts.status);
+            return Ok(Response::from_parts(parts, ResponseBody::full(body, phase, Some(open))));
+        }
+        // A request that may have run is never reported as not run, regardless of the
+        // dispatcher's `did_run`.
+        let did_run = if self.runs > 0 { DidRun::Unknown } else { did_run };
+        self.log_refusal(reason.as_str(), retry_after);
+        Err(dispatch_refusal(reason, retry_after, did_run))
+    }
+
+    async fn attempt(&mut self, order: SendOrder) -> AttemptStep {
+        match self.start_attempt(&order, &ResumePosition::default()).await {
+            Ok(response) => self.handle_response(&order, response).await,
+            Err(failure) => self.step_after_failure(failure),
+        }
+    }
+
+    /// Sends the request and reads the head of the response. A returned failure has already been
+    /// reported to the dispatcher.
+    pub(super) async fn start_attempt(
+        &mut self,
+        order: &SendOrder,
+        from: &ResumePosition,
+    ) -> Result<StartedResponse, AttemptFailure> {
+        let view = self.core.view();
+        let Some(listed) = view.servers.get(&order.server) else {
+            return Err(self.report(order, AttemptFailure::Stale, from, None));
+        };
+        // The decision is outdated if this process was paused.
+        if Instant::now() >= order.send_before {
+            return Err(self.report(order, AttemptFailure::Stale, from, None));
+        }
+        if !std::mem::replace(&mut self.is_sent, true) {
+            record_queue_wait(self.request.caller.class, self.request.arrived.elapsed());
+        }
+        self.log_send(order);
+        let request = self.backend_request(order, from);
+        let non_repeatable = !self.request.caller.route.kind.is_repeatable();
+        let limit = view.connections(&listed.service);
+        let sent = tokio::select! {
+            sent = self.core.pool.send(listed.address, request, non_repeatable, limit) => sent,
+            () = wait_withdrawn(&mut self.handle, order.attempt) => {
+                // The dispatcher has withdrawn the attempt; its next directive ends the request.
+                self.runs += 1;
+                return Err(AttemptFailure::TimedOut);
+            }
+            () = sleep_until(self.request.deadline.into()) => {
+                self.runs += 1;
+                return Err(self.report(order, AttemptFailure::TimedOut, from, None));
+            }
+        };
+        match sent {
+            Ok((response, connection)) => self.handle_head(order, from, response, connection).await,
+            Err(error) => Err(self.connection_failed(order, from, error)),
+        }
+    }
+
+    fn connection_failed(
+        &mut self,
+        order: &SendOrder,
+        from: &ResumePosition,
+        error: PoolError,
+    ) -> AttemptFailure {
+        match error {
+            PoolError::Full => {
+                self.report(order, AttemptFailure::Declined, from, Some(FULL_RETRY_DELAY))
+            }
+            PoolError::NotConnected => {
+                self.core.recheck(&order.server);
+                self.report(order, AttemptFailure::NotConnected, from, None)
+            }
+            PoolError::Broken => {
+                self.runs += 1;
+                self.core.recheck(&order.server);
+                self.report(order, AttemptFailure::Broken, from, None)
+            }
+        }
+    }
+
+    async fn handle_head(
+        &mut self,
+        order: &SendOrder,
+        from: &ResumePosition,
+        response: Response<Incoming>,
+        connection: LeasedConnection,
+    ) -> Result<StartedResponse, AttemptFailure> {
+        let (mut parts, body) = response.into_parts();
+        let head = self.core.dialect.read_response(&parts, &self.request.caller.id);
+        let model = self.request.caller.work.as_ref().map(|work| &work.model);
+        match head.verdict {
+            ResponseVerdict::Executed => {
+                self.runs += 1;
+                self.core.record_response(&order.server, model, &head);
+                strip_connection(&mut parts.headers);
+                Ok(StartedResponse { parts, head, body, connection })
+            }
+            ResponseVerdict::NotExecuted => {
+                self.core.record_response(&order.server, model, &head);
+                let rest = Limited::new(body, MAX_REFUSAL_BYTES).collect();
+                // A server that hangs after the head must not delay the request.
+                if matches!(timeout(REFUSAL_TIMEOUT, rest).await, Ok(Ok(_))) {
+                    connection.return_to_pool(head.idle_limit);
+                }
+                Err(self.report(order, AttemptFailure::Declined, from, head.retry_after))
+            }
+            ResponseVerdict::WrongServer => {
+                log::warn!(server = order.server.as_str(), weights = order.weights.as_deref();
+                    "{}", events::SERVER_MISMATCHED);
+                let (server, health) = (order.server.clone(), ServerHealth::Dead);
+                self.handle.notify(PolicyInput::Health { server, health });
+                self.core.recheck_after_refresh(&order.server);
+                Err(self.report(order, AttemptFailure::Declined, from, None))
+            }
+            ResponseVerdict::OtherRequest => {
+                count_mismatched_response();
+                self.runs += 1;
+                self.core.recheck(&order.server);
+                Err(self.report(order, AttemptFailure::Broken, from, None))
+            }
+        }
+    }
+
+    fn backend_request(&self, order: &SendOrder, from: &ResumePosition) -> Request<Full<Bytes>> {
+        let BufferedRequest { caller, head, body, service, deadline, .. } = &self.request;
+        let model = caller.work.as_ref().map(|work| &work.model);
+        let decided = order.weights.as_ref().and_then(|version| version.parse().ok());
+        let current = self.core.server_weights(&order.server, service, model).or(decided);
+        // Weights and salt use the same version: a stream that was resumed on new weights must
+        // not get cache entries of the former weights.
+        let weights = from.weights.or(current);
+        let source = order.source.as_ref().filter(|_| weights.is_some() && weights == decided);
+        let store = order.store_use.filter(|_| weights.is_some() && weights == decided);
+        let store = store.zip(self.core.store_address());
+        let salt = model.map(|model| {
+            let weights = weights.map(|version| version.to_string()).unwrap_or_default();
+            cache_salt(self.request.cache_owner(), model, None, &weights)
+        });
+        let call = BackendCall {
+            request: caller,
+            server: &order.server,
+            time_left: deadline.saturating_duration_since(Instant::now()),
+            cache_salt: salt,
+            import_from: match store {
+                Some((_, address)) => Some(address),
+                None => source.and_then(|source| self.core.address(source)),
+            },
+            export_to: store
+                .filter(|store| store.0 == CacheStoreUse::TakeAndBring)
+                .map(|store| store.1),
+            priority: order.priority,
+            resume_after: from.event.clone(),
+            weights,
+        };
+        let mut headers = head.headers.clone();
+        strip_connection(&mut headers);
+        headers.remove(http::header::CONTENT_LENGTH);
+        headers.remove(http::header::EXPECT);
+        let mut request = Request::new(Full::new(body.clone()));
+        *request.method_mut() = head.method.clone();
+        *request.uri_mut() = origin_form(&head.uri);
+        *request.headers_mut() = self.core.dialect.backend_headers(&headers, &call);
+        request
+    }
+
+    /// Reports a failed attempt to the dispatcher.
+    pub(super) fn report(
+        &self,
+        order: &SendOrder,
+        failure: AttemptFailure,
+        from: &ResumePosition,
+        retry_after: Option<Duration>,
+    ) -> AttemptFailure {
+        self.log_attempt_failure(order, failure, from.events);
+        self.handle.notify(PolicyInput::Failed {
+            attempt: order.attempt,
+            failure,
+            relayed_tokens: from.events,
+            retry_after,
+        });
+        failure
+    }
+
+    /// Whether another server may begin to run the request.
+    pub(super) fn may_run_again(&self) -> bool {
+        let route = &self.request.caller.route;
+        route.kind.is_repeatable() && self.runs < route.attempts
+    }
+
+    /// Determines the step after a reported failure: the dispatcher decides on the next attempt,
+    /// unless the route allows no more runs.
+    fn step_after_failure(&mut self, failure: AttemptFailure) -> AttemptStep {
+        let unsent = matches!(
+            failure,
+            AttemptFailure::NotConnected | AttemptFailure::Declined | AttemptFailure::Stale
+        );
+        if unsent || self.may_run_again() || failure == AttemptFailure::TimedOut {
+            return AttemptStep::Continue;
+        }
+        if let Some((parts, body)) = self.failure.take() {
+            self.log_passed_failure(parts.status);
+            let body = ResponseBody::full(body, ConnectionPhase::default(), None);
+            return AttemptStep::Response(Box::new(Response::from_parts(parts, body)));
+        }
+        count_refusal(refusal::BACKEND_FAILED);
+        self.log_refusal(refusal::BACKEND_FAILED, None);
+        AttemptStep::Refused(ProxyRefusal::new(StatusCode::BAD_GATEWAY, refusal::BACKEND_FAILED))
+    }
+
+    async fn handle_response(
+        &mut self,
+        order: &SendOrder,
+        response: StartedResponse,
+    ) -> AttemptStep {
+        if self.request.caller.route.kind.is_stream() && response.parts.status.is_success() {
+            return self.start_stream(order, response).await;
+        }
+        let StartedResponse { mut parts, head, body, connection } = response;
+        let from_start = ResumePosition::default();
+        let collected = tokio::select! {
+            collected = Limited::new(body, MAX_RESPONSE_BYTES).collect() => collected,
+            () = wait_withdrawn(&mut self.handle, order.attempt) => return AttemptStep::Continue,
+            () = sleep_until(self.request.deadline.into()) => return AttemptStep::Continue,
+        };
+        let Ok(collected) = collected else {
+            self.core.recheck(&order.server);
+            let failure = self.report(order, AttemptFailure::Broken, &from_start, None);
+            return self.step_after_failure(failure);
+        };
+        connection.return_to_pool(head.idle_limit);
+        let body = collected.to_bytes();
+        if parts.status.is_server_error() && self.may_run_again() {
+            self.failure = Some((parts, body));
+            let failure = self.report(order, AttemptFailure::ServerError, &from_start, None);
+            return self.step_after_failure(failure);
+        }
+        self.finish(order.attempt, 0);
+        self.log_completed(&order.server, parts.status);
+        // The HTTP library sets the framing of the relayed response.
+        parts.headers.remove(http::header::CONTENT_LENGTH);
+        let body = ResponseBody::full(body, ConnectionPhase::default(), None);
+        AttemptStep::Response(Box::new(Response::from_parts(parts, body)))
+    }
+
+    /// Waits for the first bytes of a stream. Until they arrive, the request can still be sent to
+    /// another server.
+    async fn start_stream(
+        &mut self,
+        order: &SendOrder,
+        mut response: StartedResponse,
+    ) -> AttemptStep {
+        let from_start = ResumePosition::default();
+        let first = tokio::select! {
+            first = response.body.frame() => first,
+            () = wait_withdrawn(&mut self.handle, order.attempt) => return AttemptStep::Continue,
+            () = sleep_until(self.request.deadline.into()) => return AttemptStep::Continue,
+        };
+        match first {
+            Some(Ok(frame)) => {
+                response.parts.headers.remove(http::header::CONTENT_LENGTH);
+                let first = frame.into_data().unwrap_or_default();
+                let StartedResponse { parts, head, body, connection } = response;
+                let order = order.clone();
+                AttemptStep::Stream(Box::new(StreamStart {
+                    parts,
+                    head,
+                    body,
+                    connection,
+                    first,
+                    order,
+                }))
+            }
+            Some(Err(_)) => {
+                self.core.recheck(&order.server);
+                let failure = self.report(order, AttemptFailure::Broken, &from_start, None);
+                self.step_after_failure(failure)
+            }
+            None => {
+                self.finish(order.attempt, 0);
+                self.log_completed(&order.server, response.parts.status);
+                response.connection.return_to_pool(response.head.idle_limit);
+                let body = ResponseBody::full(Bytes::new(), ConnectionPhase::default(), None);
+                AttemptStep::Response(Box::new(Response::from_parts(response.parts, body)))
+            }
+        }
+    }
+
+    /// Reports a completed attempt to the dispatcher.
+    pub(super) fn finish(&self, attempt: AttemptId, output_tokens: u32) {
+        self.handle.notify(PolicyInput::Finished { attempt, cached_tokens: None, output_tokens });
+    }
+}
+
+/// Waits until the dispatcher withdraws an attempt.
+async fn wait_withdrawn(handle: &mut RequestHandle, attempt: AttemptId) {
+    loop {
+        if let DispatchDirective::Cancel(cancelled) = handle.next().await
+            && cancelled == attempt
+        {
+            return;
+        }
+    }
+}
+
+/// Reduces a URI to path and query, as used in requests to origin servers.
+fn origin_form(uri: &http::Uri) -> http::Uri {
+    uri.path_and_query()
+        .and_then(|path| path.as_str().parse().ok())
+        .unwrap_or_else(|| http::Uri::from_static("/"))
+}
--- a/src/edge/exchange/told.rs
+++ b/src/reverse_proxy/exchange/logging.rs
@@ -1,46 +1,47 @@
-//! What the log is told of a request: each sending that failed, and how the request ended.
+//! Log records of a request: failed attempts and the outcome.
 
 use {
-    super::Exchange,
+    super::HttpExchange,
     crate::{
         ids::ServerId,
         observe::events,
-        pipeline::counters::{count_answer, record_answer},
+        pipeline::counters::{count_response, record_response_time},
         policy::{AttemptFailure, RefusalReason, SendOrder},
     },
     http::StatusCode,
     std::time::Duration,
 };
 
-impl Drop for Exchange {
+impl Drop for HttpExchange {
     fn drop(&mut self) {
-        if !self.is_told {
+        if !self.is_logged {
             log::info!(
                 request_id = self.request.caller.id.as_str(),
                 route = self.request.caller.route.name.as_str(),
                 sent_to = self.runs,
                 waited_ms = self.waited_ms();
-                "{}", events::CALLER_LEFT
+                "{}", events::CALLER_DISCONNECTED
             );
         }
     }
 }
 
-impl Exchange {
+impl HttpExchange {
     /// Milliseconds since the request arrived.
-    pub(in crate::edge) fn waited_ms(&self) -> u64 {
+    pub(in crate::reverse_proxy) fn waited_ms(&self) -> u64 {
         self.request.arrived.elapsed().as_millis() as u64
     }
 
-    /// What a sending was decided by; at debug level, since each request has at least one.
-    pub(super) fn tell_sending(&self, order: &SendOrder) {
+    /// Logs an attempt with the inputs of its decision; at debug level, because each request has at
+    /// least one attempt.
+    pub(super) fn log_send(&self, order: &SendOrder) {
         let work = self.request.caller.work.as_ref();
         let parts = work.map(|work| work.parts.iter().map(|(id, tokens)| format!("{id}:{tokens}")));
         log::debug!(
             request_id = self.request.caller.id.as_str(),
             server = order.server.as_str(),
             source = order.source.as_deref(),
-            keep:? = order.keep,
+            keep:? = order.store_use,
             weights = order.weights.as_deref(),
             expected_hit = order.expected_hit,
             parts = parts.map(|parts| parts.collect::<Vec<_>>().join(",")).unwrap_or_default(),
@@ -49,8 +50,13 @@
         );
     }
 
-    /// A sending failed after `events` were passed on.
-    pub(super) fn tell_failed(&self, order: &SendOrder, failure: AttemptFailure, events: u32) {
+    /// Logs a failed attempt, after which `events` events were relayed.
+    pub(super) fn log_attempt_failure(
+        &self,
+        order: &SendOrder,
+        failure: AttemptFailure,
+        events: u32,
+    ) {
         log::warn!(
             request_id = self.request.caller.id.as_str(),
             server = order.server.as_str(),
@@ -64,9 +70,9 @@
         );
     }
 
-    /// The request is refused.
-    pub(super) fn tell_refused(&mut self, reason: &str, retry_after: Option<Duration>) {
-        self.is_told = true;
+    /// Logs the refusal of the request.
+    pub(super) fn log_refusal(&mut self, reason: &str, retry_after: Option<Duration>) {
+        self.is_logged = true;
         log::warn!(
             request_id = self.request.caller.id.as_str(),
             reason = reason,
@@ -75,27 +81,27 @@
             document = self.request.document,
             sent_to = self.runs,
             waited_ms = self.waited_ms(),
-            retry_after_ms = retry_after.map(|pause| pause.as_millis() as u64);
+            retry_after_ms = retry_after.map(|delay| delay.as_millis() as u64);
             "{}", events::REQUEST_REFUSED
         );
     }
 
-    /// A server's own failure is passed on.
-    pub(super) fn tell_passed_on(&mut self, status: StatusCode) {
-        self.is_told = true;
+    /// Logs that a server's error response is passed on.
+    pub(super) fn log_passed_failure(&mut self, status: StatusCode) {
+        self.is_logged = true;
         log::warn!(
             request_id = self.request.caller.id.as_str(),
             route = self.request.caller.route.name.as_str(),
             status = status.as_u16(),
             sent_to = self.runs,
             waited_ms = self.waited_ms();
-            "{}", events::FAILURE_PASSED_ON
+            "{}", events::FAILURE_FORWARDED
         );
     }
 
-    /// A whole answer is passed on.
-    pub(super) fn tell_answered(&mut self, server: &ServerId, status: StatusCode) {
-        self.count_whole();
+    /// Logs a complete response and counts it.
+    pub(super) fn log_completed(&mut self, server: &ServerId, status: StatusCode) {
+        self.count_completed();
         log::info!(
             request_id = self.request.caller.id.as_str(),
             route = self.request.caller.route.name.as_str(),
@@ -104,26 +110,26 @@
             document = self.request.document,
             sent_to = self.runs,
             total_ms = self.waited_ms();
-            "{}", events::ANSWERED_WHOLE
+            "{}", events::ANSWER_COMPLETED
         );
     }
 
-    /// Counts an answer whose end the log is told of.
-    pub(in crate::edge) fn count_whole(&mut self) {
-        self.is_told = true;
+    /// Counts a complete response, whose end the caller of this function logs.
+    pub(in crate::reverse_proxy) fn count_completed(&mut self) {
+        self.is_logged = true;
         let (class, elapsed) = (self.request.caller.class, self.request.arrived.elapsed());
-        count_answer(class);
-        record_answer(class, elapsed);
+        count_response(class);
+        record_response_time(class, elapsed);
     }
 
-    /// A stream that has begun is not finished.
-    pub(in crate::edge) fn tell_cut(
+    /// Logs a stream that has begun and cannot be completed.
+    pub(in crate::reverse_proxy) fn log_truncated(
         &mut self,
         order: &SendOrder,
         reason: RefusalReason,
         events: u32,
     ) {
-        self.is_told = true;
+        self.is_logged = true;
         log::warn!(
             request_id = self.request.caller.id.as_str(),
             route = self.request.caller.route.name.as_str(),
@@ -132,7 +138,7 @@
             relayed_events = events,
             sent_to = self.runs,
             waited_ms = self.waited_ms();
-            "{}", events::STREAM_CUT
+            "{}", events::STREAM_INTERRUPTED
         );
     }
 }
--- /dev/null
+++ b/src/reverse_proxy/relay.rs
@@ -0,0 +1,311 @@
+//! Relays event streams to callers and resumes interrupted streams at another server.
+//!
+//! If a stream can be resumed, only complete events are relayed, so that the events of two servers
+//! join without a gap or a duplicate. Other streams are relayed as bytes.
+
+use {
+    super::{
+        dialect::ResponseHead,
+        exchange::{HttpExchange, ResumePosition},
+        pool::LeasedConnection,
+        response::TruncatedResponse,
+    },
+    crate::{
+        observe::events,
+        pipeline::{DispatchDirective, counters::record_first_token},
+        policy::{AttemptFailure, PolicyInput, RefusalReason, SendOrder},
+    },
+    bytes::{Bytes, BytesMut},
+    futures::stream::{self, BoxStream, StreamExt},
+    http::response,
+    http_body_util::BodyExt,
+    hyper::body::Incoming,
+    std::time::{Duration, Instant},
+    tokio::time::sleep_until,
+};
+
+/// Maximum length of an event. A longer event is relayed in several chunks and the stream is not
+/// resumed.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
+
+/// A stream whose first bytes have arrived.
+pub(super) struct StreamStart {
+    pub parts: response::Parts,
+    pub head: ResponseHead,
+    pub body: Incoming,
+    pub connection: LeasedConnection,
+    pub first: Bytes,
+    pub order: SendOrder,
+}
+
+/// A stream that is relayed to the caller.
+pub(super) struct RelayedStream {
+    exchange: HttpExchange,
+    order: SendOrder,
+    /// The body of the current server's response; `None` once it has ended.
+    source: Option<(Incoming, LeasedConnection)>,
+    head: ResponseHead,
+    /// Received bytes that have not been relayed yet.
+    received: Option<Bytes>,
+    /// The beginning of an incomplete event, of at most [`MAX_EVENT_BYTES`]; used only if the
+    /// stream can be resumed.
+    incomplete: BytesMut,
+    resumable: bool,
+    position: ResumePosition,
+    is_finished: bool,
+    timing: StreamTiming,
+}
+
+/// Arrival times of the data of a stream.
+struct StreamTiming {
+    first: Duration,
+    last_arrival: Instant,
+    longest_gap: Duration,
+}
+
+impl StreamTiming {
+    fn begin(received: Instant) -> Self {
+        let last_arrival = Instant::now();
+        StreamTiming { first: last_arrival - received, last_arrival, longest_gap: Duration::ZERO }
+    }
+
+    fn record_arrival(&mut self) {
+        let now = Instant::now();
+        self.longest_gap = self.longest_gap.max(now - self.last_arrival);
+        self.last_arrival = now;
+    }
+}
+
+impl RelayedStream {
+    pub(super) fn new(exchange: HttpExchange, start: StreamStart) -> Self {
+        let StreamStart { head, body, connection, first, order, .. } = start;
+        exchange
+            .handle
+            .notify(PolicyInput::FirstToken { attempt: order.attempt, cached_tokens: None });
+        let timing = StreamTiming::begin(exchange.request.arrived);
+        let caller = &exchange.request.caller;
+        if let Some(work) = &caller.work {
+            record_first_token(work.model.as_str(), caller.class, timing.first);
+        }
+        RelayedStream {
+            resumable: exchange.request.caller.route.kind.is_repeatable(),
+            position: ResumePosition { weights: head.weights, ..ResumePosition::default() },
+            exchange,
+            order,
+            source: Some((body, connection)),
+            head,
+            received: Some(first),
+            incomplete: BytesMut::new(),
+            is_finished: false,
+            timing,
+        }
+    }
+
+    /// Converts the stream into chunks of a response body. Dropping them ends the request, because
+    /// the caller has disconnected.
+    pub(super) fn into_chunks(self) -> BoxStream<'static, Result<Bytes, TruncatedResponse>> {
+        stream::unfold(self, |mut relay| async move {
+            let chunk = relay.next().await?;
+            Some((chunk, relay))
+        })
+        .boxed()
+    }
+
+    async fn next(&mut self) -> Option<Result<Bytes, TruncatedResponse>> {
+        loop {
+            if self.is_finished {
+                return None;
+            }
+            if let Some(bytes) = self.received.take() {
+                let ready = self.complete_events(bytes);
+                if !ready.is_empty() {
+                    return Some(Ok(ready));
+                }
+            }
+            match self.read().await {
+                Ok(Some(bytes)) => self.received = Some(bytes),
+                Ok(None) => {
+                    self.is_finished = true;
+                    let rest = std::mem::take(&mut self.incomplete).freeze();
+                    return (!rest.is_empty()).then_some(Ok(rest));
+                }
+                Err(error) => {
+                    self.is_finished = true;
+                    return Some(Err(error));
+                }
+            }
+        }
+    }
+
+    /// Reads the next bytes from the current server, or from the one that resumes the stream.
+    async fn read(&mut self) -> Result<Option<Bytes>, TruncatedResponse> {
+        let deadline = self.exchange.request.deadline;
+        let Some((body, _)) = &mut self.source else { return Ok(None) };
+        let frame = tokio::select! {
+            frame = body.frame() => frame,
+            () = sleep_until(deadline.into()) => {
+                self.exchange.log_truncated(
+                    &self.order,
+                    RefusalReason::DeadlinePassed,
+                    self.position.events,
+                );
+                return Err(TruncatedResponse::DeadlinePassed);
+            }
+        };
+        match frame {
+            Some(Ok(frame)) => {
+                self.timing.record_arrival();
+                Ok(Some(frame.into_data().unwrap_or_default()))
+            }
+            None => {
+                let ended = self.source.take();
+                self.exchange.count_completed();
+                self.log_completed_stream();
+                self.exchange.finish(self.order.attempt, self.position.events);
+                ended
+                    .into_iter()
+                    .for_each(|(_, connection)| connection.return_to_pool(self.head.idle_limit));
+                Ok(None)
+            }
+            Some(Err(error)) => {
+                log::debug!(error:% = error; "a backend server's stream broke");
+                self.source = None;
+                self.incomplete.clear();
+                self.resume().await.map(Some)
+            }
+        }
+    }
+
+    fn log_completed_stream(&self) {
+        let request = &self.exchange.request;
+        let weights = self.position.weights.map(|version| version.to_string());
+        log::info!(
+            request_id = request.caller.id.as_str(),
+            route = request.caller.route.name.as_str(),
+            server = self.order.server.as_str(),
+            document = request.document,
+            weights = weights.as_deref(),
+            sent_to = self.exchange.runs,
+            first_event_ms = self.timing.first.as_millis() as u64,
+            longest_pause_ms = self.timing.longest_gap.as_millis() as u64,
+            total_ms = self.exchange.waited_ms(),
+            expected_hit = self.order.expected_hit,
+            relayed_events = self.position.events;
+            "{}", events::STREAM_COMPLETED
+        );
+    }
+
+    /// Resumes the stream at another server after the last relayed event.
+    async fn resume(&mut self) -> Result<Bytes, TruncatedResponse> {
+        let exchange = &mut self.exchange;
+        exchange.core.recheck(&self.order.server);
+        exchange.report(&self.order, AttemptFailure::Broken, &self.position, None);
+        if !self.resumable || !exchange.may_run_again() || self.position.event.is_none() {
+            exchange.log_truncated(&self.order, RefusalReason::ServerFailed, self.position.events);
+            return Err(TruncatedResponse::BackendFailed);
+        }
+        loop {
+            let directive = tokio::select! {
+                directive = exchange.handle.next() => directive,
+                () = sleep_until(exchange.request.deadline.into()) => {
+                    exchange.log_truncated(
+                        &self.order,
+                        RefusalReason::DeadlinePassed,
+                        self.position.events,
+                    );
+                    return Err(TruncatedResponse::DeadlinePassed);
+                }
+            };
+            let order = match directive {
+                DispatchDirective::Send(order) => *order,
+                DispatchDirective::Cancel(_) => continue,
+                DispatchDirective::Refuse { reason, .. } => {
+                    exchange.log_truncated(&self.order, reason, self.position.events);
+                    return Err(TruncatedResponse::BackendFailed);
+                }
+            };
+            let started = exchange.start_attempt(&order, &self.position).await;
+            let response = match started {
+                Ok(response) if response.parts.status.is_success() => response,
+                Ok(_) => {
+                    exchange.report(&order, AttemptFailure::ServerError, &self.position, None);
+                    exchange.log_truncated(
+                        &order,
+                        RefusalReason::ServerFailed,
+                        self.position.events,
+                    );
+                    return Err(TruncatedResponse::BackendFailed);
+                }
+                Err(
+                    AttemptFailure::Declined | AttemptFailure::NotConnected | AttemptFailure::Stale,
+                ) => {
+                    continue;
+                }
+                Err(_) if exchange.may_run_again() => continue,
+                Err(_) => {
+                    exchange.log_truncated(
+                        &order,
+                        RefusalReason::ServerFailed,
+                        self.position.events,
+                    );
+                    return Err(TruncatedResponse::BackendFailed);
+                }
+            };
+            log::warn!(request_id = exchange.request.caller.id.as_str(),
+                server = order.server.as_str(), relayed_events = self.position.events;
+                "{}", events::STREAM_RESUMED);
+            let attempt = order.attempt;
+            exchange.handle.notify(PolicyInput::FirstToken { attempt, cached_tokens: None });
+            self.head = response.head;
+            self.source = Some((response.body, response.connection));
+            self.order = order;
+            return Ok(Bytes::new());
+        }
+    }
+
+    /// Adds received bytes and returns all complete events; an incomplete one is kept.
+    fn complete_events(&mut self, bytes: Bytes) -> Bytes {
+        if !self.resumable {
+            self.position.events += 1;
+            return bytes;
+        }
+        self.incomplete.extend_from_slice(&bytes);
+        let Some(end) = last_event_end(&self.incomplete) else {
+            if self.incomplete.len() > MAX_EVENT_BYTES {
+                self.resumable = false;
+                return std::mem::take(&mut self.incomplete).freeze();
+            }
+            return Bytes::new();
+        };
+        let complete = self.incomplete.split_to(end).freeze();
+        for event in split_events(&complete) {
+            let (id, weights) = self.exchange.core.dialect.read_event(event);
+            self.position.events += 1;
+            self.position.event = id.or(self.position.event.take());
+            self.position.weights = weights.or(self.position.weights);
+        }
+        complete
+    }
+}
+
+/// The end of the last complete event, which is after an empty line.
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
+    let lf = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
+    let crlf = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| at + 4);
+    lf.max(crlf)
+}
+
+fn split_events(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
+    let mut rest = bytes;
+    std::iter::from_fn(move || {
+        let lf = rest.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
+        let crlf = rest.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4);
+        let end = match (lf, crlf) {
+            (Some(lf), Some(crlf)) => lf.min(crlf),
+            (found, None) | (None, found) => found?,
+        };
+        let (event, after) = rest.split_at(end);
+        rest = after;
+        Some(event)
+    })
+}
--- /dev/null
+++ b/src/roles/entry.rs
@@ -0,0 +1,365 @@
+//! An entry: serves callers by route, with routes and servers learned from the control VMs.
+
+use {
+    super::{
+        NodeError, control_directory::ControlDirectory, health::serve_health_page, random_seed,
+        required_weights::RequiredWeights,
+    },
+    crate::{
+        fleet::watch::ListMonitor,
+        follow::{
+            FollowReply, FollowerKind, SharedState,
+            service::EntryHandler,
+            task::{FollowTask, FollowerPort},
+        },
+        ids::{DocumentNumber, FailureDomainId, VmId},
+        inventory::DecisionObjective,
+        observe::events,
+        pipeline::{DispatcherHandle, TraceLog, dispatch::DispatchTask},
+        policy::{Dispatcher, DispatcherSettings, PolicyInput, SafeguardSet},
+        reverse_proxy::{
+            CallerListener, ProxyCore, WireDialect, core::ProxyDependencies,
+            store_monitor::monitor_cache_store, view::ProxyView,
+        },
+        routing::{RouteFault, RouteIndex, RouteTable},
+        transport::{PeerNetwork, UnauthenticatedSettings},
+    },
+    http::{Method, StatusCode},
+    std::{
+        collections::BTreeMap,
+        net::SocketAddr,
+        sync::{
+            Arc, Mutex, PoisonError,
+            atomic::{AtomicBool, Ordering},
+        },
+        time::{Duration, Instant as StdInstant},
+    },
+    tokio::{
+        sync::{mpsc, watch},
+        task::JoinSet,
+        time::{Instant, sleep, sleep_until, timeout},
+    },
+};
+
+/// Duties of the dispatcher that may be queued. A dropped duty does no harm: each is a hint or is
+/// issued again.
+const DUTY_QUEUE_LENGTH: usize = 256;
+/// How long a stopping entry still accepts new connections. The balancer checks readiness once a
+/// second and acts on the second failed check.
+const ACCEPT_WHILE_STOPPING: Duration = Duration::from_millis(2_500);
+/// When a stopping entry begins to refuse new requests. A balancer with too few other entries keeps
+/// sending callers here, and an answer that starts later could not end before the process is killed.
+const REFUSE_AFTER: Duration = Duration::from_millis(2_900);
+/// How often the state is applied again when nothing has changed, which also closes connections that
+/// were idle for too long.
+const REAPPLY_INTERVAL: Duration = Duration::from_secs(5);
+/// The last part of the grace period, reserved for sending the last bytes.
+const FLUSH_TIME: Duration = Duration::from_millis(400);
+
+/// Parses the operators' configuration document.
+pub trait RouteParser: Send + Sync {
+    /// Parses and validates the route table of a document.
+    ///
+    /// # Errors
+    /// The first fault of the document, with its remedy.
+    fn parse(&self, document: &str) -> Result<RouteTable, RouteFault>;
+}
+
+/// Settings of an entry.
+#[derive(Clone, Debug)]
+pub struct EntrySettings {
+    /// The name of this VM.
+    pub vm: VmId,
+    /// The failure domain of this VM.
+    pub failure_domain: FailureDomainId,
+    /// The TCP address for callers.
+    pub caller_listen: SocketAddr,
+    /// The TCP address for readiness checks.
+    pub readiness_listen: SocketAddr,
+    /// The path of readiness checks.
+    pub readiness_path: String,
+    /// The UDP address for other daemons.
+    pub peer_listen: SocketAddr,
+    /// Most concurrent connections of callers.
+    pub max_connections: usize,
+    /// Burst of retries that all entries together may make in excess of the retry ratio.
+    pub retry_reserve: f64,
+    /// Time from the stop signal until the process is killed.
+    pub grace: Duration,
+    /// What the placement of requests optimises.
+    pub objective: DecisionObjective,
+    /// Disabled mechanisms of the policy; empty except while an operator diagnoses a problem.
+    pub disabled: SafeguardSet,
+}
+
+/// Settings of the part of an entry that serves requests.
+#[derive(Clone, Debug)]
+pub struct CoreSettings {
+    /// As in [`EntrySettings`].
+    pub vm: VmId,
+    /// As in [`EntrySettings`].
+    pub failure_domain: FailureDomainId,
+    /// As in [`EntrySettings`].
+    pub objective: DecisionObjective,
+    /// As in [`EntrySettings`].
+    pub disabled: SafeguardSet,
+}
+
+/// Settings that a running entry applies when they are reloaded.
+#[derive(Clone, Debug)]
+pub struct ReloadedSettings {
+    /// The addresses of control VMs; those known before stay in use.
+    pub control: BTreeMap<VmId, SocketAddr>,
+    /// As in [`EntrySettings`].
+    pub retry_reserve: f64,
+    /// As in [`EntrySettings`].
+    pub grace: Duration,
+}
+
+/// A running entry.
+pub struct EntryNode {
+    settings: EntrySettings,
+    retry_reserve: watch::Sender<f64>,
+    core: Arc<ProxyCore>,
+    port: CallerListener,
+    stopping: Arc<AtomicBool>,
+    directory: Arc<ControlDirectory>,
+    _tasks: JoinSet<()>,
+}
+
+impl EntryNode {
+    /// Starts an entry without waiting for other VMs. It is ready once it knows routes and servers.
+    ///
+    /// # Errors
+    /// When an address cannot be bound.
+    pub async fn start(
+        settings: EntrySettings,
+        control: BTreeMap<VmId, SocketAddr>,
+        dialect: Arc<dyn WireDialect>,
+        reader: Arc<dyn RouteParser>,
+    ) -> Result<Self, NodeError> {
+        let mut tasks = JoinSet::new();
+        let (candidates, candidate_watch) = watch::channel(control.keys().cloned().collect());
+        let network_settings = UnauthenticatedSettings {
+            vm: settings.vm.clone(),
+            listen: settings.peer_listen,
+            peers: control.clone(),
+        };
+        let network = PeerNetwork::start_unauthenticated(network_settings, Arc::new(EntryHandler))
+            .map_err(NodeError::Network)?;
+        settings.disabled.warn_if_any();
+        let core_settings = CoreSettings {
+            vm: settings.vm.clone(),
+            failure_domain: settings.failure_domain.clone(),
+            objective: settings.objective,
+            disabled: settings.disabled.clone(),
+        };
+        let core = start_core(core_settings, dialect, &mut tasks);
+        let (state, states) = watch::channel(SharedState::default());
+        let domain = settings.failure_domain.clone();
+        let follower = Arc::new(EntryFollower { notice: Mutex::default() });
+        let task = FollowTask::new(network.clone(), domain, candidate_watch, state, follower);
+        tasks.spawn(task.run());
+        let directory = Arc::new(ControlDirectory::new(network.clone(), control, candidates));
+        tasks.spawn(update_directory(Arc::clone(&directory), states.clone()));
+        let (retry_reserve, reserve_watch) = watch::channel(settings.retry_reserve);
+        tasks.spawn(apply_states(Arc::clone(&core), states, reader, reserve_watch));
+        let stopping = Arc::new(AtomicBool::new(false));
+        tasks.spawn(serve_readiness(&settings, Arc::clone(&core), Arc::clone(&stopping)).await?);
+        let port = CallerListener::start(
+            settings.caller_listen,
+            Arc::clone(&core),
+            settings.max_connections,
+        )
+        .await
+        .map_err(|reason| NodeError::Listen {
+            purpose: "callers",
+            address: settings.caller_listen,
+            reason,
+        })?;
+        log::info!(vm = settings.vm.as_str(), callers:% = settings.caller_listen; "entry started");
+        Ok(EntryNode { settings, retry_reserve, core, port, stopping, directory, _tasks: tasks })
+    }
+
+    /// Applies reloaded settings. Requests in flight are not affected.
+    pub fn reload(&mut self, reloaded: ReloadedSettings) {
+        let ReloadedSettings { control, retry_reserve, grace } = reloaded;
+        self.settings.grace = grace;
+        self.retry_reserve.send_replace(retry_reserve);
+        self.directory.add(control);
+    }
+
+    /// Stops gracefully: readiness checks fail first, then connections close after their answers, then
+    /// idle connections close, and new requests are refused. Returns when no request is in flight or
+    /// the grace period is over.
+    pub async fn stop(self) {
+        let began = Instant::now();
+        self.stopping.store(true, Ordering::SeqCst);
+        self.port.close_after_response();
+        log::info!(in_flight = self.core.gate.in_flight(); "stopping: not ready any more");
+        sleep(ACCEPT_WHILE_STOPPING).await;
+        self.port.close_idle();
+        sleep(REFUSE_AFTER - ACCEPT_WHILE_STOPPING).await;
+        self.core.gate.begin_drain();
+        let left = self.settings.grace.saturating_sub(began.elapsed() + FLUSH_TIME);
+        if timeout(left, self.core.gate.wait_empty()).await.is_err() {
+            log::error!(cut = self.core.gate.in_flight(); "requests cut off: the grace period is over");
+        }
+        self.port.stop();
+        log::info!("stopped");
+    }
+}
+
+async fn update_directory(
+    directory: Arc<ControlDirectory>,
+    mut states: watch::Receiver<SharedState>,
+) {
+    while states.changed().await.is_ok() {
+        let control = states.borrow_and_update().control.clone();
+        directory.add(
+            control
+                .into_iter()
+                .filter_map(|vm| Some((vm.clone(), directory.peer_address(&vm)?)))
+                .collect(),
+        );
+    }
+}
+
+/// Logs when the control VMs lose the server list.
+struct EntryFollower {
+    notice: Mutex<ListMonitor>,
+}
+
+impl FollowerPort for EntryFollower {
+    fn kind(&self) -> FollowerKind {
+        FollowerKind::Entry
+    }
+
+    fn reply_received(&self, reply: &FollowReply, state: &SharedState) {
+        let known = state.fleet.as_ref().map_or(0, |fleet| fleet.servers.len());
+        let mut notice = self.notice.lock().unwrap_or_else(PoisonError::into_inner);
+        notice.record_confirmation(reply.list_fresh, known);
+    }
+}
+
+/// Starts the part of an entry that serves requests, without its ports and without a connection to
+/// control VMs. Its tasks run until `tasks` is dropped.
+pub fn start_core(
+    settings: CoreSettings,
+    dialect: Arc<dyn WireDialect>,
+    tasks: &mut JoinSet<()>,
+) -> Arc<ProxyCore> {
+    let CoreSettings { vm, failure_domain, objective, disabled } = settings;
+    let dispatcher = Dispatcher::new(DispatcherSettings {
+        daemon: vm.clone(),
+        failure_domain,
+        seed: random_seed(),
+        disabled,
+    });
+    let (duties, duty_queue) = mpsc::channel(DUTY_QUEUE_LENGTH);
+    let port = DispatcherHandle::new(dispatcher, duties, Arc::new(TraceLog::default()));
+    let core =
+        ProxyCore::new(ProxyDependencies { vm, objective, dialect, dispatcher: Arc::clone(&port) });
+    tasks.spawn(async move { port.run_wakeups().await });
+    tasks.spawn(run_duties(Arc::clone(&core), duty_queue));
+    tasks.spawn(monitor_cache_store(Arc::clone(&core)));
+    core
+}
+
+/// Carries out the dispatcher's probes. Other duties need no action: a cancelled attempt's connection
+/// is already closed, which its server treats as the cancellation.
+async fn run_duties(core: Arc<ProxyCore>, mut duties: mpsc::Receiver<DispatchTask>) {
+    while let Some(duty) = duties.recv().await {
+        if let DispatchTask::Probe { server } = duty {
+            let core = Arc::clone(&core);
+            tokio::spawn(async move { core.probe(server).await });
+        }
+    }
+}
+
+/// Puts each new state from the control VMs in force.
+async fn apply_states(
+    core: Arc<ProxyCore>,
+    mut states: watch::Receiver<SharedState>,
+    reader: Arc<dyn RouteParser>,
+    mut retry_reserve: watch::Receiver<f64>,
+) {
+    let mut routes = RouteCache::default();
+    let mut requirements = RequiredWeights::default();
+    loop {
+        let due =
+            requirements.next_change().unwrap_or_else(|| StdInstant::now() + REAPPLY_INTERVAL);
+        tokio::select! {
+            changed = states.changed() => if changed.is_err() { return },
+            changed = retry_reserve.changed() => if changed.is_err() { return },
+            () = sleep_until(due.into()) => {}
+        }
+        let state = states.borrow_and_update().clone();
+        let required = requirements.update(StdInstant::now(), &state.weights, state.term);
+        let index = routes.index_for(state.document.number, &state.document.body, &*reader);
+        let fleet = state.fleet.unwrap_or_default();
+        let entries = state.entries.max(1);
+        let retries = (*retry_reserve.borrow_and_update() / f64::from(entries)).max(1.0);
+        core.dispatcher.notify(PolicyInput::RetryReserve { retries });
+        core.apply(ProxyView::new(index, &fleet, &state.weights, &required, entries));
+    }
+}
+
+/// The routes in force. Each document is parsed once.
+#[derive(Default)]
+struct RouteCache {
+    number: DocumentNumber,
+    index: Option<Arc<RouteIndex>>,
+}
+
+impl RouteCache {
+    fn index_for(
+        &mut self,
+        number: DocumentNumber,
+        body: &str,
+        reader: &dyn RouteParser,
+    ) -> Option<Arc<RouteIndex>> {
+        if number > self.number {
+            match reader.parse(body) {
+                Ok(table) => {
+                    log::info!(document = number, routes = table.routes.len();
+                        "{}", events::ROUTES_ACTIVATED);
+                    self.index = Some(Arc::new(RouteIndex::new(Arc::new(table))));
+                }
+                // Documents are validated before they are accepted, so another release accepted it.
+                Err(fault) => log::error!(document = number, fault:% = fault;
+                    "an accepted document cannot be parsed by this release; the previous routes stay in force"),
+            }
+            self.number = number;
+        }
+        self.index.clone()
+    }
+}
+
+async fn serve_readiness(
+    settings: &EntrySettings,
+    core: Arc<ProxyCore>,
+    stopping: Arc<AtomicBool>,
+) -> Result<impl Future<Output = ()> + use<>, NodeError> {
+    let path = settings.readiness_path.clone();
+    let server = serve_health_page(settings.readiness_listen, move |request| {
+        if request.uri().path() != path || request.method() != Method::GET {
+            return (StatusCode::NOT_FOUND, "unknown path; use the readiness path\n".to_owned());
+        }
+        let view = core.view();
+        let has_state = view.index.is_some() && !view.servers.is_empty();
+        match has_state && !stopping.load(Ordering::SeqCst) {
+            true => (StatusCode::OK, "ready\n".to_owned()),
+            false => (StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned()),
+        }
+    });
+    let task = server.await.map_err(|reason| NodeError::Listen {
+        purpose: "readiness",
+        address: settings.readiness_listen,
+        reason,
+    })?;
+    Ok(async move {
+        // The task runs until the process ends.
+        let _ = task.await;
+    })
+}
--- a/src/routing/fault.rs
+++ b/src/routing/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a route table.
+//! Validation of a route table.
 
 use {
     super::{RouteRule, RouteTable},
@@ -7,52 +7,52 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Why a route table is refused as a whole.
+/// Why a route table is rejected.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum RouteFault {
-    /// the table cannot be read: {reason}; send it whole, in the documented form
+    /// the table cannot be parsed: {reason}; send a complete table in the documented format
     Unreadable {
-        /// What the parser says.
+        /// Message of the parser.
         reason: String,
     },
-    /// the number of the table is 0, which stands for none; number tables from 1
-    NoNumber,
+    /// the number of the table is 0, which is reserved for "no table"; number tables from 1
+    MissingNumber,
     /// route {route} names the unknown service {service}; list the service or correct the route
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service.
+        /// Service that is not listed, or that is a KV cache store.
         service: ServiceId,
     },
     /// routes {first} and {second} have the same host and path prefix; remove one
-    SamePlace {
-        /// The route that came first.
+    DuplicateRoute {
+        /// Name of the earlier route.
         first: String,
-        /// The other one.
+        /// Name of the later route.
         second: String,
     },
     /// the weights of route {route} add up to 0; give at least one service a positive weight
-    NoWeight {
-        /// The route.
+    ZeroWeight {
+        /// Name of the route.
         route: String,
     },
-    /// the timeout of route {route} is 0; give the longest time that a caller may be kept waiting
-    NoTimeout {
-        /// The route.
+    /// the timeout of route {route} is 0; set the longest time that a caller may wait
+    ZeroTimeout {
+        /// Name of the route.
         route: String,
     },
     /// the path prefix {prefix} of route {route} does not begin and end with a slash; correct it
-    BadPrefix {
-        /// The route.
+    InvalidPrefix {
+        /// Name of the route.
         route: String,
-        /// The prefix.
+        /// Path prefix as configured.
         prefix: String,
     },
     /// organisations {first} and {second} share a key; give each its own
     SharedKey {
-        /// The organisation that came first.
+        /// First organisation with the key, in alphabetical order.
         first: OrganisationId,
-        /// The other one.
+        /// Another organisation with the key.
         second: OrganisationId,
     },
 }
@@ -60,16 +60,16 @@
 impl std::error::Error for RouteFault {}
 
 impl RouteTable {
-    /// Checks the table as a whole.
+    /// Validates the whole table.
     ///
     /// # Errors
-    /// The first fault found; nothing of a faulty table may come into force.
+    /// The first fault found; no part of an invalid table may be activated.
     pub fn check(&self) -> Result<(), RouteFault> {
         if self.number == 0 {
-            return Err(RouteFault::NoNumber);
+            return Err(RouteFault::MissingNumber);
         }
         self.routes.iter().try_for_each(|route| self.check_route(route))?;
-        self.check_places()?;
+        self.check_paths()?;
         self.check_keys()
     }
 
@@ -83,25 +83,25 @@
             return Err(RouteFault::UnknownService { route: name(), service });
         }
         if route.services.iter().all(|(_, weight)| *weight == 0) {
-            return Err(RouteFault::NoWeight { route: name() });
+            return Err(RouteFault::ZeroWeight { route: name() });
         }
         if route.timeout.is_zero() {
-            return Err(RouteFault::NoTimeout { route: name() });
+            return Err(RouteFault::ZeroTimeout { route: name() });
         }
         if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
             let prefix = route.path_prefix.clone();
-            return Err(RouteFault::BadPrefix { route: name(), prefix });
+            return Err(RouteFault::InvalidPrefix { route: name(), prefix });
         }
         Ok(())
     }
 
-    fn check_places(&self) -> Result<(), RouteFault> {
-        let mut places = BTreeMap::new();
+    fn check_paths(&self) -> Result<(), RouteFault> {
+        let mut paths = BTreeMap::new();
         for route in &self.routes {
-            let place = (route.host.as_str(), route.path_prefix.as_str());
-            if let Some(first) = places.insert(place, &route.name) {
+            let path = (route.host.as_str(), route.path_prefix.as_str());
+            if let Some(first) = paths.insert(path, &route.name) {
                 let (first, second) = (first.clone(), route.name.clone());
-                return Err(RouteFault::SamePlace { first, second });
+                return Err(RouteFault::DuplicateRoute { first, second });
             }
         }
         Ok(())
