--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -152,7 +152,7 @@
     }
 
     /// Stores the response of an executed call, even if its outcome was already recorded as
-    /// unknown. The holder knows the outcome, and storing it permits no further execution.
+    /// unknown: the holder has the outcome, and storing it permits no further execution.
     pub fn finish(
         &mut self,
         key: LedgerKey,
@@ -214,13 +214,13 @@
     }
 
     /// Records the incarnation and the clock of a daemon, unless a later incarnation is known.
-    pub fn note_incarnation(
+    pub fn record_incarnation(
         &mut self,
         vm: &VmId,
         incarnation: Incarnation,
         now_ms: u64,
     ) -> CommandOutcome {
-        self.daemons.note(vm, incarnation, now_ms)
+        self.daemons.record_incarnation(vm, incarnation, now_ms)
     }
 
     /// Records that all attempts of a daemon's incarnation below `floor` have ended. Calls that
@@ -330,7 +330,7 @@
     }
 
     /// Drops closed calls whose retention has expired. Running calls stay regardless of their age,
-    /// because only the holder knows that they were not executed.
+    /// because only the holder can determine that they were not executed.
     fn expire(&mut self, clock_ms: u64, retention_ms: u64) {
         while let Some((closed_ms, key)) = self.closed.first().cloned() {
             if closed_ms.saturating_add(retention_ms) >= clock_ms {
--- a/src/pipeline/send_state.rs
+++ b/src/pipeline/send_state.rs
@@ -5,13 +5,13 @@
 const UNSENT: u8 = 0;
 const UNCERTAIN: u8 = 1;
 const SENT: u8 = 2;
-const GIVEN_UP: u8 = 3;
+const ABANDONED: u8 = 3;
 
 /// Tracks whether a non-repeatable call may have run.
 ///
-/// The deadline and the task that sends the call race. An atomic state ensures that a caller is not
-/// told that its call did not run just before the call is sent, and that the outcome of a call that
-/// will never be sent is not reported as unknown.
+/// The deadline and the task that sends the call race. An atomic state ensures that a call is not
+/// sent after its caller was informed that it did not run, and that the outcome of a call that will
+/// never be sent is not reported as unknown.
 #[derive(Debug, Default)]
 pub struct SendState {
     state: AtomicU8,
@@ -24,8 +24,8 @@
         self.change(UNSENT, UNCERTAIN);
     }
 
-    /// Marks the call as sent. Returns `false` if the call must not be sent, because its caller has
-    /// been told that it did not run.
+    /// Marks the call as sent. Returns `false` if the call must not be sent, because its caller was
+    /// informed that it did not run.
     #[must_use]
     pub fn try_send(&self) -> bool {
         self.change(UNSENT, SENT) || self.change(UNCERTAIN, SENT)
@@ -38,8 +38,8 @@
 
     /// Ends the call at its deadline. Returns `true` if nothing was sent and nothing will be sent.
     #[must_use]
-    pub fn try_give_up(&self) -> bool {
-        self.change(UNSENT, GIVEN_UP)
+    pub fn try_abandon(&self) -> bool {
+        self.change(UNSENT, ABANDONED)
     }
 
     fn change(&self, from: u8, to: u8) -> bool {
--- a/tests/claim_release.rs
+++ b/tests/claim_release.rs
@@ -9,7 +9,7 @@
         ids::FencingNumber,
         inventory::RequestClass,
         pipeline::{
-            CoreParts, DispatcherHandle, DrainGate, PipelineCore, TraceLog,
+            CoreDependencies, DispatcherHandle, DrainGate, PipelineCore, TraceLog,
             deduplicate::{CallClaim, ClaimResult, Claimed, claim, report_attempt_floor},
             limit::CallerContext,
             send_state::SendState,
@@ -31,7 +31,7 @@
 
 /// Long enough for a few proposals to the ledger.
 const SHORT_WAIT: Duration = Duration::from_millis(400);
-/// Far longer than claiming a call takes that no other daemon has claimed.
+/// Far longer than it takes to claim a call that no other daemon has claimed.
 const LONG_WAIT: Duration = Duration::from_secs(20);
 
 /// More retries than it takes until the interval between them has reached its maximum.
@@ -119,7 +119,7 @@
         seed: 1,
         disabled: SafeguardSet::default(),
     });
-    PipelineCore::new(CoreParts {
+    PipelineCore::new(CoreDependencies {
         vm: vm.to_owned(),
         incarnation: 1,
         dispatcher: DispatcherHandle::new(dispatcher, mpsc::channel(1).0, Arc::clone(&trace)),
