--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -4,7 +4,7 @@
 pub mod config_dissemination;
 pub mod control_driver;
 pub mod control_port;
-pub mod duties;
+pub mod dispatch_tasks;
 pub mod lifecycle;
 pub mod peer_service;
 pub mod peer_status;
--- a/src/daemon/config_dissemination.rs
+++ b/src/daemon/config_dissemination.rs
@@ -110,7 +110,7 @@
     }
 
     /// Handles a peer's [`PeerMessage::ConfigNotice`]; dropped when the queue is full.
-    pub fn notice(&self, from: VmId, revision: Revision) {
+    pub fn handle_notice(&self, from: VmId, revision: Revision) {
         let _ = self.inputs.try_send(DisseminationInput::Notice { from, revision });
     }
 
@@ -152,7 +152,7 @@
 
     async fn perform(&self, network: &PeerNetwork, action: DisseminationAction) {
         match action {
-            DisseminationAction::Adopt(config) => self.activate(config).await,
+            DisseminationAction::Activate(config) => self.activate(config).await,
             DisseminationAction::Notify { to, revision } => {
                 network.send(&to, PeerMessage::ConfigNotice { revision });
             }
@@ -192,7 +192,7 @@
 ) {
     let request = PeerRequest::FetchConfig { have };
     let reply = network.call(&from, request, FETCH_TIMEOUT).await;
-    let config = reply.ok().and_then(|reply| history.read(reply)).map(Arc::new);
+    let config = reply.ok().and_then(|reply| history.config_from_reply(reply)).map(Arc::new);
     // Fails only when the task has ended.
     let _ = results.send(DisseminationInput::Fetched { from, config }).await;
 }
--- a/src/daemon/config_dissemination/dissemination_core.rs
+++ b/src/daemon/config_dissemination/dissemination_core.rs
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum DisseminationAction {
     /// Activate this configuration.
-    Adopt(Arc<ActiveConfig>),
+    Activate(Arc<ActiveConfig>),
     /// Announce the revision in force at this daemon to a peer.
     Notify {
         /// The peer.
@@ -168,7 +168,7 @@
     pub fn handle(&mut self, now: Instant, input: DisseminationInput) -> Vec<DisseminationAction> {
         let mut actions = Vec::new();
         match input {
-            DisseminationInput::Committed(config) => self.adopt(None, config, &mut actions),
+            DisseminationInput::Committed(config) => self.activate(None, config, &mut actions),
             DisseminationInput::Notice { from, revision } => {
                 self.handle_notice(now, from, revision, &mut actions);
             }
@@ -176,7 +176,7 @@
                 self.fetching = None;
                 self.offers.remove(&from);
                 if let Some(config) = config {
-                    self.adopt(Some(&from), config, &mut actions);
+                    self.activate(Some(&from), config, &mut actions);
                 }
             }
             DisseminationInput::Peers(view) => self.view = view,
@@ -190,7 +190,7 @@
         self.history.current().revision
     }
 
-    fn adopt(
+    fn activate(
         &mut self,
         source: Option<&VmId>,
         config: Arc<ActiveConfig>,
@@ -200,7 +200,7 @@
             return;
         }
         let revision = config.revision;
-        actions.push(DisseminationAction::Adopt(config));
+        actions.push(DisseminationAction::Activate(config));
         self.offers.retain(|_, offered| *offered > revision);
         self.remote_since = None;
         let mut targets = self.view.domain.clone();
--- a/src/daemon/config_dissemination/history.rs
+++ b/src/daemon/config_dissemination/history.rs
@@ -80,7 +80,7 @@
 
     /// The configuration that results from a peer's reply; `None` if the reply contains nothing
     /// usable.
-    pub fn read(&self, reply: PeerReply) -> Option<ActiveConfig> {
+    pub fn config_from_reply(&self, reply: PeerReply) -> Option<ActiveConfig> {
         match reply {
             PeerReply::Config(Some(text)) => serde_json::from_str(&text).ok(),
             PeerReply::ConfigChanges(changes) => {
--- a/src/daemon/duties.rs
+++ b/src/daemon/dispatch_tasks.rs
@@ -15,9 +15,9 @@
 };
 
 /// The length of the queue of duties; the dispatcher repeats those that are dropped.
-pub const DUTY_QUEUE_LENGTH: usize = 4096;
+pub const TASK_QUEUE_LENGTH: usize = 4096;
 /// Cancel calls and probes in progress at a time; further ones wait in the queue.
-const MAX_RUNNING_DUTIES: usize = 256;
+const MAX_RUNNING_TASKS: usize = 256;
 
 /// Attempts of one cancel call; each takes a second at most.
 const MAX_CANCEL_ATTEMPTS: u32 = 3;
@@ -26,19 +26,19 @@
 const REMOTE_DIGEST_PEERS: usize = 3;
 
 /// Performs duties until the dispatcher's port is closed.
-pub async fn run_duties(
+pub async fn run_dispatch_tasks(
     core: Arc<PipelineCore>,
     network: PeerNetwork,
     monitor: ServerMonitor,
-    mut duties: mpsc::Receiver<DispatchTask>,
+    mut dispatch_tasks: mpsc::Receiver<DispatchTask>,
 ) {
     let mut running = JoinSet::new();
-    while let Some(duty) = duties.recv().await {
-        if running.len() >= MAX_RUNNING_DUTIES {
+    while let Some(task) = dispatch_tasks.recv().await {
+        if running.len() >= MAX_RUNNING_TASKS {
             running.join_next().await;
         }
         while running.try_join_next().is_some() {}
-        match duty {
+        match task {
             DispatchTask::Publish(mut digest) => {
                 digest.findings = monitor.findings();
                 publish(&core, &network, digest);
--- a/src/daemon/lifecycle.rs
+++ b/src/daemon/lifecycle.rs
@@ -10,8 +10,8 @@
             dissemination_core::PeerView,
         },
         control_driver::{ControlDriver, ControlHandle, DriverError, DriverSettings},
-        duties::{DUTY_QUEUE_LENGTH, run_duties},
-        peer_service::{DaemonParts, PeerService},
+        dispatch_tasks::{TASK_QUEUE_LENGTH, run_dispatch_tasks},
+        peer_service::{DaemonComponents, PeerService},
         remote_proposer::{RemoteProposer, ReplicaPort},
         server_monitor::ServerMonitor,
         server_probe::{HttpOrders, HttpProbe},
@@ -87,12 +87,12 @@
 pub struct Starting;
 
 /// State of a daemon that accepts requests.
-pub struct Serving(RunningParts);
+pub struct Serving(RunningComponents);
 
 /// State of a daemon that finishes its requests in flight and accepts no new ones.
-pub struct Draining(RunningParts);
+pub struct Draining(RunningComponents);
 
-struct RunningParts {
+struct RunningComponents {
     core: Arc<PipelineCore>,
     network: PeerNetwork,
     callers: HttpServer,
@@ -129,9 +129,9 @@
         let metrics = measures::install().map_err(DaemonError::Metrics)?;
         let mut tasks = JoinSet::new();
         tasks.spawn(measures::upkeep(metrics.clone()));
-        let connected = connect_parts(&options, &mut tasks)?;
-        let ConnectedParts { parts, network, .. } = &connected;
-        let gate = CallerApi { core: Arc::clone(&parts.core), limits: options.limits.clone() };
+        let connected = connect_components(&options, &mut tasks)?;
+        let ConnectedComponents { components, network, .. } = &connected;
+        let gate = CallerApi { core: Arc::clone(&components.core), limits: options.limits.clone() };
         let callers = match options.identity.role {
             DaemonRole::Entry => caller_router(gate),
             DaemonRole::Control => health_router(),
@@ -148,96 +148,96 @@
             peers:% = network.local_address();
             "serving"
         );
-        let (core, network) = (Arc::clone(&parts.core), network.clone());
-        let running = RunningParts { core, network, callers, operators, tasks };
+        let (core, network) = (Arc::clone(&components.core), network.clone());
+        let running = RunningComponents { core, network, callers, operators, tasks };
         Ok(Daemon { options, state: Serving(running) })
     }
 }
 
 /// The parts of a daemon, connected and running, before its HTTP ports are open.
-struct ConnectedParts {
-    parts: DaemonParts,
+struct ConnectedComponents {
+    components: DaemonComponents,
     network: PeerNetwork,
     server_table: Arc<ServerTable>,
 }
 
-fn connect_parts(
+fn connect_components(
     options: &DaemonOptions,
     tasks: &mut JoinSet<()>,
-) -> Result<ConnectedParts, DaemonError> {
+) -> Result<ConnectedComponents, DaemonError> {
     let service = Arc::new(PeerService::default());
     let network = start_network(options, Arc::clone(&service))?;
     let replica = start_replica(options, &network, tasks)?;
     let control = Arc::new(create_proposer(options, &network, replica.as_ref()));
-    let (duties, duty_queue) = mpsc::channel(DUTY_QUEUE_LENGTH);
-    let core = start_core(options, Arc::clone(&control), duties);
+    let (dispatch_tasks, task_queue) = mpsc::channel(TASK_QUEUE_LENGTH);
+    let core = start_core(options, Arc::clone(&control), dispatch_tasks);
     let (dissemination, dissemination_task) = start_dissemination(options);
     let server_table = Arc::new(ServerTable::default());
     let updates = Arc::new(ServerUpdates::new(Arc::clone(&core), Arc::clone(&server_table)));
     let (findings, finding_queue) = mpsc::channel(UPDATE_QUEUE_LENGTH);
     let monitor = ServerMonitor::start(Arc::new(HttpProbe), findings);
-    let parts = DaemonParts { core, replica, control, dissemination, monitor, updates };
-    service.open(parts.clone());
-    let connected = ConnectedParts { parts, network, server_table };
+    let components = DaemonComponents { core, replica, control, dissemination, monitor, updates };
+    service.open(components.clone());
+    let connected = ConnectedComponents { components, network, server_table };
     connected.spawn_tasks(options, tasks);
-    let ConnectedParts { parts, network, .. } = &connected;
-    tasks.spawn(run_dissemination(dissemination_task, network.clone(), parts.replica.clone()));
-    let (core, monitor) = (Arc::clone(&parts.core), parts.monitor.clone());
-    tasks.spawn(run_duties(core, network.clone(), monitor, duty_queue));
-    let updates = Arc::clone(&parts.updates);
+    let ConnectedComponents { components, network, .. } = &connected;
+    tasks.spawn(run_dissemination(dissemination_task, network.clone(), components.replica.clone()));
+    let (core, monitor) = (Arc::clone(&components.core), components.monitor.clone());
+    tasks.spawn(run_dispatch_tasks(core, network.clone(), monitor, task_queue));
+    let updates = Arc::clone(&components.updates);
     tasks.spawn(async move { updates.run(finding_queue).await });
     Ok(connected)
 }
 
-impl ConnectedParts {
+impl ConnectedComponents {
     /// Starts the tasks that need only shared parts.
     fn spawn_tasks(&self, options: &DaemonOptions, tasks: &mut JoinSet<()>) {
-        let ConnectedParts { parts, network, server_table } = self;
+        let ConnectedComponents { components, network, server_table } = self;
         let applier = ConfigApplier {
-            core: Arc::clone(&parts.core),
+            core: Arc::clone(&components.core),
             network: network.clone(),
-            dissemination: parts.dissemination.clone(),
-            monitor: parts.monitor.clone(),
+            dissemination: components.dissemination.clone(),
+            monitor: components.monitor.clone(),
             server_table: Arc::clone(server_table),
             options: options.clone(),
         };
         tasks.spawn(applier.run());
-        if let Some(replica) = &parts.replica {
+        if let Some(replica) = &components.replica {
             let orders = HttpOrders {
-                core: Arc::clone(&parts.core),
+                core: Arc::clone(&components.core),
                 network: network.clone(),
-                updates: Arc::clone(&parts.updates),
+                updates: Arc::clone(&components.updates),
             };
-            tasks.spawn(run_orders(replica.clone(), orders, parts.dissemination.watch()));
+            tasks.spawn(run_orders(replica.clone(), orders, components.dissemination.watch()));
         }
-        if parts.replica.is_none() {
-            let (core, control) = (Arc::clone(&parts.core), Arc::clone(&parts.control));
+        if components.replica.is_none() {
+            let (core, control) = (Arc::clone(&components.core), Arc::clone(&components.control));
             tasks.spawn(poll_voters(core, network.clone(), control));
         }
-        tasks.spawn(announce_incarnation(Arc::clone(&parts.core)));
-        tasks.spawn(report_attempt_floor(Arc::clone(&parts.core)));
-        let port = Arc::clone(&parts.core.dispatcher);
+        tasks.spawn(announce_incarnation(Arc::clone(&components.core)));
+        tasks.spawn(report_attempt_floor(Arc::clone(&components.core)));
+        let port = Arc::clone(&components.core.dispatcher);
         tasks.spawn(async move { port.run_wakeups().await });
     }
 }
 
 fn operator_state(
     options: &DaemonOptions,
-    connected: &ConnectedParts,
+    connected: &ConnectedComponents,
     metrics: PrometheusHandle,
 ) -> OperatorState {
-    let ConnectedParts { parts, network, server_table } = connected;
+    let ConnectedComponents { components, network, server_table } = connected;
     let source = StatusService {
         identity: options.identity.clone(),
         started: Instant::now(),
-        parts: parts.clone(),
+        components: components.clone(),
         server_table: Arc::clone(server_table),
         network: network.clone(),
     };
-    let control = Arc::clone(&parts.control);
+    let control = Arc::clone(&components.control);
     OperatorState {
         control,
-        config: parts.dissemination.watch(),
+        config: components.dissemination.watch(),
         source: Arc::new(source),
         metrics,
     }
@@ -277,7 +277,7 @@
     /// Waits until all requests in flight have ended, the grace period of the options is over or
     /// `abort` completes, then stops.
     pub async fn finish(self, abort: impl Future<Output = ()>) -> DrainReport {
-        let RunningParts { core, network, callers, operators, mut tasks } = self.state.0;
+        let RunningComponents { core, network, callers, operators, mut tasks } = self.state.0;
         let ended = tokio::select! {
             () = core.gate.wait_empty() => DrainReport { cut: 0 },
             () = abort => DrainReport { cut: core.gate.in_flight() },
@@ -344,7 +344,7 @@
 fn start_core(
     options: &DaemonOptions,
     control: Arc<RemoteProposer>,
-    duties: mpsc::Sender<DispatchTask>,
+    dispatch_tasks: mpsc::Sender<DispatchTask>,
 ) -> Arc<PipelineCore> {
     let trace = Arc::new(TraceLog::default());
     let dispatcher = Dispatcher::new(DispatcherSettings {
@@ -356,7 +356,7 @@
     PipelineCore::new(CoreParts {
         vm: options.identity.vm.clone(),
         incarnation: fresh_incarnation(),
-        dispatcher: DispatcherHandle::new(dispatcher, duties, Arc::clone(&trace)),
+        dispatcher: DispatcherHandle::new(dispatcher, dispatch_tasks, Arc::clone(&trace)),
         control,
         gate: DrainGate::default(),
         trace,
--- a/src/daemon/peer_service.rs
+++ b/src/daemon/peer_service.rs
@@ -20,12 +20,12 @@
 /// messages are dropped and requests are refused with a hint to retry.
 #[derive(Default)]
 pub struct PeerService {
-    parts: OnceLock<DaemonParts>,
+    components: OnceLock<DaemonComponents>,
 }
 
 /// The parts of a daemon that requests of peers and operators need.
 #[derive(Clone)]
-pub struct DaemonParts {
+pub struct DaemonComponents {
     /// The request pipeline.
     pub core: Arc<PipelineCore>,
     /// The replica on this VM, if any.
@@ -42,8 +42,8 @@
 
 impl PeerService {
     /// Starts to serve with `parts`; a second call has no effect.
-    pub fn open(&self, parts: DaemonParts) {
-        if self.parts.set(parts).is_err() {
+    pub fn open(&self, components: DaemonComponents) {
+        if self.components.set(components).is_err() {
             log::error!("the peer service was opened twice");
         }
     }
@@ -51,10 +51,10 @@
 
 impl PeerHandler for PeerService {
     fn message(&self, from: VmId, message: PeerMessage) {
-        let Some(parts) = self.parts.get() else { return };
+        let Some(components) = self.components.get() else { return };
         match message {
             PeerMessage::Replica(message) => {
-                parts.replica.iter().for_each(|replica| {
+                components.replica.iter().for_each(|replica| {
                     replica.deliver(from.clone(), (*message).clone());
                 });
             }
@@ -64,26 +64,28 @@
                 log::warn!(from = from.as_str(); "digest dropped: it names another VM as its sender");
             }
             PeerMessage::Digest(digest) => {
-                parts.monitor.digest(&digest);
-                parts.core.dispatcher.notify(PolicyInput::Digest(*digest));
+                components.monitor.handle_digest(&digest);
+                components.core.dispatcher.notify(PolicyInput::Digest(*digest));
+            }
+            PeerMessage::DrainServer { server } => components.updates.hold(&server),
+            PeerMessage::ConfigNotice { revision } => {
+                components.dissemination.handle_notice(from, revision)
             }
-            PeerMessage::DrainServer { server } => parts.updates.hold(&server),
-            PeerMessage::ConfigNotice { revision } => parts.dissemination.notice(from, revision),
         }
     }
 
     fn request(&self, _from: VmId, request: PeerRequest) -> BoxFuture<'static, PeerReply> {
-        let parts = self.parts.get().cloned();
+        let components = self.components.get().cloned();
         Box::pin(async move {
-            match parts {
-                Some(parts) => parts.answer(request).await,
+            match components {
+                Some(components) => components.answer(request).await,
                 None => PeerReply::Refused("this daemon is starting; retry in a second".to_owned()),
             }
         })
     }
 }
 
-impl DaemonParts {
+impl DaemonComponents {
     async fn answer(self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Propose { command, may_forward } => {
@@ -93,7 +95,7 @@
             PeerRequest::Explain { request } => {
                 PeerReply::Explained(self.core.trace.lines(&request))
             }
-            PeerRequest::Status => self.status().reply(),
+            PeerRequest::Status => self.status().to_reply(),
             PeerRequest::Drain => {
                 self.core.gate.begin_drain();
                 PeerReply::Draining
--- a/src/daemon/peer_status.rs
+++ b/src/daemon/peer_status.rs
@@ -33,12 +33,12 @@
 
 impl PeerStatus {
     /// The status as a reply to [`PeerRequest::Status`].
-    pub fn reply(&self) -> PeerReply {
+    pub fn to_reply(&self) -> PeerReply {
         PeerReply::Status(serde_json::to_string(self).expect("a status always encodes"))
     }
 
     /// Decodes a reply; `None` if it is not a status.
-    pub fn read(reply: &PeerReply) -> Option<Self> {
+    pub fn from_reply(reply: &PeerReply) -> Option<Self> {
         let PeerReply::Status(text) = reply else { return None };
         serde_json::from_str(text).ok()
     }
@@ -53,7 +53,7 @@
     stream::iter(peers)
         .map(|peer| async move {
             let reply = network.call(&peer, PeerRequest::Status, STATUS_TIMEOUT).await;
-            let status = reply.ok().as_ref().and_then(PeerStatus::read);
+            let status = reply.ok().as_ref().and_then(PeerStatus::from_reply);
             (peer, status)
         })
         .buffer_unordered(MAX_CONCURRENT_REQUESTS)
--- a/src/daemon/server_monitor.rs
+++ b/src/daemon/server_monitor.rs
@@ -64,7 +64,7 @@
     }
 
     /// Handles the findings in the digest of a daemon of the same domain.
-    pub fn digest(&self, digest: &DomainDigest) {
+    pub fn handle_digest(&self, digest: &DomainDigest) {
         let findings = digest.findings.clone();
         let _ =
             self.inputs.try_send(MonitorInput::Digest { from: digest.daemon.clone(), findings });
--- a/src/daemon/status_service.rs
+++ b/src/daemon/status_service.rs
@@ -1,7 +1,9 @@
 //! Answers operators' requests to a running daemon.
 
 use {
-    super::{peer_service::DaemonParts, peer_status::fetch_statuses, server_table::ServerTable},
+    super::{
+        peer_service::DaemonComponents, peer_status::fetch_statuses, server_table::ServerTable,
+    },
     crate::{
         http_api::operator::{
             SourceError, StatusSource,
@@ -32,7 +34,7 @@
     /// The time at which the daemon started.
     pub started: Instant,
     /// The parts that the answers are taken from.
-    pub parts: DaemonParts,
+    pub components: DaemonComponents,
     /// The last known state of each backend server.
     pub server_table: Arc<ServerTable>,
     /// The network to the other daemons.
@@ -41,9 +43,9 @@
 
 impl StatusSource for StatusService {
     fn status(&self) -> DaemonStatus {
-        let replica = self.parts.replica.as_ref().map(|replica| replica.status());
-        let revision = self.parts.revision();
-        let state = match (self.parts.core.gate.is_draining(), revision) {
+        let replica = self.components.replica.as_ref().map(|replica| replica.status());
+        let revision = self.components.revision();
+        let state = match (self.components.core.gate.is_draining(), revision) {
             (true, _) => DaemonState::Draining,
             (false, 0) => DaemonState::Starting,
             (false, _) => DaemonState::Serving,
@@ -61,15 +63,15 @@
             replica: replica.as_ref().map_or("none", |status| status.role.as_str()).to_owned(),
             leader: replica.as_ref().and_then(|status| status.leader.clone()),
             term: replica.map_or(0, |status| status.term),
-            in_flight: self.parts.core.gate.in_flight() as u64,
+            in_flight: self.components.core.gate.in_flight() as u64,
             uptime_seconds: self.started.elapsed().as_secs(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
         }
     }
 
     fn servers(&self) -> Vec<ServerStatus> {
-        let serving = self.parts.core.serving();
-        let in_flight = self.parts.core.usage.in_flight();
+        let serving = self.components.core.serving();
+        let in_flight = self.components.core.usage.in_flight();
         let reports = self.server_table.snapshot();
         let servers = serving.config.register.servers.iter();
         servers
@@ -93,7 +95,7 @@
     }
 
     fn organisations(&self, limit: usize) -> Vec<OrganisationStatus> {
-        let heaviest = self.parts.core.usage.busiest_organisations(limit);
+        let heaviest = self.components.core.usage.busiest_organisations(limit);
         heaviest
             .into_iter()
             .map(|(id, usage)| OrganisationStatus {
@@ -108,7 +110,7 @@
     }
 
     fn replicas(&self) -> BoxFuture<'_, Vec<ReplicaEntry>> {
-        let status = self.parts.replica.as_ref().map(|replica| replica.status());
+        let status = self.components.replica.as_ref().map(|replica| replica.status());
         let entries = status.map(|status| {
             let own = (self.identity.vm.clone(), status.applied);
             let members = [(true, &status.members.voters), (false, &status.members.learners)];
@@ -128,7 +130,7 @@
     }
 
     fn history(&self) -> BoxFuture<'_, Vec<ConfigChange>> {
-        let history = self.parts.replica.as_ref().map(|replica| replica.history());
+        let history = self.components.replica.as_ref().map(|replica| replica.history());
         let changes = history.iter().flat_map(|changes| changes.iter());
         let changes = changes.map(|change| ConfigChange {
             revision: change.revision,
@@ -147,9 +149,9 @@
             let own = VmRevision {
                 vm: self.identity.vm.clone(),
                 failure_domain: self.identity.failure_domain.clone(),
-                revision: Some(self.parts.revision()),
+                revision: Some(self.components.revision()),
             };
-            let serving = self.parts.core.serving();
+            let serving = self.components.core.serving();
             let others = serving.config.register.vms.iter().filter(|vm| vm.id != own.vm);
             let names: Vec<VmId> = others.clone().map(|vm| vm.id.clone()).collect();
             let answers = fetch_statuses(&self.network, names).await;
@@ -168,11 +170,18 @@
     fn drain(&self, vm: VmId) -> BoxFuture<'_, Result<(), SourceError>> {
         Box::pin(async move {
             if vm == self.identity.vm {
-                self.parts.core.gate.begin_drain();
+                self.components.core.gate.begin_drain();
                 return Ok(());
             }
-            let known =
-                self.parts.core.serving().config.register.vms.iter().any(|record| record.id == vm);
+            let known = self
+                .components
+                .core
+                .serving()
+                .config
+                .register
+                .vms
+                .iter()
+                .any(|record| record.id == vm);
             if !known {
                 return Err(SourceError::UnknownVm(vm));
             }
@@ -194,7 +203,7 @@
             // VM may contain dots itself.
             let vm = request.rsplitn(3, '.').nth(2).unwrap_or_default().to_owned();
             let lines = if vm == self.identity.vm {
-                self.parts.core.trace.lines(&request)
+                self.components.core.trace.lines(&request)
             } else {
                 let question = PeerRequest::Explain { request: request.clone() };
                 match self.network.call(&vm, question, PEER_TIMEOUT).await {
--- a/src/daemon/voter_poller.rs
+++ b/src/daemon/voter_poller.rs
@@ -30,7 +30,7 @@
         ticks.tick().await;
         let Some(peer) = next_peer(&core, turn) else { continue };
         let reply = network.call(&peer, PeerRequest::Status, POLL_TIMEOUT).await;
-        let Some(status) = reply.ok().as_ref().and_then(PeerStatus::read) else { continue };
+        let Some(status) = reply.ok().as_ref().and_then(PeerStatus::from_reply) else { continue };
         control.set_voters(status.voters);
         status.leader.into_iter().for_each(|leader| control.set_leader(leader));
     }
--- a/src/daemon/weight_orders.rs
+++ b/src/daemon/weight_orders.rs
@@ -93,7 +93,7 @@
     }
 
     /// Replaces the default timing.
-    pub fn timed(self, timing: OrderTiming) -> Self {
+    pub fn with_timing(self, timing: OrderTiming) -> Self {
         Self { core: OrderCore::with_timing(timing), ..self }
     }
 
@@ -164,13 +164,13 @@
             OrderAction::Order(order) => {
                 let address = address(&order.server);
                 tokio::spawn(async move {
-                    let place = (order.server.clone(), order.model.clone());
+                    let target = (order.server.clone(), order.model.clone());
                     let number = order.number;
                     let result = match address {
                         Some(address) => send_order(&*lease, &*port, address, order).await,
                         None => OrderResult::NotTaken,
                     };
-                    let _ = results.send(OrderInput::Ordered { place, number, result }).await;
+                    let _ = results.send(OrderInput::Ordered { target, number, result }).await;
                 });
             }
         }
--- a/src/daemon/weight_orders/order_core.rs
+++ b/src/daemon/weight_orders/order_core.rs
@@ -2,7 +2,7 @@
 //! no I/O.
 
 pub use super::order_types::{
-    OrderAction, OrderInput, OrderPlace, OrderPlan, OrderReason, OrderResult, OrderTiming,
+    OrderAction, OrderInput, OrderPlan, OrderReason, OrderResult, OrderTarget, OrderTiming,
     PendingServers, WeightOrder,
 };
 
@@ -75,7 +75,7 @@
     timing: OrderTiming,
     plan: OrderPlan,
     /// The time since which the plan has the present version of each of its models.
-    wanted_since: BTreeMap<ModelId, Instant>,
+    planned_since: BTreeMap<ModelId, Instant>,
     desired: Arc<DesiredWeights>,
     lease: Option<(Term, Instant)>,
     /// The last term in which there was a lease.
@@ -121,7 +121,7 @@
             OrderInput::Desired(desired) => self.desired = desired,
             OrderInput::Lease(lease) => return self.update_lease(lease),
             OrderInput::Probed { server, report } => self.update_report(now, &server, report),
-            OrderInput::Ordered { place: (server, model), number, result } => {
+            OrderInput::Ordered { target: (server, model), number, result } => {
                 let state = self.states.get_mut(&server);
                 if let Some(order) = state.and_then(|state| state.pending.get_mut(&model))
                     && order.number == number
@@ -178,7 +178,7 @@
                 let is_new = state.next_probe.is_none();
                 (state.alive || is_new) && state.observed(model) != Some(weights)
             });
-            let since = self.wanted_since[model];
+            let since = self.planned_since[model];
             let pending =
                 PendingServers { weights: weights.clone(), since, servers: behind.count() };
             (model.clone(), pending)
@@ -187,10 +187,10 @@
     }
 
     fn configure(&mut self, now: Instant, plan: OrderPlan) {
-        self.wanted_since
+        self.planned_since
             .retain(|model, _| plan.weights.get(model) == self.plan.weights.get(model));
         for model in plan.weights.keys() {
-            self.wanted_since.entry(model.clone()).or_insert(now);
+            self.planned_since.entry(model.clone()).or_insert(now);
         }
         self.states.retain(|server, state| {
             let models = plan.servers.get(server);
@@ -374,10 +374,11 @@
         if ordered.0 != weights {
             *ordered = (weights.clone(), 0);
         }
-        let given_before = ordered.1;
+        let earlier_orders = ordered.1;
         ordered.1 += 1;
-        let wanted_for = self.wanted_since.get(&model).map_or(Duration::ZERO, |since| now - *since);
-        let reason = OrderReason { observed, wanted_for, given_before };
+        let planned_for =
+            self.planned_since.get(&model).map_or(Duration::ZERO, |since| now - *since);
+        let reason = OrderReason { observed, planned_for, earlier_orders };
         let send_before = now + ORDER_TIMEOUT;
         Some(OrderAction::Order(WeightOrder {
             server,
--- a/src/daemon/weight_orders/order_types.rs
+++ b/src/daemon/weight_orders/order_types.rs
@@ -43,7 +43,7 @@
 }
 
 /// A server and one model that it runs.
-pub type OrderPlace = (ServerId, ModelId);
+pub type OrderTarget = (ServerId, ModelId);
 
 /// The weights that the register and the rules specify.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -65,9 +65,9 @@
     /// The version that the server reported last.
     pub observed: Option<WeightsVersion>,
     /// How long the ordered version has been wanted at this replica.
-    pub wanted_for: Duration,
+    pub planned_for: Duration,
     /// Earlier orders of this version to the server in this term.
-    pub given_before: u32,
+    pub earlier_orders: u32,
 }
 
 /// The number of servers that lack the wanted version of a model.
@@ -130,7 +130,7 @@
     /// An order ended.
     Ordered {
         /// The server and the model.
-        place: OrderPlace,
+        target: OrderTarget,
         /// The number of the order.
         number: u64,
         /// The result of the order.
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -71,7 +71,8 @@
     /// The requested kind of answer.
     pub mode: AnswerMode,
     /// Whether it needs the whole document, because a delta could not be applied.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub needs_full: bool,
 }
 
 /// The changes for a follower; `None` where it is up to date.
@@ -123,7 +124,7 @@
     /// The latest term in which a leader was known; it increases with each new leader.
     pub term: Term,
     /// Whether a delta could not be applied, so that the next document must be whole.
-    pub needs_whole: bool,
+    pub needs_full: bool,
 }
 
 /// The digest of a list of control VMs; 0 for the empty list.
@@ -139,7 +140,7 @@
             && document.number > self.document.number
         {
             self.document = document;
-            self.needs_whole = false;
+            self.needs_full = false;
         }
         if let Some(delta) = reply.document_delta {
             self.apply_document_delta(&delta);
@@ -175,7 +176,7 @@
             Err(error) => {
                 log::warn!(document = self.document.number, error:% = error;
                     "cannot apply a document delta; requesting the whole document");
-                self.needs_whole = true;
+                self.needs_full = true;
             }
         }
     }
--- a/src/follow/document_delta.rs
+++ b/src/follow/document_delta.rs
@@ -162,7 +162,7 @@
     Delta(Arc<DocumentDelta>),
     /// The whole document: the follower has none, or an unknown one, or the delta would be too
     /// large.
-    Whole(NumberedDocument),
+    Full(NumberedDocument),
 }
 
 /// The latest documents and the deltas to the present one.
@@ -191,7 +191,7 @@
             let cached = self.deltas.entry(held);
             cached.or_insert_with(|| DocumentDelta::between(base, present).map(Arc::new)).clone()
         });
-        delta.map_or_else(|| DocumentChange::Whole(present.clone()), DocumentChange::Delta)
+        delta.map_or_else(|| DocumentChange::Full(present.clone()), DocumentChange::Delta)
     }
 
     /// Adds the present document as a base for later deltas.
--- a/src/follow/service.rs
+++ b/src/follow/service.rs
@@ -179,9 +179,9 @@
         if !is_outdated(request, state) {
             return;
         }
-        let held = if request.whole { 0 } else { request.document };
+        let held = if request.needs_full { 0 } else { request.document };
         let kind = match history.change_since(held, state.document()) {
-            DocumentChange::Whole(document) => {
+            DocumentChange::Full(document) => {
                 reply.document = Some(document);
                 "whole"
             }
--- a/src/follow/task.rs
+++ b/src/follow/task.rs
@@ -198,7 +198,7 @@
             term: held.term,
             follower: self.port.kind(),
             mode,
-            whole: held.needs_whole,
+            needs_full: held.needs_full,
         };
         let reply = self.network.call(peer, PeerRequest::Follow(Box::new(request)), limit).await;
         match reply {
--- a/src/roles/control.rs
+++ b/src/roles/control.rs
@@ -222,7 +222,7 @@
     let orders = Arc::new(FleetOrders::new(Arc::clone(board), engines));
     let desired = replica.desired_weights();
     let orders = WeightOrders::new(Arc::new(replica.clone()), orders, plans, desired);
-    tasks.spawn(orders.timed(FLEET_TIMING).run());
+    tasks.spawn(orders.with_timing(FLEET_TIMING).run());
 }
 
 /// Keeps the peers of the network up to date: members, VMs that ask to join, and VMs that the
--- a/src/roles/entry.rs
+++ b/src/roles/entry.rs
@@ -43,7 +43,7 @@
 
 /// Duties of the dispatcher that may be queued. A dropped duty does no harm: each is a hint or is
 /// issued again.
-const DUTY_QUEUE_LENGTH: usize = 256;
+const TASK_QUEUE_LENGTH: usize = 256;
 /// How long a stopping entry still accepts new connections. The balancer checks readiness once a
 /// second and acts on the second failed check.
 const ACCEPT_WHILE_STOPPING: Duration = Duration::from_millis(2_500);
@@ -256,20 +256,23 @@
         seed: random_seed(),
         disabled,
     });
-    let (duties, duty_queue) = mpsc::channel(DUTY_QUEUE_LENGTH);
-    let port = DispatcherHandle::new(dispatcher, duties, Arc::new(TraceLog::default()));
+    let (dispatch_tasks, task_queue) = mpsc::channel(TASK_QUEUE_LENGTH);
+    let port = DispatcherHandle::new(dispatcher, dispatch_tasks, Arc::new(TraceLog::default()));
     let core = ProxyCore::new(ProxyParts { vm, objective, dialect, dispatcher: Arc::clone(&port) });
     tasks.spawn(async move { port.run_wakeups().await });
-    tasks.spawn(run_duties(Arc::clone(&core), duty_queue));
+    tasks.spawn(run_dispatch_tasks(Arc::clone(&core), task_queue));
     tasks.spawn(monitor_cache_store(Arc::clone(&core)));
     core
 }
 
 /// Carries out the dispatcher's probes. Other duties need no action: a cancelled attempt's connection
 /// is already closed, which its server treats as the cancellation.
-async fn run_duties(core: Arc<ProxyCore>, mut duties: mpsc::Receiver<DispatchTask>) {
-    while let Some(duty) = duties.recv().await {
-        if let DispatchTask::Probe { server } = duty {
+async fn run_dispatch_tasks(
+    core: Arc<ProxyCore>,
+    mut dispatch_tasks: mpsc::Receiver<DispatchTask>,
+) {
+    while let Some(task) = dispatch_tasks.recv().await {
+        if let DispatchTask::Probe { server } = task {
             let core = Arc::clone(&core);
             tokio::spawn(async move { core.probe(server).await });
         }
--- a/src/roles/fleet_orders.rs
+++ b/src/roles/fleet_orders.rs
@@ -188,10 +188,10 @@
         self.hold(&order.server);
         Box::pin(async move {
             let result = self.engines.order(address, order.clone(), IN_FLIGHT_WORK).await;
-            let OrderReason { observed, wanted_for, given_before } = order.reason;
+            let OrderReason { observed, planned_for, earlier_orders } = order.reason;
             log::info!(server = order.server.as_str(), model = order.model.as_str(),
                 weights = order.weights.as_str(), result:? = result, observed = observed.as_deref(),
-                wanted_ms = wanted_for.as_millis() as u64, given_before = given_before;
+                wanted_ms = planned_for.as_millis() as u64, given_before = earlier_orders;
                 "{}", events::WEIGHTS_ORDERED);
             result
         })
--- a/src/transport/attachment.rs
+++ b/src/transport/attachment.rs
@@ -24,16 +24,16 @@
 }
 
 /// Removes the body of the document from a reply; `None` if the reply contains no document.
-pub fn detach(reply: &mut PeerReply) -> Option<Arc<str>> {
+pub fn detach_body(reply: &mut PeerReply) -> Option<Arc<str>> {
     let PeerReply::Followed(reply) = reply else { return None };
     reply.document.as_mut().map(|document| std::mem::replace(&mut document.body, "".into()))
 }
 
-/// Writes a body that [`detach`] removed, after the frame of its reply.
+/// Writes a body that [`detach_body`] removed, after the frame of its reply.
 ///
 /// # Errors
 /// When the stream or its connection is closed.
-pub async fn write(stream: &mut SendStream, body: Arc<str>) -> Result<(), WriteError> {
+pub async fn write_body(stream: &mut SendStream, body: Arc<str>) -> Result<(), WriteError> {
     let Ok(header) = codec::frame_header(body.len()) else {
         log::error!(bytes = body.len(); "a document exceeds the frame limit and was not sent; make it smaller");
         return Ok(());
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// Any [`CodecError`].
-pub async fn attach(reply: &mut PeerReply, stream: &mut RecvStream) -> Result<(), CodecError> {
+pub async fn attach_body(reply: &mut PeerReply, stream: &mut RecvStream) -> Result<(), CodecError> {
     let PeerReply::Followed(reply) = reply else { return Ok(()) };
     let Some(document) = reply.document.as_mut() else { return Ok(()) };
     let body = codec::read_body(stream).await?;
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -100,14 +100,14 @@
         }
     };
     let mut reply = handler.request(peer, request).await;
-    let body = attachment::detach(&mut reply);
+    let body = attachment::detach_body(&mut reply);
     let frame = codec::encode(&reply)
         .or_else(|error| codec::encode(&super::message::PeerReply::Refused(error.to_string())));
     if let Ok(frame) = frame {
         // A failed write means that the peer no longer waits for the reply.
         let written = codec::write_frame(&mut sender, &frame).await;
         if let (Ok(()), Some(body)) = (written, body) {
-            let _ = attachment::write(&mut sender, body).await;
+            let _ = attachment::write_body(&mut sender, body).await;
         }
     }
 }
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -327,7 +327,7 @@
     // If this fails, the read below fails too.
     let _ = sender.finish();
     let mut reply = codec::read_frame(&mut receiver).await.map_err(|error| error.to_string())?;
-    attachment::attach(&mut reply, &mut receiver).await.map_err(|error| error.to_string())?;
+    attachment::attach_body(&mut reply, &mut receiver).await.map_err(|error| error.to_string())?;
     Ok(reply)
 }
 
--- a/tests/config_dissemination.rs
+++ b/tests/config_dissemination.rs
@@ -92,7 +92,7 @@
 
     fn perform(&mut self, vm: &VmId, action: DisseminationAction) {
         match action {
-            DisseminationAction::Adopt(_) => {}
+            DisseminationAction::Activate(_) => {}
             DisseminationAction::Notify { to, revision } => {
                 self.notices += 1;
                 let lost = self.random.next_u32().is_multiple_of(10) || self.is_cut(vm, &to);
@@ -104,7 +104,7 @@
             DisseminationAction::Fetch { from, have } => {
                 let reachable = !self.is_cut(vm, &from);
                 let reply = self.cores[&from].history().answer(have);
-                let read = self.cores[vm].history().read(reply).filter(|_| reachable);
+                let read = self.cores[vm].history().config_from_reply(reply).filter(|_| reachable);
                 let config = read.map(Arc::new);
                 self.post(ONE_WAY * 2, vm, DisseminationInput::Fetched { from, config });
             }
@@ -252,8 +252,8 @@
 
     let reply = history.answer(1);
     assert!(matches!(&reply, PeerReply::ConfigChanges(changes) if changes.len() == 2));
-    assert_eq!(peer.read(reply.clone()), Some(latest.clone()));
-    assert_eq!(history.read(reply), None, "changes apply only to their base revision");
+    assert_eq!(peer.config_from_reply(reply.clone()), Some(latest.clone()));
+    assert_eq!(history.config_from_reply(reply), None, "changes apply only to their base revision");
     assert!(peer.advance(Arc::new(latest.clone())));
     assert_eq!(history.answer(3), PeerReply::Config(None));
 
@@ -264,7 +264,7 @@
     assert!(history.advance(Arc::new(swapped.clone())));
     let whole = history.answer(3);
     assert!(matches!(whole, PeerReply::Config(Some(_))));
-    assert_eq!(peer.read(whole), Some(swapped));
+    assert_eq!(peer.config_from_reply(whole), Some(swapped));
 }
 
 /// Guards against serving with rules that no operator wrote. A byte of the cache file changes
--- a/tests/document_changes.rs
+++ b/tests/document_changes.rs
@@ -103,9 +103,9 @@
     assert_eq!(delta.apply(&unrelated), Err(DeltaError::OtherBase { base: 4, held: 3 }));
     let mut state = SharedState { document: other.clone(), ..SharedState::default() };
     state.apply(FollowReply { document_delta: Some(delta), ..FollowReply::default() });
-    assert_eq!((&state.document, state.needs_whole), (&other, true));
+    assert_eq!((&state.document, state.needs_full), (&other, true));
     state.apply(FollowReply { document: Some(after.clone()), ..FollowReply::default() });
-    assert_eq!((state.document, state.needs_whole), (after, false));
+    assert_eq!((state.document, state.needs_full), (after, false));
 }
 
 #[test]
@@ -115,7 +115,7 @@
     let delta = DocumentDelta::between(&first, &second).expect("most of the document is unchanged");
     let mut state = SharedState { document: document(6, "{}"), ..SharedState::default() };
     state.apply(FollowReply { document_delta: Some(delta), ..FollowReply::default() });
-    assert_eq!((state.document.number, state.needs_whole), (6, false));
+    assert_eq!((state.document.number, state.needs_full), (6, false));
 }
 
 #[test]
@@ -123,8 +123,8 @@
     let mut history = DocumentHistory::default();
     let (one, other) = (document(1, &"ab".repeat(4_000)), document(2, &"xyz".repeat(4_000)));
     history.record(&one);
-    assert_eq!(history.change_since(1, &other), DocumentChange::Whole(other.clone()));
-    assert_eq!(history.change_since(77, &other), DocumentChange::Whole(other));
+    assert_eq!(history.change_since(1, &other), DocumentChange::Full(other.clone()));
+    assert_eq!(history.change_since(77, &other), DocumentChange::Full(other));
 }
 
 #[test]
--- a/tests/named_weights.rs
+++ b/tests/named_weights.rs
@@ -120,8 +120,8 @@
                 let until = self.now + Duration::from_millis(400);
                 self.load = Some((order.server.clone(), order.weights.clone(), until));
                 self.ordered.push((order.server.clone(), order.weights));
-                let (place, number) = ((order.server, order.model), order.number);
-                Some(OrderInput::Ordered { place, number, result: OrderResult::Taken })
+                let (target, number) = ((order.server, order.model), order.number);
+                Some(OrderInput::Ordered { target, number, result: OrderResult::Taken })
             }
             OrderAction::Drain { .. } | OrderAction::Propose { .. } => None,
         }
--- a/tests/rolling_weights.rs
+++ b/tests/rolling_weights.rs
@@ -98,9 +98,9 @@
                 let until = self.now + LOAD_TIME;
                 self.engines.get_mut(&order.server).expect("the server exists").1 =
                     Some((order.weights, until));
-                let place = (order.server, order.model);
+                let target = (order.server, order.model);
                 let result = OrderResult::Taken;
-                vec![OrderInput::Ordered { place, number: order.number, result }]
+                vec![OrderInput::Ordered { target, number: order.number, result }]
             }
         }
     }
--- a/tests/weight_scheduling.rs
+++ b/tests/weight_scheduling.rs
@@ -140,7 +140,7 @@
             engine.load = Some((version, self.now + LOAD_TIME));
             result = OrderResult::Taken;
         }
-        OrderInput::Ordered { place: (order.server, order.model), number: order.number, result }
+        OrderInput::Ordered { target: (order.server, order.model), number: order.number, result }
     }
 
     fn step(&mut self) {
