--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Assembles the parts of one running daemon.
+//! Assembles the components of one running daemon.
 
 pub mod config_applier;
 pub mod config_dissemination;
--- a/src/daemon/config_applier.rs
+++ b/src/daemon/config_applier.rs
@@ -1,4 +1,4 @@
-//! Applies each new configuration to all parts of a daemon.
+//! Applies each new configuration to all components of a daemon.
 
 use {
     super::{
@@ -13,7 +13,7 @@
     std::{collections::BTreeMap, net::SocketAddr, sync::Arc},
 };
 
-/// Applies configurations to the parts of one daemon.
+/// Applies configurations to the components of one daemon.
 pub struct ConfigApplier {
     /// The request pipeline.
     pub core: Arc<PipelineCore>,
--- a/src/daemon/config_dissemination.rs
+++ b/src/daemon/config_dissemination.rs
@@ -35,11 +35,11 @@
     },
 };
 
-/// Inputs that wait for the task. Notices that find the queue full are dropped; the next round
+/// The length of the input queue of the task. Notices that find it full are dropped; the next round
 /// repeats them.
 const QUEUE_LENGTH: usize = 256;
-/// Time limit of a fetch, which may transfer a whole configuration over a slow link. A fetch that
-/// exceeds it is repeated at another peer.
+/// Time limit of a fetch, which may transfer a complete configuration over a slow link. A fetch
+/// that exceeds it is repeated at another peer.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Settings of the dissemination at one daemon.
@@ -82,12 +82,12 @@
         let now = Instant::now().into_std();
         let mut core = DisseminationCore::new(now, kind, settings.view, settings.seed);
         let (in_force, config) = watch::channel(Arc::default());
-        if let Some(kept) = cache.as_ref().and_then(CacheFile::load) {
-            let kept = Arc::new(kept);
+        if let Some(cached) = cache.as_ref().and_then(CacheFile::load) {
+            let cached = Arc::new(cached);
             // The actions are dropped, since the network is not up; peers are notified in the first
             // round.
-            let _ = core.handle(now, DisseminationInput::Committed(kept.clone()));
-            in_force.send_replace(kept);
+            let _ = core.handle(now, DisseminationInput::Committed(cached.clone()));
+            in_force.send_replace(cached);
         }
         let published = Arc::new(Mutex::new(core.history().clone()));
         let (inputs, queue) = mpsc::channel(QUEUE_LENGTH);
@@ -168,8 +168,8 @@
     /// that restart rely on finding here what they had in force before.
     async fn activate(&self, config: Arc<ActiveConfig>) {
         if let Some(cache) = self.cache.clone() {
-            let kept = config.clone();
-            let stored = task::spawn_blocking(move || cache.store(&kept)).await;
+            let stored_config = config.clone();
+            let stored = task::spawn_blocking(move || cache.store(&stored_config)).await;
             if let Ok(Err(error)) = stored {
                 log::error!(
                     "cannot store the configuration: {error}; free space on the disk of the data folder"
--- a/src/daemon/config_dissemination/cache_file.rs
+++ b/src/daemon/config_dissemination/cache_file.rs
@@ -29,12 +29,12 @@
 
     /// The stored configuration; `None` if the file is missing or damaged. The digest in the first
     /// line detects corruption that leaves the JSON valid, such as a changed byte inside a name, so
-    /// that a daemon never serves by a rule that no operator wrote.
+    /// that a daemon never applies a rule that no operator wrote.
     pub fn load(&self) -> Option<ActiveConfig> {
         let path = self.folder.join(FILE_NAME);
         let text = fs::read_to_string(&path).ok()?;
-        let kept = text.split_once('\n').filter(|(digest, body)| *digest == digest_of(body));
-        let config = kept.and_then(|(_, body)| serde_json::from_str(body).ok());
+        let verified = text.split_once('\n').filter(|(digest, body)| *digest == digest_of(body));
+        let config = verified.and_then(|(_, body)| serde_json::from_str(body).ok());
         if config.is_none() {
             log::warn!(
                 "{} is damaged and ignored; the next configuration replaces it",
--- a/src/daemon/config_dissemination/dissemination_core.rs
+++ b/src/daemon/config_dissemination/dissemination_core.rs
@@ -15,17 +15,18 @@
     },
 };
 
-/// Domain peers that each daemon notifies when it activates a new revision. Three each reach about
-/// 95% of 54 daemons; the periodic rounds reach the rest.
+/// The number of domain peers that each daemon notifies when it activates a new revision. With
+/// three, the notices reach about 95% of 54 daemons; the periodic rounds reach the rest.
 pub const FAN_OUT: usize = 3;
 /// The mean time between two rounds, each with one random peer. It allows six rounds within the
 /// 13 s in which a change must reach every daemon, for those that the fan-out missed.
 const ROUND_INTERVAL: Duration = Duration::from_secs(2);
 /// A daemon without a disk contacts a peer outside its failure domain in one round of this many.
 const REMOTE_ROUND_DIVISOR: u32 = 8;
-/// The same for a daemon with a disk, which imports new revisions into its domain.
+/// A daemon with a disk contacts a peer outside its failure domain in one round of this many. It
+/// does so more often, since it imports new revisions into its domain.
 const REMOTE_ROUND_DIVISOR_DURABLE: u32 = 2;
-/// Domain peers that a daemon without a configuration contacts at a time.
+/// The number of domain peers that a daemon without a configuration contacts in each round.
 const COLD_START_PEERS: usize = 8;
 /// Upper bound of the random delay before the first round, for each peer in the domain. It spreads
 /// the requests of a domain whose daemons all restart together over about a second, which avoids a
@@ -37,7 +38,7 @@
 /// How long a revision offered from outside the domain is held back until the domain's durable
 /// daemon offers it as well.
 const DURABLE_PEER_WAIT: Duration = Duration::from_secs(3);
-/// Offers remembered; beyond this the one with the lowest revision is dropped.
+/// The maximum number of stored offers; beyond it the one with the lowest revision is dropped.
 const MAX_OFFERS: usize = 64;
 
 /// Whether a daemon keeps its configuration across a restart.
@@ -56,7 +57,8 @@
     pub domain: Vec<VmId>,
     /// Daemons of the same failure domain that have a disk.
     pub durable_peers: Vec<VmId>,
-    /// Daemons outside the failure domain: replicas and those that the settings name.
+    /// Daemons outside the failure domain; before the first register, all peers that the settings
+    /// name.
     pub others: Vec<VmId>,
 }
 
@@ -298,8 +300,8 @@
 
     /// Whether a daemon may fetch a configuration from `vm` now.
     ///
-    /// A daemon without a disk loses its configuration when it restarts. If it adopted a revision
-    /// from outside that nothing in its domain stores, and the domain were then cut off, it would
+    /// A daemon without a disk loses its configuration when it restarts. If it activated a revision
+    /// from outside that no daemon of its domain stores, and the domain were then cut off, it would
     /// restart with an older one: callers would see an accepted change reverted. So it fetches from
     /// its own domain, where the durable daemon is first, and from outside only if that daemon has
     /// not offered the revision within [`DURABLE_PEER_WAIT`]. After a restart it waits for an
--- a/src/daemon/config_dissemination/history.rs
+++ b/src/daemon/config_dissemination/history.rs
@@ -12,10 +12,11 @@
     },
 };
 
-/// Changes kept: about an hour of them at 2,100 a day. A peer that lacks more fetches the whole
-/// configuration.
+/// The maximum number of stored changes: about an hour of them at 2,100 a day. A peer that lacks
+/// more fetches the complete configuration.
 const MAX_CHANGES: usize = 96;
-/// Records kept in all changes together: about half a megabyte of organisations.
+/// The maximum number of records in all stored changes together: about half a megabyte of
+/// organisations.
 const MAX_RECORDS: usize = 4_096;
 
 /// The configuration in force and its latest changes. Only a higher revision replaces it.
@@ -28,7 +29,7 @@
     /// The number of records in all changes; at most [`MAX_RECORDS`].
     records: usize,
     /// `current` as JSON, encoded on first use.
-    whole: Arc<OnceLock<String>>,
+    current_json: Arc<OnceLock<String>>,
 }
 
 impl ConfigHistory {
@@ -40,9 +41,9 @@
     /// Replaces the configuration in force if `config` has a higher revision; returns whether it
     /// did.
     ///
-    /// A peer may be behind, and replies may arrive out of order. Activating whatever arrives last
-    /// would revert a change that an operator has seen accepted. Comparing revisions suffices,
-    /// since the replicated log assigns one to each accepted change.
+    /// A peer may be behind, and replies may arrive out of order. Activating the last one that
+    /// arrives would revert a change that an operator has seen accepted. Comparing revisions
+    /// suffices, since the replicated log assigns one to each accepted change.
     #[must_use]
     pub fn advance(&mut self, config: Arc<ActiveConfig>) -> bool {
         if config.revision <= self.current.revision {
@@ -56,11 +57,11 @@
             }
         }
         self.current = config;
-        self.whole = Arc::default();
+        self.current_json = Arc::default();
         true
     }
 
-    /// What a peer at revision `have` lacks: nothing, the changes since, or the whole
+    /// What a peer at revision `have` lacks: nothing, the changes since, or the complete
     /// configuration.
     pub fn answer(&self, have: Revision) -> PeerReply {
         if have >= self.current.revision {
@@ -75,7 +76,9 @@
         if !missing.is_empty() {
             return PeerReply::ConfigChanges(missing);
         }
-        PeerReply::Config(Some(self.whole.get_or_init(|| encode_json(&self.current)).clone()))
+        PeerReply::Config(Some(
+            self.current_json.get_or_init(|| encode_json(&self.current)).clone(),
+        ))
     }
 
     /// The configuration that results from a peer's reply; `None` if the reply contains nothing
--- a/src/daemon/control_driver.rs
+++ b/src/daemon/control_driver.rs
@@ -168,14 +168,14 @@
 }
 
 fn open_replica(settings: &DriverSettings, saved: SavedState) -> Result<Replica, DriverError> {
-    let place = ReplicaSettings {
+    let replica_settings = ReplicaSettings {
         vm: settings.vm.clone(),
         founders: settings.founders.iter().cloned().collect(),
         seed: settings.seed,
         timing: settings.timing,
         limits: settings.limits,
     };
-    Replica::new(place, saved, Instant::now())
+    Replica::new(replica_settings, saved, Instant::now())
         .map_err(|error| storage_error(settings, &error.to_string()))
 }
 
--- a/src/daemon/control_driver/runner.rs
+++ b/src/daemon/control_driver/runner.rs
@@ -52,12 +52,12 @@
     /// The unused part of [`BATCH_BYTES`].
     free_bytes: Arc<Semaphore>,
     generation: ReplicaGeneration,
-    /// Replies that are awaited. Bounded by the replica's limit on proposals: it completes each
-    /// proposal, immediately when the limit is reached.
+    /// The replies to proposals in progress. Bounded by the replica's limit on proposals: it
+    /// completes each proposal, immediately when the limit is reached.
     waiting: BTreeMap<ProposalId, ProposalReply>,
     next_proposal: ProposalId,
     senders: StatusSenders,
-    /// VMs that the settings name; each generation of the replica is given them.
+    /// VMs that the settings name; they are passed to each generation of the replica.
     configured_peers: BTreeSet<VmId>,
     /// The last index that an earlier generation had applied. Until this generation has applied it,
     /// its state is older than the published one and is not published.
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Gives a new generation of the replica the VMs that the settings name.
+    /// Passes the VMs that the settings name to a new generation of the replica.
     async fn send_configured_peers(&mut self) -> Result<(), WriterClosed> {
         let input = ReplicaInput::ConfiguredPeers { peers: self.configured_peers.clone() };
         self.process(input).await
@@ -223,9 +223,9 @@
         if **senders.weights.borrow() != *state.orders().desired() {
             senders.weights.send_replace(Arc::new(state.orders().desired().clone()));
         }
-        let strikes = state.suspects().crashes();
-        if **senders.suspects.borrow() != strikes {
-            senders.suspects.send_replace(Arc::new(strikes));
+        let crashes = state.suspects().crashes();
+        if **senders.suspects.borrow() != crashes {
+            senders.suspects.send_replace(Arc::new(crashes));
         }
     }
 
--- a/src/daemon/control_driver/writer.rs
+++ b/src/daemon/control_driver/writer.rs
@@ -89,8 +89,8 @@
     /// Retries until the folder can be opened; `None` if the task has ended.
     ///
     /// Queued batches belong to the generation that ended and are dropped immediately. Otherwise a
-    /// task that waits for space in the queue would learn of the failure only when the disk works
-    /// again, and would until then report that it leads.
+    /// task that waits for space in the queue would receive the failure only when the disk works
+    /// again, and would report itself as the leader until then.
     fn reopen(
         &mut self,
         queue: &mut mpsc::Receiver<GenerationBatch>,
--- a/src/daemon/dispatch_tasks.rs
+++ b/src/daemon/dispatch_tasks.rs
@@ -14,18 +14,18 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// The length of the queue of duties; the dispatcher repeats those that are dropped.
+/// The length of the queue of dispatch tasks; the dispatcher repeats those that are dropped.
 pub const TASK_QUEUE_LENGTH: usize = 4096;
-/// Cancel calls and probes in progress at a time; further ones wait in the queue.
+/// The maximum number of concurrent cancel calls and probes; further ones wait in the queue.
 const MAX_RUNNING_TASKS: usize = 256;
 
-/// Attempts of one cancel call; each takes a second at most.
+/// The maximum number of attempts of one cancel call; each takes at most a second.
 const MAX_CANCEL_ATTEMPTS: u32 = 3;
-/// Daemons of each other failure domain that receive this daemon's digests. It covers all daemons
-/// of a domain of three, and bounds the messages at the design size to about a dozen.
+/// The number of daemons of each other failure domain that receive this daemon's digests. Three
+/// cover all daemons of a small domain, and bound the messages at the design size to about a dozen.
 const REMOTE_DIGEST_PEERS: usize = 3;
 
-/// Performs duties until the dispatcher's port is closed.
+/// Performs dispatch tasks until the dispatcher closes the queue.
 pub async fn run_dispatch_tasks(
     core: Arc<PipelineCore>,
     network: PeerNetwork,
--- a/src/daemon/lifecycle.rs
+++ b/src/daemon/lifecycle.rs
@@ -119,7 +119,7 @@
         Daemon { options, state: Starting }
     }
 
-    /// Starts all parts. It needs no quorum and waits for no other daemon: it serves with the
+    /// Starts all components. It needs no quorum and waits for no other daemon: it serves with the
     /// highest committed configuration that it finds, as soon as it finds one.
     ///
     /// # Errors
@@ -131,9 +131,9 @@
         tasks.spawn(measures::upkeep(metrics.clone()));
         let connected = connect_components(&options, &mut tasks)?;
         let ConnectedComponents { components, network, .. } = &connected;
-        let gate = CallerApi { core: Arc::clone(&components.core), limits: options.limits.clone() };
+        let api = CallerApi { core: Arc::clone(&components.core), limits: options.limits.clone() };
         let callers = match options.identity.role {
-            DaemonRole::Entry => caller_router(gate),
+            DaemonRole::Entry => caller_router(api),
             DaemonRole::Control => health_router(),
         };
         let operators = operator::router(operator_state(&options, &connected, metrics));
@@ -154,7 +154,7 @@
     }
 }
 
-/// The parts of a daemon, connected and running, before its HTTP ports are open.
+/// The components of a daemon, connected and running, before its HTTP ports are open.
 struct ConnectedComponents {
     components: DaemonComponents,
     network: PeerNetwork,
@@ -190,7 +190,7 @@
 }
 
 impl ConnectedComponents {
-    /// Starts the tasks that need only shared parts.
+    /// Starts the tasks that need only shared components.
     fn spawn_tasks(&self, options: &DaemonOptions, tasks: &mut JoinSet<()>) {
         let ConnectedComponents { components, network, server_table } = self;
         let applier = ConfigApplier {
@@ -216,8 +216,8 @@
         }
         tasks.spawn(announce_incarnation(Arc::clone(&components.core)));
         tasks.spawn(report_attempt_floor(Arc::clone(&components.core)));
-        let port = Arc::clone(&components.core.dispatcher);
-        tasks.spawn(async move { port.run_wakeups().await });
+        let dispatcher = Arc::clone(&components.core.dispatcher);
+        tasks.spawn(async move { dispatcher.run_wakeups().await });
     }
 }
 
@@ -371,7 +371,9 @@
 }
 
 fn random_seed() -> u64 {
-    OsRng.try_next_u64().expect("the kernel's random numbers are always there on supported systems")
+    OsRng
+        .try_next_u64()
+        .expect("the kernel's random number generator is available on supported systems")
 }
 
 fn start_dissemination(options: &DaemonOptions) -> (ConfigDissemination, DisseminationTask) {
--- a/src/daemon/peer_service.rs
+++ b/src/daemon/peer_service.rs
@@ -16,14 +16,14 @@
     std::sync::{Arc, OnceLock},
 };
 
-/// Handles what peers send. The parts of a daemon start one after the other; until all are running,
-/// messages are dropped and requests are refused with a hint to retry.
+/// Handles messages and requests of peers. The components of a daemon start one after the other;
+/// until all are running, messages are dropped and requests are refused with a hint to retry.
 #[derive(Default)]
 pub struct PeerService {
     components: OnceLock<DaemonComponents>,
 }
 
-/// The parts of a daemon that requests of peers and operators need.
+/// The components of a daemon that requests of peers and operators need.
 #[derive(Clone)]
 pub struct DaemonComponents {
     /// The request pipeline.
@@ -41,7 +41,7 @@
 }
 
 impl PeerService {
-    /// Starts to serve with `parts`; a second call has no effect.
+    /// Starts to serve with `components`; a second call has no effect.
     pub fn open(&self, components: DaemonComponents) {
         if self.components.set(components).is_err() {
             log::error!("the peer service was opened twice");
--- a/src/daemon/remote_proposer.rs
+++ b/src/daemon/remote_proposer.rs
@@ -22,13 +22,16 @@
 
 /// How long a replica may take to commit and reply; after this the outcome is unknown.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// The same for a claim. It is shorter, since a claim is small and is proposed again under the same
-/// number: a killed leader does not answer, and the caller of a non-repeatable call must not wait
-/// until the connection to that leader times out.
+/// How long a replica may take to commit a claim and reply. This is shorter than [`CALL_TIMEOUT`],
+/// since a claim is small and is proposed again under the same number: a killed leader does not
+/// answer, and the caller of a non-repeatable call must not wait until the connection to that
+/// leader times out.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// The same for a command that a replica forwards. It is shorter, so that the reply of the
-/// forwarding replica still arrives in time.
+/// How long the leader may take for a command that a replica forwards. This is shorter than
+/// [`CALL_TIMEOUT`], so that the reply of the forwarding replica still arrives in time.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long the leader may take for a claim that a replica forwards. This is shorter than
+/// [`CLAIM_TIMEOUT`], so that the reply of the forwarding replica still arrives in time.
 const CLAIM_FORWARD_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long a proposal waits for a leader while replicas answer but know none: the time of one
 /// election with a split vote. A longer wait would only delay the refusal in a domain that is cut
@@ -114,16 +117,16 @@
 }
 
 impl RemoteProposer {
-    /// A proposer of the daemon on `vm`; it asks `voters` until it learns of others.
+    /// A proposer of the daemon on `vm`; it asks `voters` until others are known.
     pub fn new(
         vm: VmId,
         calls: Arc<dyn ReplicaCalls>,
         local: Option<Arc<dyn ReplicaPort>>,
         voters: impl IntoIterator<Item = VmId>,
     ) -> Self {
-        let port = Self { vm, calls, local, view: Mutex::default() };
-        port.set_voters(voters);
-        port
+        let proposer = Self { vm, calls, local, view: Mutex::default() };
+        proposer.set_voters(voters);
+        proposer
     }
 
     /// Replaces the voters to ask. An empty list is ignored, since with it no replica could be
@@ -208,8 +211,8 @@
     }
 
     /// Proposes at one peer. Unless it is certain that the command did not enter the log there, no
-    /// other peer may be asked: the command could be proposed twice, and a caller that is told that
-    /// it did not enter the log might run a call whose claim is committed meanwhile.
+    /// other peer may be asked: the command could be proposed twice, and a caller that received a
+    /// refusal might run a call whose claim is committed meanwhile.
     async fn ask_peer(&self, peer: &VmId, command: Command, forwarding: Forwarding) -> PeerOutcome {
         let may_forward = matches!(forwarding, Forwarding::Allowed);
         let limit = call_timeout(&command, &forwarding);
--- a/src/daemon/server_monitor.rs
+++ b/src/daemon/server_monitor.rs
@@ -63,7 +63,7 @@
         let _ = self.inputs.send(MonitorInput::Configure(monitor_plan(vm, config))).await;
     }
 
-    /// Handles the findings in the digest of a daemon of the same domain.
+    /// Handles the findings in a digest; those of daemons of other domains are ignored.
     pub fn handle_digest(&self, digest: &DomainDigest) {
         let findings = digest.findings.clone();
         let _ =
--- a/src/daemon/server_monitor/monitor_core.rs
+++ b/src/daemon/server_monitor/monitor_core.rs
@@ -2,8 +2,8 @@
 //!
 //! Load pattern: 870 servers and 380 daemons. If each daemon probed each server twice a second, a
 //! server would answer 760 probes a second. Instead three daemons of its own failure domain and one
-//! to three daemons of each other domain probe it, and the other daemons learn the result from the
-//! digests within their domain.
+//! to three daemons of each other domain probe it, and the other daemons receive the result in the
+//! digests of their domain.
 
 use {
     crate::{
@@ -19,13 +19,13 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Daemons that probe a server of their own domain: with one of them down and one late, a third is
-/// left.
+/// The number of daemons that probe a server of their own domain. If one of them is down and
+/// another is delayed, the third still reports.
 pub const LOCAL_MONITORS: usize = 3;
-/// Servers of other domains that a daemon probes on average. Small sites thereby get as many
-/// monitors for a remote server as for a local one. At the design size, with 746 remote servers and
-/// 54 daemons, it yields one monitor each, which suffices: requests rarely cross domains, and a
-/// failed attempt gives the same information.
+/// The number of servers of other domains that a daemon probes on average. In a small deployment a
+/// remote server thereby gets as many monitors as a local one. At the design size, with 746 remote
+/// servers and 54 daemons, it yields one monitor each, which suffices: requests rarely cross
+/// domains, and a failed attempt gives the same information.
 const REMOTE_SHARE: usize = 16;
 /// The interval between the starts of two probes of a server of the own domain.
 pub const LOCAL_INTERVAL: Duration = Duration::from_millis(500);
@@ -36,11 +36,11 @@
 /// Consecutive failures after which a server of the own domain counts as dead. Three probes and one
 /// interval take 2 s, which leaves one second for the digest until the limit of three seconds.
 const LOCAL_FAILURES: u32 = 3;
-/// The same for a server of another domain.
+/// Consecutive failures after which a server of another domain counts as dead.
 const REMOTE_FAILURES: u32 = 2;
 /// How long a digest is valid. Each daemon sends one a second, so up to three may be lost.
 const DIGEST_VALIDITY: Duration = Duration::from_secs(3);
-/// How long digests contain a server that has recovered or has a new incarnation.
+/// How long digests include a server that has recovered or has a new incarnation.
 const RECOVERY_REPORT_TIME: Duration = Duration::from_secs(10);
 /// The maximum number of findings in one digest; the unhealthy servers come first.
 const MAX_FINDINGS: usize = 64;
--- a/src/daemon/status_service.rs
+++ b/src/daemon/status_service.rs
@@ -33,7 +33,7 @@
     pub identity: IdentityOptions,
     /// The time at which the daemon started.
     pub started: Instant,
-    /// The parts that the answers are taken from.
+    /// The components whose state is reported.
     pub components: DaemonComponents,
     /// The last known state of each backend server.
     pub server_table: Arc<ServerTable>,
--- a/src/daemon/weight_orders/order_core.rs
+++ b/src/daemon/weight_orders/order_core.rs
@@ -29,9 +29,9 @@
 /// The interval between two probes of servers that have the desired weights, for each server: it
 /// limits the leader to about 30 such probes a second.
 const IDLE_PROBE_SPACING: Duration = Duration::from_millis(35);
-/// Probes in progress at a time.
+/// The maximum number of concurrent probes.
 const MAX_PROBES: usize = 32;
-/// Proposals in progress at a time.
+/// The maximum number of concurrent proposals.
 const MAX_PROPOSALS: usize = 16;
 /// The minimum interval between two decisions, each of which iterates over all servers.
 const DECISION_INTERVAL: Duration = Duration::from_millis(10);
@@ -169,7 +169,7 @@
         changes.min()
     }
 
-    /// The servers that still lack the wanted version, by model of the plan.
+    /// The servers that still lack the planned version, by model of the plan.
     pub fn pending(&self) -> BTreeMap<ModelId, PendingServers> {
         let pending = self.plan.weights.iter().map(|(model, weights)| {
             let servers = self.plan.servers.iter().filter(|(_, models)| models.contains(model));
@@ -229,7 +229,7 @@
         state.alive = report.as_ref().is_some_and(|report| !report.leaving);
         if let Some(report) = report {
             // A load ends when the server reports the ordered version, which allows another server
-            // to load. If a later version is wanted by then, the server is queued like all others.
+            // to load. If a later version is planned by then, the server is queued like all others.
             let before = state.pending.len();
             state.pending.retain(|model, order| report.weights.get(model) != Some(&order.weights));
             if state.pending.len() < before {
@@ -264,8 +264,8 @@
         self.desired.get(model).is_some_and(|(known, _)| known == version)
     }
 
-    /// Proposes the wanted versions to the replicated state, which assigns a fencing number to each
-    /// change.
+    /// Proposes the planned versions to the replicated state, which assigns a fencing number to
+    /// each change.
     fn propose(&mut self, actions: &mut Vec<OrderAction>) {
         for (model, version) in &self.plan.weights {
             if self.is_recorded(model, version) || self.proposing.contains(model) {
--- a/src/daemon/weight_orders/order_types.rs
+++ b/src/daemon/weight_orders/order_types.rs
@@ -30,7 +30,8 @@
 }
 
 impl Default for OrderTiming {
-    /// A load takes 0.6 s, several times as long beside other loads, and reports lag.
+    /// A load takes 0.6 s, or several times as long while other servers load, and load reports are
+    /// delayed.
     fn default() -> Self {
         OrderTiming {
             load_limit: Duration::from_secs(10),
@@ -50,7 +51,7 @@
 pub struct OrderPlan {
     /// The maximum number of concurrent loads.
     pub limit: u32,
-    /// The wanted version of each model.
+    /// The version of each model that servers have to load.
     pub weights: BTreeMap<ModelId, WeightsVersion>,
     /// The models that each server may run; each of them has a version.
     pub servers: BTreeMap<ServerId, BTreeSet<ModelId>>,
@@ -64,20 +65,20 @@
 pub struct OrderReason {
     /// The version that the server reported last.
     pub observed: Option<WeightsVersion>,
-    /// How long the ordered version has been wanted at this replica.
+    /// How long the plan of this replica has contained the ordered version.
     pub planned_for: Duration,
-    /// Earlier orders of this version to the server in this term.
+    /// The number of earlier orders of this version to the server in this term.
     pub earlier_orders: u32,
 }
 
-/// The number of servers that lack the wanted version of a model.
+/// The number of servers that lack the planned version of a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingServers {
-    /// The wanted version.
+    /// The planned version.
     pub weights: WeightsVersion,
-    /// The time since which it has been wanted at this replica.
+    /// The time since which the plan of this replica contains it.
     pub since: Instant,
-    /// Servers that report another version, or that have not been probed yet.
+    /// The number of servers that report another version or have not been probed yet.
     pub servers: usize,
 }
 
