--- a/src/follow.rs
+++ b/src/follow.rs
@@ -30,7 +30,7 @@
 /// The role of a follower.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowerKind {
-    /// An entry, which needs the whole state.
+    /// An entry, which needs the complete state.
     #[default]
     Entry,
     /// Another control VM, which needs only the server list: its replica provides the rest.
@@ -70,7 +70,7 @@
     pub follower: FollowerKind,
     /// The requested kind of answer.
     pub mode: AnswerMode,
-    /// Whether it needs the whole document, because a delta could not be applied.
+    /// Whether it needs the full document, because a delta could not be applied.
     #[serde(rename = "whole")]
     pub needs_full: bool,
 }
@@ -78,13 +78,13 @@
 /// The changes for a follower; `None` where it is up to date.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FollowReply {
-    /// The whole document, if there is a newer one and no delta from the follower's.
+    /// The full document, if there is a newer one and no delta from the follower's.
     pub document: Option<NumberedDocument>,
     /// The delta from the follower's document, if that is known here and the delta is small.
     pub document_delta: Option<DocumentDelta>,
     /// All named weights, if they differ.
     pub weights: Option<NamedWeights>,
-    /// The whole server list, if it differs and the follower's is not known here.
+    /// The full server list, if it differs and the follower's is not known here.
     pub fleet: Option<FleetSnapshot>,
     /// The delta from the follower's server list, if that is known here.
     pub fleet_delta: Option<FleetDelta>,
@@ -123,7 +123,7 @@
     pub entries: u32,
     /// The latest term in which a leader was known; it increases with each new leader.
     pub term: Term,
-    /// Whether a delta could not be applied, so that the next document must be whole.
+    /// Whether a delta could not be applied, so that the next document must be sent in full.
     pub needs_full: bool,
 }
 
@@ -175,7 +175,7 @@
             Ok(document) => self.document = document,
             Err(error) => {
                 log::warn!(document = self.document.number, error:% = error;
-                    "cannot apply a document delta; requesting the whole document");
+                    "cannot apply a document delta; requesting the full document");
                 self.needs_full = true;
             }
         }
--- a/src/follow/document_delta.rs
+++ b/src/follow/document_delta.rs
@@ -1,8 +1,8 @@
 //! Deltas between documents, for followers that have an earlier one.
 //!
 //! Load pattern: operators change a few routes of a long document several times a minute, and
-//! hundreds of daemons follow it. Sending the whole document to each of them takes so much
-//! processor time on a control VM that the leader's heartbeats are delayed.
+//! hundreds of daemons follow it. Sending the full document to each of them takes so much processor
+//! time on a control VM that the leader's heartbeats are delayed.
 
 use {
     crate::{
@@ -22,12 +22,12 @@
 /// The minimum, average and maximum length in bytes of the chunks that documents are compared by. A
 /// route takes some hundred bytes.
 const CHUNK_LENGTHS: (usize, usize, usize) = (64, 256, 1_024);
-/// No delta is created if more than one part in this many of the document is new: the whole
+/// No delta is created if more than one in this many bytes of the document is new: the full
 /// document is stored once for all followers, a delta separately for each base.
 const MAX_NEW_DIVISOR: usize = 8;
-/// The maximum number of documents kept besides the present one.
+/// The maximum number of stored documents in addition to the present one.
 const KEPT_DOCUMENTS: usize = 16;
-/// The maximum total length in bytes of the documents kept besides the present one.
+/// The maximum total length in bytes of the stored documents in addition to the present one.
 const KEPT_BYTES: usize = 8 << 20;
 
 /// A part of a document in a delta.
@@ -60,14 +60,14 @@
 /// Why a delta was not applied.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum DeltaError {
-    /// the delta applies to document {base}, not to {held}; request the whole document
+    /// the delta applies to document {base}, not to {held}; request the full document
     OtherBase {
         /// The base of the delta.
         base: DocumentNumber,
         /// The number of the follower's document.
         held: DocumentNumber,
     },
-    /// the delta does not fit the body of the base document; request the whole document
+    /// the delta does not fit the body of the base document; request the full document
     OtherBody,
 }
 
@@ -160,7 +160,7 @@
 pub enum DocumentChange {
     /// The delta from the follower's document.
     Delta(Arc<DocumentDelta>),
-    /// The whole document: the follower has none, or an unknown one, or the delta would be too
+    /// The full document: the follower has none, or an unknown one, or the delta would be too
     /// large.
     Full(NumberedDocument),
 }
@@ -168,8 +168,8 @@
 /// The latest documents and the deltas to the present one.
 #[derive(Debug, Default)]
 pub struct DocumentHistory {
-    /// From the oldest to the present one; besides that at most [`KEPT_DOCUMENTS`] with at most
-    /// [`KEPT_BYTES`].
+    /// From the oldest to the present one; in addition to the present one at most
+    /// [`KEPT_DOCUMENTS`] with at most [`KEPT_BYTES`].
     documents: VecDeque<NumberedDocument>,
     /// Deltas to the present document by the number of their base; `None` where the delta would be
     /// too large. At most one for each document.
@@ -205,10 +205,10 @@
             let bytes: usize = documents.iter().map(|document| document.body.len()).sum();
             (documents.len() - 1, bytes - present.body.len())
         };
-        let mut kept = former_size(&self.documents);
-        while kept.0 > KEPT_DOCUMENTS || kept.1 > KEPT_BYTES {
+        let mut former = former_size(&self.documents);
+        while former.0 > KEPT_DOCUMENTS || former.1 > KEPT_BYTES {
             self.documents.pop_front();
-            kept = former_size(&self.documents);
+            former = former_size(&self.documents);
         }
     }
 }
--- a/src/follow/service.rs
+++ b/src/follow/service.rs
@@ -43,7 +43,7 @@
     replica: std::sync::OnceLock<ControlHandle>,
     /// The documents that followers may have.
     documents: Mutex<DocumentHistory>,
-    /// The time of each follower's last request and the number of entries that it stands for; at
+    /// The time of each follower's last request and the number of entries that it represents; at
     /// most [`MAX_FOLLOWERS`].
     followers: Mutex<BTreeMap<VmId, (Instant, u32)>>,
     /// The total number of entries that the leader last reported.
--- a/src/follow/task.rs
+++ b/src/follow/task.rs
@@ -41,7 +41,7 @@
 
     /// Called after each answer of the VM that is followed, with or without changes; `state`
     /// includes it. Answers to suitability requests are not reported, since they do not contain the
-    /// whole state.
+    /// complete state.
     fn reply_received(&self, reply: &FollowReply, state: &SharedState);
 }
 
@@ -203,8 +203,8 @@
         let reply = self.network.call(peer, PeerRequest::Follow(Box::new(request)), limit).await;
         match reply {
             Ok(PeerReply::Followed(reply)) => {
-                let learned = FollowReply::clone(&reply);
-                self.state.send_if_modified(|state| state.apply(learned));
+                let applied = FollowReply::clone(&reply);
+                self.state.send_if_modified(|state| state.apply(applied));
                 if mode == AnswerMode::Wait {
                     self.port.reply_received(&reply, &self.state.borrow());
                 }
--- a/src/http_api/caller.rs
+++ b/src/http_api/caller.rs
@@ -43,7 +43,8 @@
 const KEY_HEADER: &str = "idempotency-key";
 /// Longest accepted idempotency key, in bytes. The ledger stores keys, so their size is bounded.
 const MAX_KEY_BYTES: usize = 256;
-/// Advised delay while this daemon drains; it is short because the balancer has other daemons.
+/// The `Retry-After` delay while this daemon drains. It is short, since the load balancer can use
+/// other daemons.
 const DRAIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Caller headers that are forwarded to plain services.
 const FORWARDED_HEADERS: [&str; 4] = ["accept", "accept-language", "content-type", KEY_HEADER];
@@ -118,16 +119,16 @@
 async fn models(api: CallerApi, request: Request) -> Response {
     let id = api.core.next_request_id();
     let serving = api.core.serving();
-    let requested_terms = requested_terms(request.headers());
-    match resolve_caller(&serving, requested_terms, Instant::now()) {
+    let caller_headers = caller_headers(request.headers());
+    match resolve_caller(&serving, caller_headers, Instant::now()) {
         Err(refusal) => refusal_response(&refusal, &id),
-        Ok(terms) => {
+        Ok(caller) => {
             let allowed = serving
                 .config
                 .register
                 .models
                 .iter()
-                .filter(|model| is_model_allowed(&serving, &terms, &model.id));
+                .filter(|model| is_model_allowed(&serving, &caller, &model.id));
             let data: Vec<_> = allowed
                 .map(|model| json!({ "id": model.id, "object": "model", "owned_by": "oleandermount" }))
                 .collect();
@@ -138,13 +139,13 @@
 
 fn is_model_allowed(
     serving: &crate::pipeline::ServingConfig,
-    terms: &CallerContext,
+    caller: &CallerContext,
     model: &str,
 ) -> bool {
-    serving.rules.get(&terms.organisation).is_some_and(|rule| rule.allows_model(model))
+    serving.rules.get(&caller.organisation).is_some_and(|rule| rule.allows_model(model))
 }
 
-fn requested_terms(headers: &HeaderMap) -> CallerHeaders<'_> {
+fn caller_headers(headers: &HeaderMap) -> CallerHeaders<'_> {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     CallerHeaders {
         authorization: text(header::AUTHORIZATION.as_str()),
@@ -187,22 +188,22 @@
     let arrived = Instant::now();
     check_headers(&api.limits, request.headers())?;
     let serving = api.core.serving();
-    let terms = resolve_caller(&serving, requested_terms(request.headers()), arrived)?;
+    let caller = resolve_caller(&serving, caller_headers(request.headers()), arrived)?;
     let open = open_request(&api.core)?;
     let body = read_body(&api.limits, request).await?;
     let prompt = ParsedPrompt::parse(form, &body)?;
-    check_model(&serving, &terms.organisation, &prompt.model, prompt.adapter.as_deref())?;
-    count_request(terms.class);
+    check_model(&serving, &caller.organisation, &prompt.model, prompt.adapter.as_deref())?;
+    count_request(caller.class);
     let line = format!(
         "{} of {} for {}, {} prompt tokens, {}",
         form.path(),
-        terms.organisation,
+        caller.organisation,
         prompt.model,
         prompt.prompt_tokens,
-        terms.class.as_str()
+        caller.class.as_str()
     );
     api.core.trace.record(id, line);
-    Ok((ModelRequest { request: id.clone(), caller: terms, prompt }, open))
+    Ok((ModelRequest { request: id.clone(), caller, prompt }, open))
 }
 
 fn open_request(core: &PipelineCore) -> Result<OpenRequest, CallerRefusal> {
@@ -319,11 +320,11 @@
     let arrived = Instant::now();
     check_headers(&api.limits, request.headers())?;
     let serving = api.core.serving();
-    let terms = resolve_caller(&serving, requested_terms(request.headers()), arrived)?;
+    let caller = resolve_caller(&serving, caller_headers(request.headers()), arrived)?;
     let service: String = request.param("service").map_err(|_| {
         CallerRefusal::before_run(404, refusal::NOT_FOUND, "the path must be /services/NAME/PATH")
     })?;
-    check_service(&serving, &terms.organisation, &service)?;
+    check_service(&serving, &caller.organisation, &service)?;
     let path = service_path(&request, &service);
     let method = request.method().clone();
     let plain_path = path.split('?').next().unwrap_or_default();
@@ -331,22 +332,22 @@
         true => None,
         false => Some(idempotency_key(request.headers())?),
     };
-    let headers = forwarded_headers(request.headers(), &terms);
+    let headers = forwarded_headers(request.headers(), &caller);
     let open = open_request(&api.core)?;
     let body = read_body(&api.limits, request).await?;
-    count_request(terms.class);
+    count_request(caller.class);
     let kind = if key.is_some() { "once" } else { "repeatable" };
-    api.core.trace.record(id, format!("{method} {service} of {}, {kind}", terms.organisation));
+    api.core.trace.record(id, format!("{method} {service} of {}, {kind}", caller.organisation));
     let outgoing = ServiceRequest { method, path, headers, body };
-    let call = ServiceCall { request: id.clone(), caller: terms, service, outgoing };
+    let call = ServiceCall { request: id.clone(), caller, service, outgoing };
     Ok(AdmittedCall { call, key, open })
 }
 
 /// Path and query relative to the service.
 fn service_path(request: &Request, service: &str) -> String {
-    let whole = request.uri().path_and_query().map_or("/", |path| path.as_str());
+    let full_path = request.uri().path_and_query().map_or("/", |path| path.as_str());
     let start = "/services/".len() + service.len();
-    match whole.get(start..) {
+    match full_path.get(start..) {
         Some(rest) if rest.starts_with('/') => rest.to_owned(),
         _ => "/".to_owned(),
     }
@@ -369,7 +370,7 @@
 }
 
 /// The headers sent to a service: the forwarded ones of the caller, and the caller's organisation.
-fn forwarded_headers(headers: &HeaderMap, terms: &CallerContext) -> HeaderMap {
+fn forwarded_headers(headers: &HeaderMap, caller: &CallerContext) -> HeaderMap {
     let mut forwarded: HeaderMap = FORWARDED_HEADERS
         .iter()
         .filter_map(|name| {
@@ -377,7 +378,7 @@
             Some((header::HeaderName::from_static(name), value.clone()))
         })
         .collect();
-    if let Ok(organisation) = terms.organisation.parse() {
+    if let Ok(organisation) = caller.organisation.parse() {
         forwarded.insert("x-oleandermount-organisation", organisation);
     }
     forwarded
@@ -415,16 +416,16 @@
     open: OpenRequest,
 ) -> Result<crate::backend::ServiceResponse, CallerRefusal> {
     let deadline = call.caller.deadline;
-    let fuse = Arc::new(SendState::default());
-    let task_fuse = Arc::clone(&fuse);
+    let send_state = Arc::new(SendState::default());
+    let task_send_state = Arc::clone(&send_state);
     let running = tokio::spawn(async move {
-        let result = run_once(core, call, key, &task_fuse).await;
+        let result = run_once(core, call, key, &task_send_state).await;
         drop(open);
         result
     });
     match tokio::time::timeout_at(deadline.into(), running).await {
         Ok(Ok(result)) => result,
-        Err(_) if fuse.try_give_up() => Err(deadline_refusal()),
+        Err(_) if send_state.try_give_up() => Err(deadline_refusal()),
         Ok(Err(_)) | Err(_) => {
             let message = "the call did not end within the deadline and may still run; \
                            resend it with the same key";
--- a/src/http_api/completion.rs
+++ b/src/http_api/completion.rs
@@ -54,9 +54,9 @@
     completion
 }
 
-/// Merges `part` into `whole`, the value of the field `name`.
-fn merge(whole: &mut Value, name: &str, part: Value) {
-    match (whole, part) {
+/// Merges `part` into `target`, the value of the field `name`.
+fn merge(target: &mut Value, name: &str, part: Value) {
+    match (target, part) {
         (Value::Object(fields), Value::Object(more)) => {
             more.into_iter().for_each(|(key, value)| match fields.get_mut(&key) {
                 Some(present) => merge(present, &key, value),
@@ -72,7 +72,7 @@
             text.push_str(&more);
         }
         (_, Value::Null) => {}
-        (whole, part) => *whole = part,
+        (target, part) => *target = part,
     }
 }
 
--- a/src/http_api/operator/read.rs
+++ b/src/http_api/operator/read.rs
@@ -13,9 +13,9 @@
     viz::{Request, RequestExt, Response, Result, StatusCode},
 };
 
-/// Rows of organisations when the query sets no limit.
+/// The number of organisations in a response when the query sets no limit.
 const DEFAULT_ROWS: usize = 50;
-/// Most rows of organisations in one response; an installation may have 44,000.
+/// The maximum number of organisations in one response; a deployment may have 44,000.
 const MAX_ROWS: usize = 1000;
 /// Content type of the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
--- a/src/http_api/operator/wire.rs
+++ b/src/http_api/operator/wire.rs
@@ -80,7 +80,8 @@
     pub weights: BTreeMap<String, WeightsVersion>,
     /// Requests in flight from this daemon to the server.
     pub in_flight: u64,
-    /// Most requests that this daemon may have in flight; `None` without a limit.
+    /// The maximum number of requests that this daemon may have in flight to the server; `None`
+    /// without a limit.
     pub window: Option<u64>,
     /// Running requests, from the server's latest report.
     pub running: Option<u64>,
@@ -171,8 +172,8 @@
 impl RevisionReport {
     /// Daemons that have an older revision than the requested one, or did not answer.
     pub fn behind(&self) -> impl Iterator<Item = &VmRevision> {
-        let wanted = self.revision;
-        self.vms.iter().filter(move |vm| vm.revision.is_none_or(|revision| revision < wanted))
+        let requested = self.revision;
+        self.vms.iter().filter(move |vm| vm.revision.is_none_or(|revision| revision < requested))
     }
 }
 
--- a/src/http_api/server.rs
+++ b/src/http_api/server.rs
@@ -21,7 +21,8 @@
     viz::{Responder, Router, Tree},
 };
 
-/// Most open connections of one port; further connections wait in the kernel's accept queue.
+/// The maximum number of open connections of one port; further connections wait in the kernel's
+/// accept queue.
 const MAX_CONNECTIONS: usize = 40_000;
 /// The parser accepts this many times the header limits, so that the pipeline can refuse a request
 /// with a message that names the remedy; beyond it the library answers 431 without a message.
--- a/src/transport/attachment.rs
+++ b/src/transport/attachment.rs
@@ -1,8 +1,9 @@
 //! Sends the body of a document as a separate frame after its reply.
 //!
 //! After a restart, hundreds of daemons fetch the same document of several megabytes from a few
-//! control VMs. If it were encoded into each reply, several copies per reader would stay in memory
-//! until the slowest reader has finished. A separate frame shares one copy among all readers.
+//! control VMs. If it were encoded into each reply, several copies for each daemon would stay in
+//! memory until the slowest daemon has read its reply. A separate frame shares one copy among all
+//! daemons.
 
 use {
     super::{
--- a/src/transport/codec.rs
+++ b/src/transport/codec.rs
@@ -6,10 +6,10 @@
     serde::{Serialize, de::DeserializeOwned},
 };
 
-/// Largest frame in bytes. A complete configuration of several megabytes fits in one frame, and the
-/// limit bounds the memory that a peer can occupy with each stream.
+/// The maximum length of a frame in bytes. A complete configuration of several megabytes fits in
+/// one frame, and the limit bounds the memory that a peer can occupy with each stream.
 pub const MAX_FRAME: usize = 8 << 20;
-/// Bytes of the length in front of each frame.
+/// The number of bytes of the length that precedes each frame.
 pub const HEADER_LENGTH: usize = 4;
 
 /// Why a frame could not be encoded or decoded.
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -13,8 +13,8 @@
     tokio::time::timeout,
 };
 
-/// Most open connections: one from each of 380 daemons, with room for lost connections that have not
-/// timed out yet. Further connections are refused and counted.
+/// The maximum number of open connections: one from each of 380 daemons, with room for lost
+/// connections that have not timed out yet. Further connections are refused and counted.
 const MAX_CONNECTIONS: usize = 1_024;
 /// How long a peer may take to send its name before its connection is closed.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
--- a/src/transport/keys.rs
+++ b/src/transport/keys.rs
@@ -84,7 +84,7 @@
 
 impl std::error::Error for KeyError {}
 
-/// Creates an authority, which signs the certificates of one installation.
+/// Creates an authority, which signs the certificates of one deployment.
 ///
 /// # Errors
 /// [`KeyError::Creation`].
--- a/src/transport/link.rs
+++ b/src/transport/link.rs
@@ -27,11 +27,12 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Most messages and dials that wait for one peer. Further ones are dropped: a message behind a
-/// longer queue would be superseded by the next heartbeat or digest before it is sent.
+/// The maximum number of messages and dials that wait for one peer. Further ones are dropped: a
+/// message behind a longer queue would be superseded by the next heartbeat or digest before it is
+/// sent.
 const QUEUE_LENGTH: usize = 256;
-/// Most bytes of messages that wait for one peer or are in flight to it: the largest frame plus the
-/// short messages.
+/// The maximum number of bytes of messages that wait for one peer or are in flight to it: the
+/// largest frame plus the short messages.
 pub const MAX_LINK_BYTES: usize = MAX_FRAME + (1 << 20);
 /// Timeout of a dial: twenty round trips between regions.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
@@ -130,7 +131,7 @@
         self.queue
             .try_send(LinkCommand::Connect(reply))
             .map_err(|_full| "the queue for this peer is full".to_owned())?;
-        answer.await.unwrap_or_else(|_gone| Err("the peer was removed".to_owned()))
+        answer.await.unwrap_or_else(|_closed| Err("the peer was removed".to_owned()))
     }
 }
 
--- a/src/transport/message.rs
+++ b/src/transport/message.rs
@@ -16,7 +16,8 @@
 pub enum PeerMessage {
     /// A message between control replicas.
     Replica(Box<ReplicaMessage>),
-    /// A digest of the sender's state, exchanged between daemons of one failure domain.
+    /// A digest of the sender's state, sent to the daemons of its failure domain and to a few
+    /// daemons of each other domain.
     Digest(Box<DomainDigest>),
     /// Send a server no new requests until it reports other weights, because it is about to load them.
     DrainServer {
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -28,10 +28,10 @@
 /// A connection that receives nothing for this time is closed. A network partition can remain
 /// undetected by an active connection for the same time.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most concurrent requests from one peer.
+/// The maximum number of concurrent requests from one peer.
 const MAX_OPEN_REQUESTS: u32 = 256;
-/// Most message streams from one peer: one of short messages, a second one while a lost stream has not
-/// been detected yet, and those of long messages.
+/// The maximum number of message streams from one peer: one of short messages, a second one while a
+/// lost stream has not been detected yet, and those of long messages.
 const MAX_MESSAGE_STREAMS: u32 = 8;
 /// Flow-control window of one stream: bytes that a peer may send ahead of the reader.
 const STREAM_WINDOW: u32 = 1 << 20;
--- a/src/transport/unauthenticated.rs
+++ b/src/transport/unauthenticated.rs
@@ -1,9 +1,9 @@
 //! Connections without authentication, for networks in which every host is trusted.
 //!
-//! Some installations do not provide daemons with keys. Each process then creates a self-signed
-//! certificate for its VM's name. The traffic is encrypted and protected against modification, but any
-//! host that reaches the port can claim any name. The mode has to be chosen explicitly, and a daemon
-//! that starts in it logs a warning.
+//! Some deployments do not provide daemons with keys. Each process then creates a self-signed
+//! certificate for its VM's name. The traffic is encrypted and protected against modification, but
+//! any host that reaches the port can claim any name. The mode has to be chosen explicitly, and a
+//! daemon that starts in it logs a warning.
 
 use {
     super::{
@@ -132,7 +132,7 @@
         _certificate: &CertificateDer<'_>,
         _signature: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        Err(Error::General("only TLS 1.3 is spoken between daemons".to_owned()))
+        Err(Error::General("daemons support only TLS 1.3".to_owned()))
     }
 
     fn verify_tls13_signature(
@@ -170,7 +170,7 @@
         _certificate: &CertificateDer<'_>,
         _signature: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        Err(Error::General("only TLS 1.3 is spoken between daemons".to_owned()))
+        Err(Error::General("daemons support only TLS 1.3".to_owned()))
     }
 
     fn verify_tls13_signature(
--- a/tests/config_dissemination.rs
+++ b/tests/config_dissemination.rs
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn changes_yield_the_whole_configuration() {
+fn changes_yield_complete_configuration() {
     let record = |id: &str, key: &str| OrganisationRecord {
         id: id.to_owned(),
         key_digests: vec![key.to_owned()],
@@ -262,9 +262,9 @@
     swapped.register.failure_domains.push(DomainRecord { id: "d".into(), region: String::new() });
     assert_eq!(ConfigDelta::between(&latest, &swapped), None);
     assert!(history.advance(Arc::new(swapped.clone())));
-    let whole = history.answer(3);
-    assert!(matches!(whole, PeerReply::Config(Some(_))));
-    assert_eq!(peer.config_from_reply(whole), Some(swapped));
+    let complete = history.answer(3);
+    assert!(matches!(complete, PeerReply::Config(Some(_))));
+    assert_eq!(peer.config_from_reply(complete), Some(swapped));
 }
 
 /// Guards against serving with rules that no operator wrote. A byte of the cache file changes
--- a/tests/document_changes.rs
+++ b/tests/document_changes.rs
@@ -35,7 +35,7 @@
     document(number, &format!(r#"{{"version":{number},"routes":[{}]}}"#, routes.join(",")))
 }
 
-/// Guards against control VMs that miss heartbeats while they send a whole long document to each of
+/// Guards against control VMs that miss heartbeats while they send a long document in full to
 /// hundreds of daemons at each change.
 #[test]
 fn delta_of_few_routes_is_small() {
@@ -91,9 +91,9 @@
 }
 
 /// Guards against a delta that is applied to another document with the same number: the follower
-/// keeps its document and requests the whole one.
+/// keeps its document and requests the full one.
 #[test]
-fn mismatch_requests_whole_document() {
+fn mismatch_requests_full_document() {
     let before = routes(4, (0..100).map(|number| route(number, 4_000)));
     let after = routes(5, (0..100).map(|number| route(number, 4_000 + u32::from(number == 7))));
     let delta = DocumentDelta::between(&before, &after).expect("most of the document is unchanged");
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn large_change_is_sent_whole() {
+fn large_change_is_sent_in_full() {
     let mut history = DocumentHistory::default();
     let (one, other) = (document(1, &"ab".repeat(4_000)), document(2, &"xyz".repeat(4_000)));
     history.record(&one);
--- a/tests/peer_authentication.rs
+++ b/tests/peer_authentication.rs
@@ -36,9 +36,9 @@
     network.call(&peer.to_owned(), PeerRequest::Status, TEST_TIMEOUT).await
 }
 
-/// Guards against daemons of another installation that are trusted. A daemon with keys of another
-/// authority dials this one and is dialled by it. Each side rejects the other's certificate, the
-/// rejection is counted for operators, and no message is delivered.
+/// Guards against trust in daemons of another deployment. A daemon with keys of another authority
+/// dials this one and is dialled by it. Each side rejects the other's certificate, the rejection is
+/// counted for operators, and no message is delivered.
 #[tokio::test]
 async fn foreign_authority_is_rejected_and_counted() {
     let (_guard, handle) = install_local_recorder();
--- a/tests/peer_calls.rs
+++ b/tests/peer_calls.rs
@@ -69,8 +69,8 @@
         .call(&"home".to_owned(), PeerRequest::Status, TEST_TIMEOUT)
         .await
         .expect("the peer answers");
-    let taken = PeerRequest::Explain { request: "r".to_owned() };
-    let error = other.call(&"home".to_owned(), taken, Duration::from_millis(500)).await;
+    let unanswered = PeerRequest::Explain { request: "r".to_owned() };
+    let error = other.call(&"home".to_owned(), unanswered, Duration::from_millis(500)).await;
     assert!(matches!(error, Err(TransportError::Unknown { .. })), "{error:?}");
 }
 
--- a/tests/weight_scheduling.rs
+++ b/tests/weight_scheduling.rs
@@ -1,4 +1,4 @@
-//! Scheduling of loads when operators name versions faster than the servers of a large installation
+//! Scheduling of loads when operators name versions faster than the servers of a large deployment
 //! can load them, in virtual time and without a network.
 
 use {
