--- a/src/roles.rs
+++ b/src/roles.rs
@@ -1,8 +1,9 @@
-//! Complete processes of an installation whose platform lists the backend servers: entries, which
-//! serve callers by route, and control VMs, which replicate the shared state.
+//! Processes of a deployment whose platform lists the backend servers: entries, which serve callers
+//! by route, and control VMs, which replicate the shared state.
 //!
-//! The installation's message formats are supplied by small traits; see [`crate::reverse_proxy::dialect`],
-//! [`crate::fleet::watch::FleetSource`] and [`fleet_orders::EngineClient`].
+//! The deployment's message formats are supplied by small traits; see
+//! [`crate::reverse_proxy::dialect`], [`crate::fleet::watch::FleetSource`] and
+//! [`fleet_orders::EngineClient`].
 
 pub mod control;
 pub mod control_directory;
--- a/src/roles/control.rs
+++ b/src/roles/control.rs
@@ -63,7 +63,7 @@
     pub data_dir: PathBuf,
     /// The control VMs that form the group, or are known to belong to it, with their addresses.
     pub founders: BTreeMap<VmId, SocketAddr>,
-    /// Whether this VM may form a new group. Set it only for the first start of an installation: a
+    /// Whether this VM may form a new group. Set it only for the first start of a deployment: a
     /// replica with an empty disk that forms a group later would lose acknowledged changes.
     pub may_found: bool,
     /// Whether engines refuse orders whose fencing number is lower than one that they have seen.
@@ -92,9 +92,9 @@
         engines: Arc<dyn EngineClient>,
     ) -> Result<Self, NodeError> {
         let mut tasks = JoinSet::new();
-        let board = Arc::new(FleetView::default());
+        let fleet_view = Arc::new(FleetView::default());
         let follow_service =
-            Arc::new(FollowService::new(settings.failure_domain.clone(), Arc::clone(&board)));
+            Arc::new(FollowService::new(settings.failure_domain.clone(), Arc::clone(&fleet_view)));
         let network_settings = UnauthenticatedSettings {
             vm: settings.vm.clone(),
             listen: settings.peer_listen,
@@ -106,15 +106,15 @@
         let replica = start_replica(&settings, &network, &mut tasks)?;
         follow_service.open(replica.clone());
         let lease = replica.clone();
-        tasks.spawn(read_list(Arc::clone(&board), source, move || lease.lease_valid()));
-        tasks.spawn(publish_list(Arc::clone(&board)));
-        spawn_follower(&settings, &network, &replica, &follow_service, &board, &mut tasks);
+        tasks.spawn(read_list(Arc::clone(&fleet_view), source, move || lease.lease_valid()));
+        tasks.spawn(publish_list(Arc::clone(&fleet_view)));
+        spawn_follower(&settings, &network, &replica, &follow_service, &fleet_view, &mut tasks);
         let (known_peers, known_peer_watch) = watch::channel(settings.founders.clone());
         tasks.spawn(log_group_search(replica.clone(), known_peer_watch.clone()));
         tasks.spawn(update_peers(network.clone(), replica.clone(), known_peer_watch));
         let founders = settings.founders.len();
         tasks.spawn(repair_replicas(settings.vm.clone(), replica.clone(), founders));
-        spawn_orders(&settings, &replica, &board, engines, &mut tasks);
+        spawn_orders(&settings, &replica, &fleet_view, engines, &mut tasks);
         tasks.spawn(log_leader_changes(settings.vm.clone(), replica.clone()));
         tasks.spawn(log_member_changes(settings.vm.clone(), replica.clone()));
         log::info!(vm = settings.vm.as_str(), founders = settings.founders.len();
@@ -180,7 +180,7 @@
     network: &PeerNetwork,
     replica: &ControlHandle,
     follow_service: &Arc<FollowService>,
-    board: &Arc<FleetView>,
+    fleet_view: &Arc<FleetView>,
     tasks: &mut JoinSet<()>,
 ) {
     let (candidates, candidate_watch) = watch::channel(Vec::new());
@@ -201,7 +201,7 @@
     });
     let port = Arc::new(ControlFollower {
         follow_service: Arc::clone(follow_service),
-        board: Arc::clone(board),
+        fleet_view: Arc::clone(fleet_view),
     });
     let (state, _) = watch::channel(SharedState::default());
     let domain = settings.failure_domain.clone();
@@ -212,14 +212,14 @@
 fn spawn_orders(
     settings: &ControlSettings,
     replica: &ControlHandle,
-    board: &Arc<FleetView>,
+    fleet_view: &Arc<FleetView>,
     engines: Arc<dyn EngineClient>,
     tasks: &mut JoinSet<()>,
 ) {
     let (plan, plans) = watch::channel(Arc::default());
     let fenced = settings.engines_check_fencing;
-    tasks.spawn(update_plan(board.subscribe(), replica.documents(), plan, fenced));
-    let orders = Arc::new(FleetOrders::new(Arc::clone(board), engines));
+    tasks.spawn(update_plan(fleet_view.subscribe(), replica.documents(), plan, fenced));
+    let orders = Arc::new(FleetOrders::new(Arc::clone(fleet_view), engines));
     let desired = replica.desired_weights();
     let orders = WeightOrders::new(Arc::new(replica.clone()), orders, plans, desired);
     tasks.spawn(orders.with_timing(FLEET_TIMING).run());
@@ -234,13 +234,13 @@
 ) {
     let port = network.local_address().port();
     let mut status = replica.status_watch();
-    let (mut current, mut introduced) = (BTreeMap::new(), BTreeMap::new());
+    let (mut current, mut last_configured) = (BTreeMap::new(), BTreeMap::new());
     loop {
         let peers = {
             let configured = settings.borrow_and_update().clone();
-            if configured != introduced {
+            if configured != last_configured {
                 replica.set_configured_peers(configured.keys().cloned().collect());
-                introduced.clone_from(&configured);
+                last_configured.clone_from(&configured);
             }
             let status = status.borrow_and_update();
             let members = status.members.members().map(|(vm, _)| vm);
@@ -274,14 +274,14 @@
             (status.leader.clone(), status.term, status.commit)
         };
         if leader != known {
-            let leads = |name: &Option<VmId>| name.as_ref() == Some(&vm);
-            if leads(&known) {
+            let is_own = |name: &Option<VmId>| name.as_ref() == Some(&vm);
+            if is_own(&known) {
                 log::warn!(term = term, commit = commit; "{}", events::LEADERSHIP_ENDED);
             }
             match &leader {
                 None => log::warn!(term = term, commit = commit, peer = known.as_deref();
                     "{}", events::LEADER_LOST),
-                Some(_) if leads(&leader) => {
+                Some(_) if is_own(&leader) => {
                     log::info!(term = term, commit = commit; "{}", events::LEADERSHIP_STARTED);
                 }
                 Some(peer) => log::info!(peer = peer.as_str(), term = term, commit = commit;
@@ -355,7 +355,7 @@
     /// VMs that the replica asks to be admitted to the group.
     asked: BTreeSet<VmId>,
     /// VMs that the replica receives messages from.
-    heard: BTreeSet<VmId>,
+    responding: BTreeSet<VmId>,
 }
 
 impl GroupSearch {
@@ -367,7 +367,7 @@
         let mut asked: BTreeSet<VmId> = named.keys().cloned().collect();
         asked.extend(status.members.members().map(|(vm, _)| vm.clone()));
         asked.extend(status.contacts.iter().cloned());
-        Some(GroupSearch { asked, heard: status.non_members.keys().cloned().collect() })
+        Some(GroupSearch { asked, responding: status.non_members.keys().cloned().collect() })
     }
 }
 
@@ -385,7 +385,7 @@
         }
         if let Some(search) = &search {
             let names = |vms: &BTreeSet<VmId>| vms.iter().cloned().collect::<Vec<_>>().join(",");
-            log::info!(asked = names(&search.asked), heard = names(&search.heard);
+            log::info!(asked = names(&search.asked), heard = names(&search.responding);
                 "{}", events::MEMBERSHIP_REQUESTED);
         }
         logged = search;
@@ -394,7 +394,7 @@
 
 struct ControlFollower {
     follow_service: Arc<FollowService>,
-    board: Arc<FleetView>,
+    fleet_view: Arc<FleetView>,
 }
 
 impl FollowerPort for ControlFollower {
@@ -405,7 +405,7 @@
     fn reply_received(&self, reply: &FollowReply, state: &SharedState) {
         self.follow_service.set_total_entries(reply.entries);
         if reply.list_fresh {
-            self.board.apply_leader_list(state.fleet.clone());
+            self.fleet_view.apply_leader_list(state.fleet.clone());
         }
     }
 }
--- a/src/roles/control_directory.rs
+++ b/src/roles/control_directory.rs
@@ -11,9 +11,9 @@
     tokio::sync::watch,
 };
 
-/// Most control VMs in the directory: room for seven VMs that were replaced several times. Beyond it
-/// the first names in sort order are dropped; those in the settings return when the settings are
-/// reloaded.
+/// The maximum number of control VMs in the directory: room for seven VMs that were replaced
+/// several times. Beyond it the first names in sort order are dropped; those in the settings return
+/// when the settings are reloaded.
 const MAX_CONTROL_VMS: usize = 32;
 
 /// The control VMs of one node. Unreachable VMs stay in the directory: they cost an occasional
--- a/src/roles/entry.rs
+++ b/src/roles/entry.rs
@@ -41,19 +41,20 @@
     },
 };
 
-/// Duties of the dispatcher that may be queued. A dropped duty does no harm: each is a hint or is
+/// The length of the queue of dispatch tasks. A dropped task does no harm: it is optional or is
 /// issued again.
 const TASK_QUEUE_LENGTH: usize = 256;
-/// How long a stopping entry still accepts new connections. The balancer checks readiness once a
-/// second and acts on the second failed check.
+/// How long a stopping entry still accepts new connections. The load balancer checks readiness once
+/// a second and acts on the second failed check.
 const ACCEPT_WHILE_STOPPING: Duration = Duration::from_millis(2_500);
-/// When a stopping entry begins to refuse new requests. A balancer with too few other entries keeps
-/// sending callers here, and an answer that starts later could not end before the process is killed.
+/// When a stopping entry begins to refuse new requests. A load balancer with too few other entries
+/// keeps sending requests here, and an answer that starts later could not end before the process is
+/// killed.
 const REFUSE_AFTER: Duration = Duration::from_millis(2_900);
 /// How often the state is applied again when nothing has changed, which also closes connections that
 /// were idle for too long.
 const REAPPLY_INTERVAL: Duration = Duration::from_secs(5);
-/// The last part of the grace period, reserved for sending the last bytes.
+/// The time at the end of the grace period that is reserved for sending the last bytes.
 const FLUSH_TIME: Duration = Duration::from_millis(400);
 
 /// Parses the operators' configuration document.
@@ -80,7 +81,7 @@
     pub readiness_path: String,
     /// The UDP address for other daemons.
     pub peer_listen: SocketAddr,
-    /// Most concurrent connections of callers.
+    /// The maximum number of concurrent connections of callers.
     pub max_connections: usize,
     /// Burst of retries that all entries together may make in excess of the retry ratio.
     pub retry_reserve: f64,
@@ -92,16 +93,16 @@
     pub disabled: SafeguardSet,
 }
 
-/// Settings of the part of an entry that serves requests.
+/// Settings of the core of an entry, which serves requests.
 #[derive(Clone, Debug)]
 pub struct CoreSettings {
-    /// As in [`EntrySettings`].
+    /// See [`EntrySettings::vm`].
     pub vm: VmId,
-    /// As in [`EntrySettings`].
+    /// See [`EntrySettings::failure_domain`].
     pub failure_domain: FailureDomainId,
-    /// As in [`EntrySettings`].
+    /// See [`EntrySettings::objective`].
     pub objective: DecisionObjective,
-    /// As in [`EntrySettings`].
+    /// See [`EntrySettings::disabled`].
     pub disabled: SafeguardSet,
 }
 
@@ -110,9 +111,9 @@
 pub struct ReloadedSettings {
     /// The addresses of control VMs; those known before stay in use.
     pub control: BTreeMap<VmId, SocketAddr>,
-    /// As in [`EntrySettings`].
+    /// See [`EntrySettings::retry_reserve`].
     pub retry_reserve: f64,
-    /// As in [`EntrySettings`].
+    /// See [`EntrySettings::grace`].
     pub grace: Duration,
 }
 
@@ -121,7 +122,7 @@
     settings: EntrySettings,
     retry_reserve: watch::Sender<f64>,
     core: Arc<ProxyCore>,
-    port: CallerListener,
+    listener: CallerListener,
     stopping: Arc<AtomicBool>,
     directory: Arc<ControlDirectory>,
     _tasks: JoinSet<()>,
@@ -136,7 +137,7 @@
         settings: EntrySettings,
         control: BTreeMap<VmId, SocketAddr>,
         dialect: Arc<dyn WireDialect>,
-        reader: Arc<dyn RouteParser>,
+        parser: Arc<dyn RouteParser>,
     ) -> Result<Self, NodeError> {
         let mut tasks = JoinSet::new();
         let (candidates, candidate_watch) = watch::channel(control.keys().cloned().collect());
@@ -157,16 +158,16 @@
         let core = start_core(core_settings, dialect, &mut tasks);
         let (state, states) = watch::channel(SharedState::default());
         let domain = settings.failure_domain.clone();
-        let follower = Arc::new(EntryFollower { notice: Mutex::default() });
+        let follower = Arc::new(EntryFollower { list_monitor: Mutex::default() });
         let task = FollowTask::new(network.clone(), domain, candidate_watch, state, follower);
         tasks.spawn(task.run());
         let directory = Arc::new(ControlDirectory::new(network.clone(), control, candidates));
         tasks.spawn(update_directory(Arc::clone(&directory), states.clone()));
         let (retry_reserve, reserve_watch) = watch::channel(settings.retry_reserve);
-        tasks.spawn(apply_states(Arc::clone(&core), states, reader, reserve_watch));
+        tasks.spawn(apply_states(Arc::clone(&core), states, parser, reserve_watch));
         let stopping = Arc::new(AtomicBool::new(false));
         tasks.spawn(serve_readiness(&settings, Arc::clone(&core), Arc::clone(&stopping)).await?);
-        let port = CallerListener::start(
+        let listener = CallerListener::start(
             settings.caller_listen,
             Arc::clone(&core),
             settings.max_connections,
@@ -178,7 +179,15 @@
             reason,
         })?;
         log::info!(vm = settings.vm.as_str(), callers:% = settings.caller_listen; "entry started");
-        Ok(EntryNode { settings, retry_reserve, core, port, stopping, directory, _tasks: tasks })
+        Ok(EntryNode {
+            settings,
+            retry_reserve,
+            core,
+            listener,
+            stopping,
+            directory,
+            _tasks: tasks,
+        })
     }
 
     /// Applies reloaded settings. Requests in flight are not affected.
@@ -195,17 +204,17 @@
     pub async fn stop(self) {
         let began = Instant::now();
         self.stopping.store(true, Ordering::SeqCst);
-        self.port.close_after_response();
+        self.listener.close_after_response();
         log::info!(in_flight = self.core.gate.in_flight(); "stopping: not ready any more");
         sleep(ACCEPT_WHILE_STOPPING).await;
-        self.port.close_idle();
+        self.listener.close_idle();
         sleep(REFUSE_AFTER - ACCEPT_WHILE_STOPPING).await;
         self.core.gate.begin_drain();
         let left = self.settings.grace.saturating_sub(began.elapsed() + FLUSH_TIME);
         if timeout(left, self.core.gate.wait_empty()).await.is_err() {
             log::error!(cut = self.core.gate.in_flight(); "requests cut off: the grace period is over");
         }
-        self.port.stop();
+        self.listener.stop();
         log::info!("stopped");
     }
 }
@@ -227,7 +236,7 @@
 
 /// Logs when the control VMs lose the server list.
 struct EntryFollower {
-    notice: Mutex<ListMonitor>,
+    list_monitor: Mutex<ListMonitor>,
 }
 
 impl FollowerPort for EntryFollower {
@@ -237,13 +246,13 @@
 
     fn reply_received(&self, reply: &FollowReply, state: &SharedState) {
         let known = state.fleet.as_ref().map_or(0, |fleet| fleet.servers.len());
-        let mut notice = self.notice.lock().unwrap_or_else(PoisonError::into_inner);
-        notice.note(reply.list_fresh, known);
+        let mut list_monitor = self.list_monitor.lock().unwrap_or_else(PoisonError::into_inner);
+        list_monitor.note(reply.list_fresh, known);
     }
 }
 
-/// Starts the part of an entry that serves requests, without its ports and without a connection to
-/// control VMs. Its tasks run until `tasks` is dropped.
+/// Starts the core of an entry, which serves requests, without its ports and without a connection
+/// to control VMs. Its tasks run until `tasks` is dropped.
 pub fn start_core(
     settings: CoreSettings,
     dialect: Arc<dyn WireDialect>,
@@ -257,16 +266,17 @@
         disabled,
     });
     let (dispatch_tasks, task_queue) = mpsc::channel(TASK_QUEUE_LENGTH);
-    let port = DispatcherHandle::new(dispatcher, dispatch_tasks, Arc::new(TraceLog::default()));
-    let core = ProxyCore::new(ProxyParts { vm, objective, dialect, dispatcher: Arc::clone(&port) });
-    tasks.spawn(async move { port.run_wakeups().await });
+    let handle = DispatcherHandle::new(dispatcher, dispatch_tasks, Arc::new(TraceLog::default()));
+    let core =
+        ProxyCore::new(ProxyParts { vm, objective, dialect, dispatcher: Arc::clone(&handle) });
+    tasks.spawn(async move { handle.run_wakeups().await });
     tasks.spawn(run_dispatch_tasks(Arc::clone(&core), task_queue));
     tasks.spawn(monitor_cache_store(Arc::clone(&core)));
     core
 }
 
-/// Carries out the dispatcher's probes. Other duties need no action: a cancelled attempt's connection
-/// is already closed, which its server treats as the cancellation.
+/// Carries out the dispatcher's probes. Other tasks need no action: a cancelled attempt's
+/// connection is already closed, which its server treats as the cancellation.
 async fn run_dispatch_tasks(
     core: Arc<ProxyCore>,
     mut dispatch_tasks: mpsc::Receiver<DispatchTask>,
@@ -283,7 +293,7 @@
 async fn apply_states(
     core: Arc<ProxyCore>,
     mut states: watch::Receiver<SharedState>,
-    reader: Arc<dyn RouteParser>,
+    parser: Arc<dyn RouteParser>,
     mut retry_reserve: watch::Receiver<f64>,
 ) {
     let mut routes = RouteCache::default();
@@ -298,7 +308,7 @@
         }
         let state = states.borrow_and_update().clone();
         let required = requirements.update(StdInstant::now(), &state.weights, state.term);
-        let index = routes.index_for(state.document.number, &state.document.body, &*reader);
+        let index = routes.index_for(state.document.number, &state.document.body, &*parser);
         let fleet = state.fleet.unwrap_or_default();
         let entries = state.entries.max(1);
         let retries = (*retry_reserve.borrow_and_update() / f64::from(entries)).max(1.0);
@@ -319,10 +329,10 @@
         &mut self,
         number: DocumentNumber,
         body: &str,
-        reader: &dyn RouteParser,
+        parser: &dyn RouteParser,
     ) -> Option<Arc<RouteIndex>> {
         if number > self.number {
-            match reader.parse(body) {
+            match parser.parse(body) {
                 Ok(table) => {
                     log::info!(document = number, routes = table.routes.len();
                         "{}", events::ROUTES_ACTIVATED);
--- a/src/roles/fleet_orders.rs
+++ b/src/roles/fleet_orders.rs
@@ -26,10 +26,10 @@
     tokio::sync::watch,
 };
 
-/// The fraction of engines that drain or load at the same time. Each engine takes about a second, so
-/// all of them are done within the 8 s that operators allow. Engines that have loaded refill their
-/// empty caches in addition to their usual load; with a larger fraction out of service they could not
-/// carry both, and loads slow each other down.
+/// The fraction of engines that drain or load at the same time. Each engine takes about a second,
+/// so all of them are done within the 8 s that operators allow. Engines that have loaded refill
+/// their empty caches in addition to their usual load; with a larger fraction out of service they
+/// could not handle both, and concurrent loads slow each other down.
 const LOADING_FRACTION: (usize, usize) = (1, 6);
 
 /// What an engine does with answers in progress when it begins to load weights.
@@ -49,7 +49,7 @@
 /// orders that may be lost. An unanswered order is repeated while it can still meet the deadline. A
 /// draining server completes short answers at once. Longer answers continue during the load, so
 /// waiting for them would keep the server out of service for longer than it helps. Entries learn of
-/// the drain within [`SHOW_EVERY`].
+/// the drain within [`PUBLISH_INTERVAL`].
 pub const FLEET_TIMING: OrderTiming = OrderTiming {
     load_limit: Duration::from_millis(4_500),
     retry_wait: Duration::from_millis(300),
@@ -124,7 +124,7 @@
     }
 }
 
-/// Sends requests to engines in the installation's message format.
+/// Sends requests to engines in the deployment's message format.
 pub trait EngineClient: Send + Sync {
     /// Sends an order, unless its deadline has passed before the first byte can be sent.
     fn order(
@@ -140,41 +140,42 @@
 
 /// Sends weight orders, and keeps new requests away from servers while they load.
 pub struct FleetOrders {
-    board: Arc<FleetView>,
+    fleet_view: Arc<FleetView>,
     engines: Arc<dyn EngineClient>,
     /// The weights of each held server at the time when the hold began.
     held: Mutex<BTreeMap<ServerId, BTreeMap<ModelId, String>>>,
 }
 
 impl FleetOrders {
-    /// Creates the orders for the servers of `board`.
-    pub fn new(board: Arc<FleetView>, engines: Arc<dyn EngineClient>) -> Self {
-        FleetOrders { board, engines, held: Mutex::default() }
+    /// Creates the orders for the servers of `fleet_view`.
+    pub fn new(fleet_view: Arc<FleetView>, engines: Arc<dyn EngineClient>) -> Self {
+        FleetOrders { fleet_view, engines, held: Mutex::default() }
     }
 
     fn hold(&self, server: &ServerId) {
-        let listed = self.board.subscribe().borrow().clone();
+        let listed = self.fleet_view.subscribe().borrow().clone();
         let listed = listed.servers.iter().find(|listed| listed.id == *server);
         let weights = listed.map(|listed| {
             let weights = listed.weights.iter();
             weights.map(|(model, version)| (model.clone(), version.to_string())).collect()
         });
         self.lock().entry(server.clone()).or_insert(weights.unwrap_or_default());
-        self.board.hold(server);
+        self.fleet_view.hold(server);
     }
 
-    /// Updates the board from a load report. A server whose weights have changed gets requests again.
+    /// Updates the fleet view from a load report. A server whose weights have changed gets requests
+    /// again.
     fn apply_report(&self, report: &LoadReport) {
         let weights: BTreeMap<ModelId, WeightsNumber> = report
             .weights
             .iter()
             .filter_map(|(model, version)| Some((model.clone(), version.parse().ok()?)))
             .collect();
-        self.board.report_weights(&report.server, report.incarnation, weights);
+        self.fleet_view.report_weights(&report.server, report.incarnation, weights);
         let mut held = self.lock();
         if held.get(&report.server).is_some_and(|before| *before != report.weights) {
             held.remove(&report.server);
-            self.board.release(&report.server);
+            self.fleet_view.release(&report.server);
         }
     }
 
--- a/src/roles/required_weights.rs
+++ b/src/roles/required_weights.rs
@@ -23,8 +23,8 @@
 /// first 3 s; the 8 s that operators allow start again 3 s after the previous leader failed, and the
 /// new one is elected within 2.2 s of that failure.
 pub const REQUIRED_AFTER_ELECTION: Duration = Duration::from_millis(8_000);
-/// Most versions of one model that are not required yet; operators name one every few seconds. Beyond
-/// it a new version replaces the latest pending one.
+/// The maximum number of versions of one model that are not required yet; operators name one every
+/// few seconds. Beyond it a new version replaces the latest pending one.
 const MAX_PENDING: usize = 64;
 
 /// Tracks when each named version becomes required.
