--- a/src/daemon/peer_status.rs
+++ b/src/daemon/peer_status.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Requests the status of each peer, at most [`MAX_CONCURRENT_REQUESTS`] at a time; `None` for
+/// Requests the status of each peer, at most `MAX_CONCURRENT_REQUESTS` at a time; `None` for
 /// those that did not answer.
 pub async fn fetch_statuses(
     network: &PeerNetwork,
--- a/src/daemon/server_updates.rs
+++ b/src/daemon/server_updates.rs
@@ -47,7 +47,7 @@
         ServerUpdates { core, server_table, holds: Mutex::default() }
     }
 
-    /// Withholds new work from a server until it reports other weights or [`HOLD_TIMEOUT`] is over.
+    /// Withholds new work from a server until it reports other weights or `HOLD_TIMEOUT` is over.
     /// A server that is not in the register is ignored.
     pub fn hold(&self, server: &ServerId) {
         let known = self.core.serving().addresses.contains_key(server);
