--- a/src/daemon/server_monitor.rs
+++ b/src/daemon/server_monitor.rs
@@ -63,8 +63,8 @@
         let _ = self.inputs.send(MonitorInput::Configure(monitor_plan(vm, config))).await;
     }
 
-    /// Handles the findings in the digest of a daemon of the same domain.
-    pub fn digest(&self, digest: &DomainDigest) {
+    /// Handles the findings in a digest; those of daemons of other domains are ignored.
+    pub fn handle_digest(&self, digest: &DomainDigest) {
         let findings = digest.findings.clone();
         let _ =
             self.inputs.try_send(MonitorInput::Digest { from: digest.daemon.clone(), findings });
--- a/src/daemon/weight_orders/order_core.rs
+++ b/src/daemon/weight_orders/order_core.rs
@@ -2,7 +2,7 @@
 //! no I/O.
 
 pub use super::order_types::{
-    OrderAction, OrderInput, OrderPlace, OrderPlan, OrderReason, OrderResult, OrderTiming,
+    OrderAction, OrderInput, OrderPlan, OrderReason, OrderResult, OrderTarget, OrderTiming,
     PendingServers, WeightOrder,
 };
 
@@ -29,9 +29,9 @@
 /// The interval between two probes of servers that have the desired weights, for each server: it
 /// limits the leader to about 30 such probes a second.
 const IDLE_PROBE_SPACING: Duration = Duration::from_millis(35);
-/// Probes in progress at a time.
+/// The maximum number of concurrent probes.
 const MAX_PROBES: usize = 32;
-/// Proposals in progress at a time.
+/// The maximum number of concurrent proposals.
 const MAX_PROPOSALS: usize = 16;
 /// The minimum interval between two decisions, each of which iterates over all servers.
 const DECISION_INTERVAL: Duration = Duration::from_millis(10);
@@ -75,7 +75,7 @@
     timing: OrderTiming,
     plan: OrderPlan,
     /// The time since which the plan has the present version of each of its models.
-    wanted_since: BTreeMap<ModelId, Instant>,
+    planned_since: BTreeMap<ModelId, Instant>,
     desired: Arc<DesiredWeights>,
     lease: Option<(Term, Instant)>,
     /// The last term in which there was a lease.
@@ -121,7 +121,7 @@
             OrderInput::Desired(desired) => self.desired = desired,
             OrderInput::Lease(lease) => return self.update_lease(lease),
             OrderInput::Probed { server, report } => self.update_report(now, &server, report),
-            OrderInput::Ordered { place: (server, model), number, result } => {
+            OrderInput::Ordered { target: (server, model), number, result } => {
                 let state = self.states.get_mut(&server);
                 if let Some(order) = state.and_then(|state| state.pending.get_mut(&model))
                     && order.number == number
@@ -169,7 +169,7 @@
         changes.min()
     }
 
-    /// The servers that still lack the wanted version, by model of the plan.
+    /// The servers that still lack the planned version, by model of the plan.
     pub fn pending(&self) -> BTreeMap<ModelId, PendingServers> {
         let pending = self.plan.weights.iter().map(|(model, weights)| {
             let servers = self.plan.servers.iter().filter(|(_, models)| models.contains(model));
@@ -178,7 +178,7 @@
                 let is_new = state.next_probe.is_none();
                 (state.alive || is_new) && state.observed(model) != Some(weights)
             });
-            let since = self.wanted_since[model];
+            let since = self.planned_since[model];
             let pending =
                 PendingServers { weights: weights.clone(), since, servers: behind.count() };
             (model.clone(), pending)
@@ -187,10 +187,10 @@
     }
 
     fn configure(&mut self, now: Instant, plan: OrderPlan) {
-        self.wanted_since
+        self.planned_since
             .retain(|model, _| plan.weights.get(model) == self.plan.weights.get(model));
         for model in plan.weights.keys() {
-            self.wanted_since.entry(model.clone()).or_insert(now);
+            self.planned_since.entry(model.clone()).or_insert(now);
         }
         self.states.retain(|server, state| {
             let models = plan.servers.get(server);
@@ -229,7 +229,7 @@
         state.alive = report.as_ref().is_some_and(|report| !report.leaving);
         if let Some(report) = report {
             // A load ends when the server reports the ordered version, which allows another server
-            // to load. If a later version is wanted by then, the server is queued like all others.
+            // to load. If a later version is planned by then, the server is queued like all others.
             let before = state.pending.len();
             state.pending.retain(|model, order| report.weights.get(model) != Some(&order.weights));
             if state.pending.len() < before {
@@ -264,8 +264,8 @@
         self.desired.get(model).is_some_and(|(known, _)| known == version)
     }
 
-    /// Proposes the wanted versions to the replicated state, which assigns a fencing number to each
-    /// change.
+    /// Proposes the planned versions to the replicated state, which assigns a fencing number to
+    /// each change.
     fn propose(&mut self, actions: &mut Vec<OrderAction>) {
         for (model, version) in &self.plan.weights {
             if self.is_recorded(model, version) || self.proposing.contains(model) {
@@ -374,10 +374,11 @@
         if ordered.0 != weights {
             *ordered = (weights.clone(), 0);
         }
-        let given_before = ordered.1;
+        let earlier_orders = ordered.1;
         ordered.1 += 1;
-        let wanted_for = self.wanted_since.get(&model).map_or(Duration::ZERO, |since| now - *since);
-        let reason = OrderReason { observed, wanted_for, given_before };
+        let planned_for =
+            self.planned_since.get(&model).map_or(Duration::ZERO, |since| now - *since);
+        let reason = OrderReason { observed, planned_for, earlier_orders };
         let send_before = now + ORDER_TIMEOUT;
         Some(OrderAction::Order(WeightOrder {
             server,
--- a/tests/config_dissemination.rs
+++ b/tests/config_dissemination.rs
@@ -92,7 +92,7 @@
 
     fn perform(&mut self, vm: &VmId, action: DisseminationAction) {
         match action {
-            DisseminationAction::Adopt(_) => {}
+            DisseminationAction::Activate(_) => {}
             DisseminationAction::Notify { to, revision } => {
                 self.notices += 1;
                 let lost = self.random.next_u32().is_multiple_of(10) || self.is_cut(vm, &to);
@@ -104,7 +104,7 @@
             DisseminationAction::Fetch { from, have } => {
                 let reachable = !self.is_cut(vm, &from);
                 let reply = self.cores[&from].history().answer(have);
-                let read = self.cores[vm].history().read(reply).filter(|_| reachable);
+                let read = self.cores[vm].history().config_from_reply(reply).filter(|_| reachable);
                 let config = read.map(Arc::new);
                 self.post(ONE_WAY * 2, vm, DisseminationInput::Fetched { from, config });
             }
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn changes_yield_the_whole_configuration() {
+fn changes_yield_complete_configuration() {
     let record = |id: &str, key: &str| OrganisationRecord {
         id: id.to_owned(),
         key_digests: vec![key.to_owned()],
@@ -252,8 +252,8 @@
 
     let reply = history.answer(1);
     assert!(matches!(&reply, PeerReply::ConfigChanges(changes) if changes.len() == 2));
-    assert_eq!(peer.read(reply.clone()), Some(latest.clone()));
-    assert_eq!(history.read(reply), None, "changes apply only to their base revision");
+    assert_eq!(peer.config_from_reply(reply.clone()), Some(latest.clone()));
+    assert_eq!(history.config_from_reply(reply), None, "changes apply only to their base revision");
     assert!(peer.advance(Arc::new(latest.clone())));
     assert_eq!(history.answer(3), PeerReply::Config(None));
 
@@ -262,9 +262,9 @@
     swapped.register.failure_domains.push(DomainRecord { id: "d".into(), region: String::new() });
     assert_eq!(ConfigDelta::between(&latest, &swapped), None);
     assert!(history.advance(Arc::new(swapped.clone())));
-    let whole = history.answer(3);
-    assert!(matches!(whole, PeerReply::Config(Some(_))));
-    assert_eq!(peer.read(whole), Some(swapped));
+    let complete = history.answer(3);
+    assert!(matches!(complete, PeerReply::Config(Some(_))));
+    assert_eq!(peer.config_from_reply(complete), Some(swapped));
 }
 
 /// Guards against serving with rules that no operator wrote. A byte of the cache file changes
--- a/tests/document_changes.rs
+++ b/tests/document_changes.rs
@@ -35,7 +35,7 @@
     document(number, &format!(r#"{{"version":{number},"routes":[{}]}}"#, routes.join(",")))
 }
 
-/// Guards against control VMs that miss heartbeats while they send a whole long document to each of
+/// Guards against control VMs that miss heartbeats while they send a long document in full to
 /// hundreds of daemons at each change.
 #[test]
 fn delta_of_few_routes_is_small() {
@@ -91,9 +91,9 @@
 }
 
 /// Guards against a delta that is applied to another document with the same number: the follower
-/// keeps its document and requests the whole one.
+/// keeps its document and requests the full one.
 #[test]
-fn mismatch_requests_whole_document() {
+fn mismatch_requests_full_document() {
     let before = routes(4, (0..100).map(|number| route(number, 4_000)));
     let after = routes(5, (0..100).map(|number| route(number, 4_000 + u32::from(number == 7))));
     let delta = DocumentDelta::between(&before, &after).expect("most of the document is unchanged");
@@ -103,9 +103,9 @@
     assert_eq!(delta.apply(&unrelated), Err(DeltaError::OtherBase { base: 4, held: 3 }));
     let mut state = SharedState { document: other.clone(), ..SharedState::default() };
     state.apply(FollowReply { document_delta: Some(delta), ..FollowReply::default() });
-    assert_eq!((&state.document, state.needs_whole), (&other, true));
+    assert_eq!((&state.document, state.needs_full), (&other, true));
     state.apply(FollowReply { document: Some(after.clone()), ..FollowReply::default() });
-    assert_eq!((state.document, state.needs_whole), (after, false));
+    assert_eq!((state.document, state.needs_full), (after, false));
 }
 
 #[test]
@@ -115,16 +115,16 @@
     let delta = DocumentDelta::between(&first, &second).expect("most of the document is unchanged");
     let mut state = SharedState { document: document(6, "{}"), ..SharedState::default() };
     state.apply(FollowReply { document_delta: Some(delta), ..FollowReply::default() });
-    assert_eq!((state.document.number, state.needs_whole), (6, false));
+    assert_eq!((state.document.number, state.needs_full), (6, false));
 }
 
 #[test]
-fn large_change_is_sent_whole() {
+fn large_change_is_sent_in_full() {
     let mut history = DocumentHistory::default();
     let (one, other) = (document(1, &"ab".repeat(4_000)), document(2, &"xyz".repeat(4_000)));
     history.record(&one);
-    assert_eq!(history.change_since(1, &other), DocumentChange::Whole(other.clone()));
-    assert_eq!(history.change_since(77, &other), DocumentChange::Whole(other));
+    assert_eq!(history.change_since(1, &other), DocumentChange::Full(other.clone()));
+    assert_eq!(history.change_since(77, &other), DocumentChange::Full(other));
 }
 
 #[test]
--- a/tests/weight_scheduling.rs
+++ b/tests/weight_scheduling.rs
@@ -1,4 +1,4 @@
-//! Scheduling of loads when operators name versions faster than the servers of a large installation
+//! Scheduling of loads when operators name versions faster than the servers of a large deployment
 //! can load them, in virtual time and without a network.
 
 use {
@@ -140,7 +140,7 @@
             engine.load = Some((version, self.now + LOAD_TIME));
             result = OrderResult::Taken;
         }
-        OrderInput::Ordered { place: (order.server, order.model), number: order.number, result }
+        OrderInput::Ordered { target: (order.server, order.model), number: order.number, result }
     }
 
     fn step(&mut self) {
