--- a/src/roles/entry.rs
+++ b/src/roles/entry.rs
@@ -267,8 +267,12 @@
     });
     let (dispatch_tasks, task_queue) = mpsc::channel(TASK_QUEUE_LENGTH);
     let handle = DispatcherHandle::new(dispatcher, dispatch_tasks, Arc::new(TraceLog::default()));
-    let core =
-        ProxyCore::new(ProxyDependencies { vm, objective, dialect, dispatcher: Arc::clone(&handle) });
+    let core = ProxyCore::new(ProxyDependencies {
+        vm,
+        objective,
+        dialect,
+        dispatcher: Arc::clone(&handle),
+    });
     tasks.spawn(async move { handle.run_wakeups().await });
     tasks.spawn(run_dispatch_tasks(Arc::clone(&core), task_queue));
     tasks.spawn(monitor_cache_store(Arc::clone(&core)));
