--- a/src/daemon/weight_orders/order_types.rs
+++ b/src/daemon/weight_orders/order_types.rs
@@ -30,7 +30,8 @@
 }
 
 impl Default for OrderTiming {
-    /// A load takes 0.6 s, several times as long beside other loads, and reports lag.
+    /// A load takes 0.6 s, or several times as long while other servers load, and load reports are
+    /// delayed.
     fn default() -> Self {
         OrderTiming {
             load_limit: Duration::from_secs(10),
@@ -43,14 +44,14 @@
 }
 
 /// A server and one model that it runs.
-pub type OrderPlace = (ServerId, ModelId);
+pub type OrderTarget = (ServerId, ModelId);
 
 /// The weights that the register and the rules specify.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OrderPlan {
     /// The maximum number of concurrent loads.
     pub limit: u32,
-    /// The wanted version of each model.
+    /// The version of each model that servers have to load.
     pub weights: BTreeMap<ModelId, WeightsVersion>,
     /// The models that each server may run; each of them has a version.
     pub servers: BTreeMap<ServerId, BTreeSet<ModelId>>,
@@ -64,20 +65,20 @@
 pub struct OrderReason {
     /// The version that the server reported last.
     pub observed: Option<WeightsVersion>,
-    /// How long the ordered version has been wanted at this replica.
-    pub wanted_for: Duration,
-    /// Earlier orders of this version to the server in this term.
-    pub given_before: u32,
+    /// How long the plan of this replica has contained the ordered version.
+    pub planned_for: Duration,
+    /// The number of earlier orders of this version to the server in this term.
+    pub earlier_orders: u32,
 }
 
-/// The number of servers that lack the wanted version of a model.
+/// The number of servers that lack the planned version of a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingServers {
-    /// The wanted version.
+    /// The planned version.
     pub weights: WeightsVersion,
-    /// The time since which it has been wanted at this replica.
+    /// The time since which the plan of this replica contains it.
     pub since: Instant,
-    /// Servers that report another version, or that have not been probed yet.
+    /// The number of servers that report another version or have not been probed yet.
     pub servers: usize,
 }
 
@@ -130,7 +131,7 @@
     /// An order ended.
     Ordered {
         /// The server and the model.
-        place: OrderPlace,
+        target: OrderTarget,
         /// The number of the order.
         number: u64,
         /// The result of the order.
--- a/src/transport/attachment.rs
+++ b/src/transport/attachment.rs
@@ -1,8 +1,9 @@
 //! Sends the body of a document as a separate frame after its reply.
 //!
 //! After a restart, hundreds of daemons fetch the same document of several megabytes from a few
-//! control VMs. If it were encoded into each reply, several copies per reader would stay in memory
-//! until the slowest reader has finished. A separate frame shares one copy among all readers.
+//! control VMs. If it were encoded into each reply, several copies for each daemon would stay in
+//! memory until the slowest daemon has read its reply. A separate frame shares one copy among all
+//! daemons.
 
 use {
     super::{
@@ -24,16 +25,16 @@
 }
 
 /// Removes the body of the document from a reply; `None` if the reply contains no document.
-pub fn detach(reply: &mut PeerReply) -> Option<Arc<str>> {
+pub fn detach_body(reply: &mut PeerReply) -> Option<Arc<str>> {
     let PeerReply::Followed(reply) = reply else { return None };
     reply.document.as_mut().map(|document| std::mem::replace(&mut document.body, "".into()))
 }
 
-/// Writes a body that [`detach`] removed, after the frame of its reply.
+/// Writes a body that [`detach_body`] removed, after the frame of its reply.
 ///
 /// # Errors
 /// When the stream or its connection is closed.
-pub async fn write(stream: &mut SendStream, body: Arc<str>) -> Result<(), WriteError> {
+pub async fn write_body(stream: &mut SendStream, body: Arc<str>) -> Result<(), WriteError> {
     let Ok(header) = codec::frame_header(body.len()) else {
         log::error!(bytes = body.len(); "a document exceeds the frame limit and was not sent; make it smaller");
         return Ok(());
@@ -46,7 +47,7 @@
 ///
 /// # Errors
 /// Any [`CodecError`].
-pub async fn attach(reply: &mut PeerReply, stream: &mut RecvStream) -> Result<(), CodecError> {
+pub async fn attach_body(reply: &mut PeerReply, stream: &mut RecvStream) -> Result<(), CodecError> {
     let PeerReply::Followed(reply) = reply else { return Ok(()) };
     let Some(document) = reply.document.as_mut() else { return Ok(()) };
     let body = codec::read_body(stream).await?;
