--- a/src/policy/input.rs
+++ b/src/policy/input.rs
@@ -293,6 +293,6 @@
     /// Servers that this daemon has ejected; at most 64.
     pub unhealthy: Vec<(ServerId, ServerHealth)>,
     /// Results of this daemon's health checks, unhealthy servers first; at most 64. The daemon adds
-    /// them to the dispatcher's digest, and the membership watch reads them.
+    /// them to the dispatcher's digest, and the server monitor reads them.
     pub findings: Vec<(ServerId, ServerHealth)>,
 }
