--- a/tests/append_size.rs
+++ b/tests/append_size.rs
@@ -9,7 +9,7 @@
 const DOCUMENTS: u64 = 100;
 const APPEND_BYTES: usize = 256 << 10;
 
-fn put(number: u64) -> Command {
+fn put_document(number: u64) -> Command {
     Command::PutDocument { number, body: "x".repeat(DOCUMENT_BYTES) }
 }
 
@@ -20,7 +20,7 @@
 fn append_counts_document_bytes() {
     let mut log = ReplicaLog::default();
     for index in 1..=DOCUMENTS {
-        log.push(LogEntry { term: 1, index, payload: EntryPayload::Command(put(index)) });
+        log.push(LogEntry { term: 1, index, payload: EntryPayload::Command(put_document(index)) });
     }
     assert!(DOCUMENT_BYTES * DOCUMENTS as usize > MAX_FRAME, "the documents exceed one message");
     assert_eq!(log.batch(1, APPEND_BYTES).len(), APPEND_BYTES / DOCUMENT_BYTES);
--- a/tests/caller_disconnect.rs
+++ b/tests/caller_disconnect.rs
@@ -24,7 +24,7 @@
 };
 
 /// Waits for the condition; the timeout only turns a hang into a failure.
-async fn until(condition: impl Fn() -> bool) {
+async fn wait_until(condition: impl Fn() -> bool) {
     let wait = async {
         while !condition() {
             yield_now().await;
@@ -48,8 +48,8 @@
     let mut open = open.expect("the stream opens");
     open.response.body_mut().frame().await.expect("a first event").expect("no connection error");
     drop(open);
-    until(|| engine.controls.cancelled.load(Ordering::SeqCst) == 1).await;
-    until(|| engine.controls.dropped.load(Ordering::SeqCst) == 1).await;
+    wait_until(|| engine.controls.cancelled.load(Ordering::SeqCst) == 1).await;
+    wait_until(|| engine.controls.dropped.load(Ordering::SeqCst) == 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -63,7 +63,7 @@
     let first = tokio::spawn(async move {
         http_client::send(callers, "POST", path, &headers, "{}").await.map(|_| ())
     });
-    until(|| service.controls.runs_of("gone") == 1).await;
+    wait_until(|| service.controls.runs_of("gone") == 1).await;
     first.abort();
     service.controls.release();
     let retried = http_client::send(callers, "POST", path, &headers, "{}").await;
--- a/tests/daemon_crash.rs
+++ b/tests/daemon_crash.rs
@@ -33,11 +33,11 @@
     let mut streams: Vec<_> = streams.into_iter().map(|stream| stream.expect("it opens")).collect();
     // The first bytes of each stream have arrived.
     let firsts = streams.iter_mut().map(|stream| stream.response.body_mut().frame());
-    let firsts = group.bounded("streams begin", join_all(firsts)).await;
+    let firsts = group.with_timeout("streams begin", join_all(firsts)).await;
     assert!(firsts.iter().all(|first| matches!(first, Some(Ok(_)))));
     group.kill("a-1");
     for stream in streams {
-        let (text, is_complete) = group.bounded("a stream ends", read_rest(stream)).await;
+        let (text, is_complete) = group.with_timeout("a stream ends", read_rest(stream)).await;
         assert!(!text.contains("[DONE]"), "{text}");
         // A clean end would look complete to a reader that ignores `[DONE]`.
         assert!(!is_complete, "{text}");
@@ -48,10 +48,11 @@
 async fn calls_in_flight_run_at_most_once() {
     let mut group = DaemonGroup::start(&["a-1", "b-1", "c-1"]).await;
     let keys: Vec<String> = (0..40).map(|number| format!("k{number}")).collect();
-    let first = join_all(keys.iter().map(|key| group.call_once("a-1", key, LONG_DEADLINE_MS)));
+    let first =
+        join_all(keys.iter().map(|key| group.call_non_repeatable("a-1", key, LONG_DEADLINE_MS)));
     let killed = async {
         let runs = async || keys.iter().filter(|key| group.runs_of(key) == 1).count() >= 5;
-        group.wait("some calls have run", runs).await;
+        group.wait_until("some calls have run", runs).await;
         group.kill_process("a-1");
     };
     let (first, ()) = join(first, killed).await;
@@ -60,16 +61,19 @@
     // The first call of the new incarnation ends the claims of the former one.
     for key in std::iter::once("new").chain(keys.iter().map(String::as_str)) {
         group
-            .wait(&format!("{key} has a response or an unknown outcome"), async || {
-                let response =
-                    group.call_once("a-1", key, SHORT_DEADLINE_MS).await.expect("a response");
+            .wait_until(&format!("{key} has a response or an unknown outcome"), async || {
+                let response = group
+                    .call_non_repeatable("a-1", key, SHORT_DEADLINE_MS)
+                    .await
+                    .expect("a response");
                 assert!(group.runs_of(key) <= 1, "{key} ran twice: {response:?}");
                 did_run(&response) != "no"
             })
             .await;
     }
     for (key, first) in keys.iter().zip(&first) {
-        let response = group.call_once("b-1", key, LONG_DEADLINE_MS).await.expect("a response");
+        let response =
+            group.call_non_repeatable("b-1", key, LONG_DEADLINE_MS).await.expect("a response");
         let runs = group.runs_of(key);
         assert!(runs <= 1, "{key} ran {runs} times");
         match did_run(&response).as_str() {
--- a/tests/domain_restart.rs
+++ b/tests/domain_restart.rs
@@ -29,14 +29,14 @@
     }
     for vm in RESTARTED {
         group
-            .wait(&format!("{vm} serves"), async || {
+            .wait_until(&format!("{vm} serves"), async || {
                 let revision = group.revision(vm).await;
                 assert!(revision == 0 || revision == 3, "{vm} activated revision {revision}");
                 let reply = group.chat(vm, "is the basket on its way?").await;
                 reply.expect("it is answered").status == 200 && revision == 3
             })
             .await;
-        assert_eq!(group.look_up(vm).await.expect("it is answered").status, 200);
+        assert_eq!(group.call_repeatable(vm).await.expect("it is answered").status, 200);
     }
     group.heal();
     for vm in RESTARTED {
--- a/tests/fakes/daemon_process.rs
+++ b/tests/fakes/daemon_process.rs
@@ -247,18 +247,18 @@
     }
 
     /// Waits until a condition holds; fails with the daemons' last log lines after a timeout.
-    pub async fn wait(&self, what: &str, holds: impl AsyncFn() -> bool) {
+    pub async fn wait_until(&self, what: &str, holds: impl AsyncFn() -> bool) {
         let mut ticks = interval(POLL_INTERVAL);
-        let held = async {
+        let condition = async {
             while !holds().await {
                 ticks.tick().await;
             }
         };
-        self.bounded(what, held).await;
+        self.with_timeout(what, condition).await;
     }
 
     /// Awaits `work`; fails with the daemons' last log lines after a timeout.
-    pub async fn bounded<T>(&self, what: &str, work: impl Future<Output = T>) -> T {
+    pub async fn with_timeout<T>(&self, what: &str, work: impl Future<Output = T>) -> T {
         match timeout(WAIT_TIMEOUT, work).await {
             Ok(result) => result,
             Err(_) => {
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Sends a caller's request and reads the whole answer; an error means that the connection
+    /// Sends a caller's request and reads the complete response; an error means that the connection
     /// broke.
     pub async fn call(
         &self,
@@ -286,11 +286,11 @@
         let headers = [&[KEY], headers].concat();
         let address = self.daemons[vm].ports.callers;
         let sent = http_client::send(address, method, path, &headers, body.to_string());
-        self.bounded(&format!("{vm} answers {method} {path}"), sent).await
+        self.with_timeout(&format!("{vm} answers {method} {path}"), sent).await
     }
 
     /// Sends a non-repeatable call under an idempotency key.
-    pub async fn call_once(
+    pub async fn call_non_repeatable(
         &self,
         vm: &str,
         key: &str,
@@ -302,11 +302,11 @@
     }
 
     /// Sends a repeatable call.
-    pub async fn look_up(&self, vm: &str) -> io::Result<BufferedResponse> {
+    pub async fn call_repeatable(&self, vm: &str) -> io::Result<BufferedResponse> {
         self.call(vm, "GET", "/services/dispatch-app/status", &[], &Value::Null).await
     }
 
-    /// Sends a chat request and reads the whole reply.
+    /// Sends a chat request and reads the complete response.
     pub async fn chat(&self, vm: &str, question: &str) -> io::Result<BufferedResponse> {
         self.call(vm, "POST", CHAT_PATH, &[], &chat_body(question, REPLY_TOKENS)).await
     }
@@ -316,11 +316,11 @@
         let address = self.daemons[vm].ports.callers;
         let body = chat_body(question, STREAM_TOKENS).to_string();
         let sent = http_client::open(address, "POST", CHAT_PATH, &[KEY], body);
-        self.bounded("the stream starts", sent).await
+        self.with_timeout("the stream starts", sent).await
     }
 
-    /// Sends an operator's request and reads the whole answer.
-    pub async fn operate(
+    /// Sends an operator's request and reads the complete response.
+    pub async fn send_operator_request(
         &self,
         vm: &str,
         method: &str,
@@ -330,13 +330,13 @@
         let json = [("content-type", "application/json")];
         let address = self.daemons[vm].ports.operators;
         let sent = http_client::send(address, method, path, &json, body.to_string());
-        self.bounded(&format!("{vm} answers {method} {path}"), sent).await
+        self.with_timeout(&format!("{vm} answers {method} {path}"), sent).await
     }
 
-    /// The JSON document at an operator's path; `Null` if the daemon does not answer.
-    pub async fn read(&self, vm: &str, path: &str) -> Value {
-        let answer = self.operate(vm, "GET", path, &Value::Null).await;
-        answer.map(|answer| answer.json()).unwrap_or_default()
+    /// The JSON document at an operator's path; `Null` if the daemon does not respond.
+    pub async fn read_json(&self, vm: &str, path: &str) -> Value {
+        let response = self.send_operator_request(vm, "GET", path, &Value::Null).await;
+        response.map(|response| response.json()).unwrap_or_default()
     }
 
     /// Proposes a change of `part` once.
@@ -349,31 +349,31 @@
         body: Value,
     ) -> io::Result<BufferedResponse> {
         let change = json!({ "operation": operation, "expected": expected, part: body });
-        self.operate(vm, "PUT", &format!("/v1/{part}"), &change).await
+        self.send_operator_request(vm, "PUT", &format!("/v1/{part}"), &change).await
     }
 
     /// Proposes a change of `part` repeatedly until it is accepted, which may take an election.
     pub async fn change(&self, vm: &str, part: &str, operation: &str, expected: u64, body: Value) {
-        self.wait(&format!("{vm} accepts {operation}"), async || {
-            let answer = self.propose(vm, part, operation, expected, body.clone()).await;
-            let answer = answer.expect("operators are answered");
-            assert!(matches!(answer.status.as_u16(), 200 | 503 | 504), "{:?}", answer.body);
-            answer.status == 200
+        self.wait_until(&format!("{vm} accepts {operation}"), async || {
+            let response = self.propose(vm, part, operation, expected, body.clone()).await;
+            let response = response.expect("operators are answered");
+            assert!(matches!(response.status.as_u16(), 200 | 503 | 504), "{:?}", response.body);
+            response.status == 200
         })
         .await;
     }
 
-    /// The revision in force at a daemon; 0 if it does not answer.
+    /// The revision in force at a daemon; 0 if it does not respond.
     pub async fn revision(&self, vm: &str) -> u64 {
-        self.read(vm, "/v1/status").await["revision"].as_u64().unwrap_or_default()
+        self.read_json(vm, "/v1/status").await["revision"].as_u64().unwrap_or_default()
     }
 
     /// Waits until a daemon has at least this revision and reports the servers of its failure
     /// domain as alive. Other servers are not awaited, since a partition prevents the digests about
     /// them.
     pub async fn wait_ready(&self, vm: &str, revision: u64) {
-        self.wait(&format!("{vm} has revision {revision} and its servers"), async || {
-            let servers = self.read(vm, "/v1/servers").await;
+        self.wait_until(&format!("{vm} has revision {revision} and its servers"), async || {
+            let servers = self.read_json(vm, "/v1/servers").await;
             let servers = servers.as_array().cloned().unwrap_or_default();
             let own = servers.iter().filter(|server| server["failure_domain"] == domain_of(vm));
             let alive = own.filter(|server| server["health"] == "alive").count();
@@ -385,10 +385,10 @@
     /// Waits until one of these VMs leads and all of them report it as the leader.
     pub async fn wait_leader(&self, vms: &[&str]) -> String {
         let found: Mutex<String> = Mutex::default();
-        self.wait(&format!("a leader of {vms:?}"), async || {
+        self.wait_until(&format!("a leader of {vms:?}"), async || {
             let mut leaders = BTreeSet::new();
             for vm in vms {
-                leaders.insert(self.read(vm, "/v1/status").await["leader"].to_string());
+                leaders.insert(self.read_json(vm, "/v1/status").await["leader"].to_string());
             }
             let leader = leaders.pop_first().unwrap_or_default().trim_matches('"').to_owned();
             let is_one = leaders.is_empty() && vms.contains(&leader.as_str());
@@ -453,8 +453,8 @@
 }
 
 /// The `did_run` field of a refusal; `"yes"` for an answer of the service.
-pub fn did_run(answer: &BufferedResponse) -> String {
-    answer.json()["error"]["did_run"].as_str().unwrap_or("yes").to_owned()
+pub fn did_run(response: &BufferedResponse) -> String {
+    response.json()["error"]["did_run"].as_str().unwrap_or("yes").to_owned()
 }
 
 fn chat_body(question: &str, tokens: u64) -> Value {
--- a/tests/fakes/fake_operator.rs
+++ b/tests/fakes/fake_operator.rs
@@ -25,7 +25,7 @@
 
 /// Outcome of all proposals to a fake daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProposalOutcome {
+pub enum ScriptedOutcome {
     /// The proposal is committed and its response arrives.
     Answered,
     /// The proposal is committed and its response is lost.
@@ -83,19 +83,19 @@
 
 struct FakeControl {
     log: Arc<FakeLog>,
-    outcome: ProposalOutcome,
+    outcome: ScriptedOutcome,
 }
 
 impl ControlPort for FakeControl {
     fn propose(&self, command: Command) -> BoxFuture<'_, Result<CommandOutcome, ProposeError>> {
         Box::pin(async move {
             match self.outcome {
-                ProposalOutcome::Answered => Ok(self.log.commit(command)),
-                ProposalOutcome::ResponseLost => {
+                ScriptedOutcome::Answered => Ok(self.log.commit(command)),
+                ScriptedOutcome::ResponseLost => {
                     self.log.commit(command);
                     Err(ProposeError::OutcomeUnknown)
                 }
-                ProposalOutcome::NoQuorum => Err(ProposeError::NoQuorum),
+                ScriptedOutcome::NoQuorum => Err(ProposeError::NoQuorum),
             }
         })
     }
@@ -170,7 +170,7 @@
 /// Serves the operators' API of one daemon until the test's runtime ends, and returns its URL.
 pub async fn serve_operator(
     log: &Arc<FakeLog>,
-    outcome: ProposalOutcome,
+    outcome: ScriptedOutcome,
     state: DaemonState,
 ) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
--- a/tests/fakes/memory_files.rs
+++ b/tests/fakes/memory_files.rs
@@ -21,26 +21,26 @@
     /// Free space in bytes; a write beyond it is truncated and fails.
     pub space: Option<usize>,
     pub sync_fails: bool,
-    /// Blocks syncs while the gate is shut.
+    /// Blocks syncs while the gate is closed.
     pub gate: Arc<SyncGate>,
 }
 
 /// Blocks syncs, as an unresponsive disk does.
 #[derive(Debug, Default)]
 pub struct SyncGate {
-    shut: Mutex<bool>,
-    moved: Condvar,
+    closed: Mutex<bool>,
+    changed: Condvar,
 }
 
 impl SyncGate {
-    pub fn set(&self, shut: bool) {
-        *self.shut.lock().expect("no test panics while it holds the gate") = shut;
-        self.moved.notify_all();
+    pub fn set_closed(&self, closed: bool) {
+        *self.closed.lock().expect("no test panics while it holds the gate") = closed;
+        self.changed.notify_all();
     }
 
-    fn pass(&self) {
-        let shut = self.shut.lock().expect("no test panics while it holds the gate");
-        drop(self.moved.wait_while(shut, |shut| *shut));
+    fn wait_until_open(&self) {
+        let closed = self.closed.lock().expect("no test panics while it holds the gate");
+        drop(self.changed.wait_while(closed, |closed| *closed));
     }
 }
 
@@ -68,11 +68,11 @@
 
     pub fn content(&self) -> BTreeMap<String, Vec<u8>> {
         let image = self.image();
-        image.files.iter().map(|(name, bytes)| (name.clone(), held(bytes).clone())).collect()
+        image.files.iter().map(|(name, bytes)| (name.clone(), lock_bytes(bytes).clone())).collect()
     }
 }
 
-fn held(bytes: &FileBytes) -> MutexGuard<'_, Vec<u8>> {
+fn lock_bytes(bytes: &FileBytes) -> MutexGuard<'_, Vec<u8>> {
     bytes.lock().expect("no test panics while it holds a file")
 }
 
@@ -81,14 +81,14 @@
         let mut image = self.image.lock().expect("no test panics while it holds the image");
         let fits = image.space.map_or(bytes.len(), |space| space.min(bytes.len()));
         image.space = image.space.map(|space| space - fits);
-        held(&self.bytes).extend_from_slice(&bytes[..fits]);
+        lock_bytes(&self.bytes).extend_from_slice(&bytes[..fits]);
         if fits < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
     fn sync(&mut self) -> io::Result<()> {
         let image = || self.image.lock().expect("no test panics while it holds the image");
         let gate = image().gate.clone();
-        gate.pass();
+        gate.wait_until_open();
         if image().sync_fails { Err(io::Error::other("the disk fails")) } else { Ok(()) }
     }
 }
--- a/tests/fakes/replica_group.rs
+++ b/tests/fakes/replica_group.rs
@@ -131,7 +131,7 @@
         group
     }
 
-    pub fn below(&mut self, bound: u64) -> u64 {
+    pub fn random_below(&mut self, bound: u64) -> u64 {
         self.random.next_u64() % bound
     }
 
@@ -294,7 +294,7 @@
             let ((_, _), (from, to, message)) = self.network.pop_first().expect("it was seen");
             self.deliver(from, to, message);
         } else if let Some((_, vm)) = node {
-            self.wake(&vm);
+            self.handle_due(&vm);
         }
     }
 
@@ -308,7 +308,7 @@
         }
     }
 
-    fn wake(&mut self, vm: &str) {
+    fn handle_due(&mut self, vm: &str) {
         let now = self.now;
         let node = self.nodes.get_mut(vm).expect("the VM is one of the group");
         let mut input = ReplicaInput::Tick;
@@ -331,25 +331,25 @@
             return;
         };
         for action in replica.handle(now, input) {
-            self.carry_out(vm, action);
+            self.perform(vm, action);
         }
         self.check(vm);
     }
 
-    fn carry_out(&mut self, vm: &str, action: ReplicaAction) {
+    fn perform(&mut self, vm: &str, action: ReplicaAction) {
         match action {
             ReplicaAction::Persist(batch) => {
                 let slowest = self.nodes[vm].slowest_sync.as_micros() as u64;
-                let pause = Duration::from_micros(200 + self.below(slowest));
+                let pause = Duration::from_micros(200 + self.random_below(slowest));
                 let node = self.nodes.get_mut(vm).expect("the VM is one of the group");
                 let before = node.unsynced.back().map_or(self.now, |(at, _)| *at);
                 node.unsynced.push_back((before.max(self.now) + pause, batch));
             }
             ReplicaAction::Send { to, message } => {
-                let copies = 1 + u64::from(self.below(100) < self.faults.duplicate);
+                let copies = 1 + u64::from(self.random_below(100) < self.faults.duplicate);
                 for _ in 0..copies {
-                    if self.below(100) >= self.faults.drop {
-                        let delay = self.below(self.faults.delay.as_micros() as u64 + 1);
+                    if self.random_below(100) >= self.faults.drop {
+                        let delay = self.random_below(self.faults.delay.as_micros() as u64 + 1);
                         let is_bulk = message.bytes() > BULK_BYTES;
                         let more = if is_bulk { self.bulk_delay } else { Duration::ZERO };
                         let at = self.now + Duration::from_micros(100 + delay) + more;
@@ -360,8 +360,8 @@
                 }
             }
             ReplicaAction::Completed { proposal, outcome } => {
-                let again = self.outcomes.insert(proposal, outcome);
-                assert!(again.is_none(), "a proposal is completed once");
+                let previous = self.outcomes.insert(proposal, outcome);
+                assert!(previous.is_none(), "a proposal is completed once");
             }
             ReplicaAction::Report(text) => panic!("{vm} at seed {}: {text}", self.seed),
         }
@@ -404,17 +404,22 @@
             assert!(*agreed == state, "seed {seed}: {vm} has another state at {}", status.applied);
         }
         if status.role == ReplicaRole::Leader {
-            let place = (vm.to_owned(), status.incarnation);
+            let replica_incarnation = (vm.to_owned(), status.incarnation);
             if !self.leaders.contains_key(&status.term) {
                 // A leader of an earlier term may still be elected late; it commits nothing.
-                let held = |index| replica.entry(index);
+                let entry_at = |index| replica.entry(index);
                 for (index, (entry, term)) in self.committed.range(replica.base() + 1..) {
-                    let kept = *term >= status.term || held(*index) == Some(entry);
+                    let kept = *term >= status.term || entry_at(*index) == Some(entry);
                     assert!(kept, "seed {seed}: leader {vm} lacks entry {index}");
                 }
             }
-            let leader = self.leaders.entry(status.term).or_insert_with(|| place.clone());
-            assert_eq!(*leader, place, "seed {seed}: two leaders in term {}", status.term);
+            let leader =
+                self.leaders.entry(status.term).or_insert_with(|| replica_incarnation.clone());
+            assert_eq!(
+                *leader, replica_incarnation,
+                "seed {seed}: two leaders in term {}",
+                status.term
+            );
         }
     }
 }
--- a/tests/fakes/udp_relay.rs
+++ b/tests/fakes/udp_relay.rs
@@ -16,9 +16,9 @@
 };
 
 /// Ticks a second of a rate-limited link.
-const TICKS_A_SECOND: u32 = 1_000;
+const TICKS_PER_SECOND: u32 = 1_000;
 const TICK: Duration =
-    Duration::from_secs(1).checked_div(TICKS_A_SECOND).expect("the divisor is not zero");
+    Duration::from_secs(1).checked_div(TICKS_PER_SECOND).expect("the divisor is not zero");
 /// More than the maximum length of a UDP packet.
 const PACKET_BYTES: usize = 65_536;
 
@@ -27,7 +27,7 @@
     /// The address of each daemon; packets from other addresses are dropped.
     daemons: BTreeMap<String, SocketAddr>,
     /// Pairs of daemons that cannot reach each other, each in both orders.
-    cuts: BTreeSet<(String, String)>,
+    blocked_links: BTreeSet<(String, String)>,
     /// Rate limits of the links to daemons in bytes a second; without an entry there is none.
     rates: BTreeMap<String, u32>,
 }
@@ -68,7 +68,7 @@
         let others = self.ports.keys().filter(|other| *other != vm);
         for other in others.filter(|other| !reachable.contains(&other.as_str())) {
             let pair = (vm.to_owned(), other.clone());
-            lock(&self.table).cuts.extend([(pair.1.clone(), pair.0.clone()), pair]);
+            lock(&self.table).blocked_links.extend([(pair.1.clone(), pair.0.clone()), pair]);
         }
     }
 
@@ -79,7 +79,7 @@
 
     /// Heals all partitions.
     pub fn heal(&self) {
-        lock(&self.table).cuts.clear();
+        lock(&self.table).blocked_links.clear();
     }
 }
 
@@ -91,13 +91,13 @@
 fn destination(table: &Mutex<RelayTable>, source: SocketAddr, to: &str) -> Option<SocketAddr> {
     let table = lock(table);
     let (from, _) = table.daemons.iter().find(|(_, address)| **address == source)?;
-    let is_cut = table.cuts.contains(&(from.clone(), to.to_owned()));
-    table.daemons.get(to).copied().filter(|_| !is_cut)
+    let is_blocked = table.blocked_links.contains(&(from.clone(), to.to_owned()));
+    table.daemons.get(to).copied().filter(|_| !is_blocked)
 }
 
 async fn relay_to(to: String, port: Arc<UdpSocket>, table: Arc<Mutex<RelayTable>>) {
     let mut senders: BTreeMap<SocketAddr, Arc<UdpSocket>> = BTreeMap::new();
-    let mut answers = JoinSet::new();
+    let mut replies = JoinSet::new();
     let mut packet = vec![0; PACKET_BYTES];
     loop {
         let Ok((length, source)) = port.recv_from(&mut packet).await else { continue };
@@ -106,19 +106,19 @@
             let sender = UdpSocket::bind("127.0.0.1:0").await.expect("a port is free");
             let sender = Arc::clone(vacant.insert(Arc::new(sender)));
             let (port, table) = (Arc::clone(&port), Arc::clone(&table));
-            answers.spawn(relay_back(source, to.clone(), sender, port, table));
+            replies.spawn(relay_back(source, to.clone(), sender, port, table));
         }
         // A packet that cannot be sent is lost, as on a real network.
         let _ = senders[&source].send_to(&packet[..length], address).await;
         // A rate-limited link is busy with this packet for a while; others wait in the port's
         // buffer.
         let rate = lock(&table).rates.get(&to).copied();
-        let (mut left, mut ticks) = (length, interval(TICK));
-        while let Some(each) = rate.map(|rate| (rate / TICKS_A_SECOND) as usize)
-            && left > 0
+        let (mut remaining, mut ticks) = (length, interval(TICK));
+        while let Some(each) = rate.map(|rate| (rate / TICKS_PER_SECOND) as usize)
+            && remaining > 0
         {
             ticks.tick().await;
-            left = left.saturating_sub(each);
+            remaining = remaining.saturating_sub(each);
         }
     }
 }
--- a/tests/fleet_list.rs
+++ b/tests/fleet_list.rs
@@ -14,7 +14,7 @@
     tokio::time::{interval, timeout},
 };
 
-fn list(phase: ServerPhase, incarnation: u64) -> FleetSnapshot {
+fn fleet_with(phase: ServerPhase, incarnation: u64) -> FleetSnapshot {
     FleetSnapshot::new(vec![ListedServer {
         id: "i-1".to_owned(),
         service: "app".to_owned(),
@@ -27,7 +27,7 @@
     }])
 }
 
-fn listed(state: &mut SharedState, fleet: FleetSnapshot) -> ServerPhase {
+fn phase_after(state: &mut SharedState, fleet: FleetSnapshot) -> ServerPhase {
     state.apply(FollowReply { fleet: Some(fleet), ..FollowReply::default() });
     state.fleet.as_ref().expect("a list was applied").servers[0].phase
 }
@@ -38,11 +38,14 @@
 #[test]
 fn draining_server_stays_draining() {
     let mut state = SharedState::default();
-    assert_eq!(listed(&mut state, list(ServerPhase::Ready, 1)), ServerPhase::Ready);
-    assert_eq!(listed(&mut state, list(ServerPhase::Draining, 1)), ServerPhase::Draining);
-    assert_eq!(listed(&mut state, list(ServerPhase::Ready, 1)), ServerPhase::Draining);
+    assert_eq!(phase_after(&mut state, fleet_with(ServerPhase::Ready, 1)), ServerPhase::Ready);
     assert_eq!(
-        listed(&mut state, list(ServerPhase::Ready, 2)),
+        phase_after(&mut state, fleet_with(ServerPhase::Draining, 1)),
+        ServerPhase::Draining
+    );
+    assert_eq!(phase_after(&mut state, fleet_with(ServerPhase::Ready, 1)), ServerPhase::Draining);
+    assert_eq!(
+        phase_after(&mut state, fleet_with(ServerPhase::Ready, 2)),
         ServerPhase::Ready,
         "a new incarnation"
     );
@@ -53,28 +56,28 @@
 #[test]
 fn digest_matches_sender() {
     let mut state = SharedState::default();
-    listed(&mut state, list(ServerPhase::Draining, 1));
-    let older = list(ServerPhase::Ready, 1);
-    listed(&mut state, older.clone());
+    phase_after(&mut state, fleet_with(ServerPhase::Draining, 1));
+    let older = fleet_with(ServerPhase::Ready, 1);
+    phase_after(&mut state, older.clone());
     assert_eq!(state.fleet_digest, older.digest());
 }
 
 #[test]
-fn numbers_only_grow() {
+fn older_numbers_are_ignored() {
     let mut state = SharedState::default();
-    for (number, version, held) in [(5, 2, (5, 2)), (4, 1, (5, 2)), (6, 3, (6, 3))] {
+    for (number, version, expected) in [(5, 2, (5, 2)), (4, 1, (5, 2)), (6, 3, (6, 3))] {
         state.apply(FollowReply {
             document: Some(NumberedDocument { number, body: "{}".into() }),
             weights: Some([("m0".to_owned(), version)].into()),
             ..FollowReply::default()
         });
-        assert_eq!((state.document.number, state.weights["m0"]), held);
+        assert_eq!((state.document.number, state.weights["m0"]), expected);
     }
 }
 
 fn fleet_of(count: u64, phase_of: impl Fn(u64) -> ServerPhase) -> Arc<FleetSnapshot> {
     let servers = (0..count).map(|number| {
-        let mut server = list(phase_of(number), 1).servers.remove(0);
+        let mut server = fleet_with(phase_of(number), 1).servers.remove(0);
         server.id = format!("i-{number:04}");
         server.weights = [("m0".to_owned(), 1)].into();
         server
@@ -132,7 +135,7 @@
 
 /// Guards against a list assembled from two others: a difference applies only to its own base.
 #[test]
-fn other_base_ignored() {
+fn delta_for_other_base_is_ignored() {
     let (one, other) = (fleet_of(3, |_| ServerPhase::Ready), fleet_of(3, |_| ServerPhase::Loading));
     let mut history = FleetHistory::default();
     history.change_since(0, &one);
--- a/tests/healing_simulation.rs
+++ b/tests/healing_simulation.rs
@@ -101,7 +101,7 @@
 
     fn some_vm(&mut self) -> VmId {
         let vms = self.vms();
-        vms[self.group.below(vms.len() as u64) as usize].clone()
+        vms[self.group.random_below(vms.len() as u64) as usize].clone()
     }
 
     /// Advances the time; each replica that leads repairs the group.
@@ -122,10 +122,10 @@
     }
 
     fn send_document(&mut self) {
-        self.next += 1 + self.group.below(3);
+        self.next += 1 + self.group.random_below(3);
         let command = Command::PutDocument { number: self.next, body: "x".repeat(50) };
         let vm = match self.group.leader() {
-            Some(leader) if self.group.below(4) > 0 => leader,
+            Some(leader) if self.group.random_below(4) > 0 => leader,
             _ => self.some_vm(),
         };
         let proposal = self.group.propose(&vm, command);
@@ -153,21 +153,22 @@
 
     fn inject_fault(&mut self) {
         let vm = self.some_vm();
-        match self.group.below(14) {
+        match self.group.random_below(14) {
             0 => self.group.crash(&vm),
             1 | 2 => {
                 self.group.crash(&vm);
                 self.start(&vm);
             }
             3 => {
-                let pause = Duration::from_millis(self.group.below(6_000));
+                let pause = Duration::from_millis(self.group.random_below(6_000));
                 self.group.pause(&vm, pause);
             }
             4 | 5 => self.partition(&vm),
             6 => self.group.blocked_links.clear(),
             7 => {
-                let delay = Duration::from_millis([2, 20, 60, 400][self.group.below(4) as usize]);
-                let drop = [0, 5, 25][self.group.below(3) as usize];
+                let delay =
+                    Duration::from_millis([2, 20, 60, 400][self.group.random_below(4) as usize]);
+                let drop = [0, 5, 25][self.group.random_below(3) as usize];
                 self.group.faults = NetworkFaults { drop, duplicate: drop, delay };
             }
             // Power loss of all VMs, right after the last acknowledgement.
@@ -229,7 +230,7 @@
     }
 
     fn partition(&mut self, vm: &VmId) {
-        let ways = self.group.below(3);
+        let ways = self.group.random_below(3);
         for other in self.vms().into_iter().filter(|other| other != vm) {
             if ways != 0 {
                 self.group.blocked_links.insert((vm.clone(), other.clone()));
@@ -276,15 +277,15 @@
     let mut simulation = HealingSimulation::new(seed, named);
     simulation.advance(Duration::from_secs(3));
     for _ in 0..ROUNDS {
-        let pause = Duration::from_millis(simulation.group.below(400));
+        let pause = Duration::from_millis(simulation.group.random_below(400));
         simulation.advance(pause);
-        if simulation.group.below(2) == 0 {
+        if simulation.group.random_below(2) == 0 {
             simulation.send_document();
         }
         // Faults follow within a few milliseconds, so that messages are in transit.
-        let pause = Duration::from_micros(simulation.group.below(12_000));
+        let pause = Duration::from_micros(simulation.group.random_below(12_000));
         simulation.advance(pause);
-        if simulation.group.below(5) == 0 {
+        if simulation.group.random_below(5) == 0 {
             simulation.inject_fault();
         }
     }
--- a/tests/isolated_leader.rs
+++ b/tests/isolated_leader.rs
@@ -26,7 +26,8 @@
     // leader.
     group.isolate_domain(&leader[..1]);
     let change = group.propose(&leader, "rules", "lost", 2, group.rules(9.0));
-    let (change, call) = join(change, group.call_once(&leader, "k", LONG_DEADLINE_MS)).await;
+    let (change, call) =
+        join(change, group.call_non_repeatable(&leader, "k", LONG_DEADLINE_MS)).await;
     let change = change.expect("operators are answered");
     assert!(matches!(change.status.as_u16(), 503 | 504), "{change:?}");
     let call = call.expect("callers are answered");
@@ -38,28 +39,33 @@
         group.change(others[0], "rules", &format!("change-{number}"), number - 1, rules).await;
     }
     group
-        .wait("the others execute the call", async || {
-            let answer =
-                group.call_once(others[1], "k", LONG_DEADLINE_MS).await.expect("it is answered");
+        .wait_until("the others execute the call", async || {
+            let answer = group
+                .call_non_repeatable(others[1], "k", LONG_DEADLINE_MS)
+                .await
+                .expect("it is answered");
             answer.status == 200
         })
         .await;
     assert_eq!(group.runs_of("k"), 1);
     assert_eq!(group.revision(&leader).await, 2);
-    let again = group.call_once(&leader, "late", LONG_DEADLINE_MS).await.expect("it is answered");
+    let again =
+        group.call_non_repeatable(&leader, "late", LONG_DEADLINE_MS).await.expect("it is answered");
     assert_eq!((did_run(&again).as_str(), group.runs_of("late")), ("no", 0));
     group.heal();
     group.wait_ready(&leader, 7).await;
     group.wait_leader(&VMS).await;
     // The change of the former leader has not taken effect, and the call was not executed again.
     for vm in VMS {
-        let config = group.read(vm, "/v1/config").await;
+        let config = group.read_json(vm, "/v1/config").await;
         let weight = &config["rules"]["organisations"][0]["weight"];
         assert_eq!((&config["revision"], weight), (&7.into(), &7.0.into()), "{vm}");
         group
-            .wait(&format!("{vm} returns the stored answer"), async || {
-                let answer =
-                    group.call_once(vm, "k", LONG_DEADLINE_MS).await.expect("it is answered");
+            .wait_until(&format!("{vm} returns the stored answer"), async || {
+                let answer = group
+                    .call_non_repeatable(vm, "k", LONG_DEADLINE_MS)
+                    .await
+                    .expect("it is answered");
                 answer.status == 200
             })
             .await;
--- a/tests/leaving_server.rs
+++ b/tests/leaving_server.rs
@@ -63,7 +63,7 @@
     }
 }
 
-fn answer(leaving: bool) -> ProbeResult {
+fn alive_result(leaving: bool) -> ProbeResult {
     ProbeResult::Alive { incarnation: 1, leaving, report: None }
 }
 
@@ -81,16 +81,16 @@
 #[tokio::test(start_paused = true)]
 async fn leaving_and_unresponsive_servers_are_detected_in_time() {
     let probe = Arc::new(FakeProbe::default());
-    probe.set("s", answer(false));
+    probe.set("s", alive_result(false));
     let (sender, mut findings) = mpsc::channel(16);
     let monitor = ServerMonitor::start(probe.clone(), sender);
     monitor.configure(&"a1".to_owned(), &config(&["a1"], &[("s", "a")])).await;
     assert_eq!(next_health(&mut findings).await, ALIVE);
     for (result, expected) in [
-        (Some(answer(true)), ServerHealth::Leaving),
-        (Some(answer(false)), ALIVE),
+        (Some(alive_result(true)), ServerHealth::Leaving),
+        (Some(alive_result(false)), ALIVE),
         (None, ServerHealth::Dead),
-        (Some(answer(false)), ALIVE),
+        (Some(alive_result(false)), ALIVE),
         (Some(ProbeResult::NoAnswer), ServerHealth::Dead),
     ] {
         match result {
--- a/tests/log_budget.rs
+++ b/tests/log_budget.rs
@@ -12,14 +12,14 @@
     },
 };
 
-fn record(log: &BoundedLog, level: Level, text: &str) {
+fn log_record(log: &BoundedLog, level: Level, text: &str) {
     log.log(&Record::builder().level(level).target("test").args(format_args!("{text}")).build());
 }
 
 #[derive(Clone, Default)]
-struct Sink(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Sink {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().expect("no writer panics").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -42,18 +42,18 @@
     };
     let (log, writer) = BoundedLog::new(LevelFilter::Info, budget);
     for number in 0..50_000 {
-        record(&log, Level::Info, &format!("routine {number}"));
+        log_record(&log, Level::Info, &format!("routine {number}"));
     }
     for number in 0..20 {
-        record(&log, Level::Warn, &format!("failed {number}"));
+        log_record(&log, Level::Warn, &format!("failed {number}"));
     }
     for number in 0..50_000 {
-        record(&log, Level::Warn, &format!("more {number}"));
+        log_record(&log, Level::Warn, &format!("more {number}"));
     }
     drop(log);
-    let sink = Sink::default();
-    writer.run(sink.clone());
-    let bytes = sink.0.lock().expect("no writer panics").clone();
+    let buffer = SharedBuffer::default();
+    writer.run(buffer.clone());
+    let bytes = buffer.0.lock().expect("no writer panics").clone();
     let text = String::from_utf8(bytes).expect("records are text");
     assert!((0..20).all(|number| text.contains(&format!("\"failed {number}\""))), "{text}");
     assert!(text.lines().count() <= 65, "the queue and the record of dropped records");
@@ -74,9 +74,9 @@
         }
     }
     let (log, writer) = BoundedLog::new(LevelFilter::Info, LogBudget::default());
-    record(&log, Level::Warn, "one");
+    log_record(&log, Level::Warn, "one");
     writer.run(ClosedPipe);
-    (0..5_000).for_each(|_| record(&log, Level::Warn, "more"));
+    (0..5_000).for_each(|_| log_record(&log, Level::Warn, "more"));
 }
 
 /// Without limits, a caller that requests thousands of unknown paths per second fills the disk of the
@@ -86,12 +86,12 @@
 fn limits_apply_to_all_records() {
     let logged = |budget: LogBudget, level: Level, text: &str| {
         let (log, writer) = BoundedLog::new(LevelFilter::Info, budget);
-        (0..1_000).for_each(|_| record(&log, level, text));
-        record(&log, Level::Error, "the last failure");
+        (0..1_000).for_each(|_| log_record(&log, level, text));
+        log_record(&log, Level::Error, "the last failure");
         drop(log);
-        let sink = Sink::default();
-        writer.run(sink.clone());
-        let bytes = sink.0.lock().expect("no writer panics").clone();
+        let buffer = SharedBuffer::default();
+        writer.run(buffer.clone());
+        let bytes = buffer.0.lock().expect("no writer panics").clone();
         let text = String::from_utf8(bytes).expect("records are text");
         (text.lines().filter(|line| line.contains("test")).count(), text.len(), text)
     };
--- a/tests/lost_voter.rs
+++ b/tests/lost_voter.rs
@@ -23,8 +23,9 @@
 async fn call_until_answered(group: &DaemonGroup, vm: &str, key: &str) -> Value {
     let body = Mutex::default();
     group
-        .wait(&format!("{vm} answers {key}"), async || {
-            let answer = group.call_once(vm, key, LONG_DEADLINE_MS).await.expect("it is answered");
+        .wait_until(&format!("{vm} answers {key}"), async || {
+            let answer =
+                group.call_non_repeatable(vm, key, LONG_DEADLINE_MS).await.expect("it is answered");
             assert_ne!(did_run(&answer), "unknown", "an acknowledged call is lost: {answer:?}");
             *body.lock().expect("no holder panics") = answer.json();
             answer.status == 200
@@ -36,7 +37,7 @@
 
 /// The entry of the replica on `other` in the list of `vm`; `Null` if there is none.
 async fn replica_entry(group: &DaemonGroup, vm: &str, other: &str) -> Value {
-    let replicas = group.read(vm, "/v1/replicas").await;
+    let replicas = group.read_json(vm, "/v1/replicas").await;
     let mut entries = replicas.as_array().cloned().unwrap_or_default().into_iter();
     entries.find(|entry| entry["vm"] == other).unwrap_or_default()
 }
@@ -59,10 +60,12 @@
     // remaining VM also lists the new replica as a voter.
     let is_done = AtomicBool::new(false);
     group
-        .wait("the new replica votes", async || {
+        .wait_until("the new replica votes", async || {
             if !is_done.load(Ordering::SeqCst) {
                 let order = json!({ "vm": lost });
-                let sent = group.operate(second, "POST", "/v1/replicas/replace", &order).await;
+                let sent = group
+                    .send_operator_request(second, "POST", "/v1/replicas/replace", &order)
+                    .await;
                 let status = sent.expect("operators are answered").status;
                 is_done.store(status == 200, Ordering::SeqCst);
             }
@@ -79,7 +82,8 @@
         }
         assert_eq!(call_until_answered(&group, vm, "meanwhile").await["run"], 1);
         group.wait_ready(vm, 3).await;
-        let weight = &group.read(vm, "/v1/config").await["rules"]["organisations"][0]["weight"];
+        let weight =
+            &group.read_json(vm, "/v1/config").await["rules"]["organisations"][0]["weight"];
         assert_eq!(weight, 3.0, "{vm}");
     }
     group.change(lost, "rules", "fourth", 3, group.rules(4.0)).await;
--- a/tests/non_repeatable_calls.rs
+++ b/tests/non_repeatable_calls.rs
@@ -28,7 +28,7 @@
     wait: &str,
     earlier: &[&str],
 ) -> String {
-    let response = group.call_once(vm, key, wait).await;
+    let response = group.call_non_repeatable(vm, key, wait).await;
     let result = response.as_ref().map_or("lost".to_owned(), did_run);
     let runs = group.runs_of(key);
     let surely_not_run = result == "no" && earlier.iter().all(|result| *result == "no");
@@ -48,7 +48,7 @@
 async fn retry_call(group: &DaemonGroup, vm: &str, key: &str, wait: &str) -> String {
     let result: Mutex<String> = Mutex::default();
     group
-        .wait(&format!("{vm} does not refuse {key}"), async || {
+        .wait_until(&format!("{vm} does not refuse {key}"), async || {
             let response = call_once(group, vm, key, wait, &["lost"]).await;
             *result.lock().expect("no holder panics") = response.clone();
             response != "no"
@@ -63,7 +63,7 @@
     group.hold_services();
     let sent = call_once(&group, "a-1", "k", LONG_DEADLINE_MS, &[]);
     let retried = async {
-        group.wait("the service runs it", async || group.runs_of("k") == 1).await;
+        group.wait_until("the service runs it", async || group.runs_of("k") == 1).await;
         retry_call(&group, "b-1", "k", SHORT_DEADLINE_MS).await
     };
     let killed = async {
@@ -97,7 +97,7 @@
     let retries = async {
         // Some calls are claimed, some sent and some answered when the holder is paused.
         let ran = async || keys.iter().any(|key| group.runs_of(key) == 1);
-        group.wait("a call runs", ran).await;
+        group.wait_until("a call runs", ran).await;
         group.pause("a-1");
         let retried =
             keys.iter().map(|key| call_once(&group, "b-1", key, SHORT_DEADLINE_MS, &["lost"]));
@@ -123,12 +123,13 @@
     let group = DaemonGroup::start(&VMS).await;
     group.hold_services();
     let retries = async {
-        group.wait("the service runs it", async || group.runs_of("k") == 1).await;
+        group.wait_until("the service runs it", async || group.runs_of("k") == 1).await;
         group.isolate_domain("a");
         group.wait_leader(&["b-1", "c-1"]).await;
         assert_eq!(retry_call(&group, "b-1", "k", SHORT_DEADLINE_MS).await, "unknown");
         // Without a quorum nothing is claimed, so that the call cannot run later.
-        let refused = group.call_once("a-1", "new", LONG_DEADLINE_MS).await.expect("a response");
+        let refused =
+            group.call_non_repeatable("a-1", "new", LONG_DEADLINE_MS).await.expect("a response");
         assert_eq!((refused.status.as_u16(), refused.code().as_str()), (503, "no_quorum"));
         assert_eq!((did_run(&refused).as_str(), group.runs_of("new")), ("no", 0));
         group.release_services();
@@ -147,7 +148,8 @@
     assert_eq!(retry_call(&group, "a-1", "k", SHORT_DEADLINE_MS).await, "unknown");
     assert_eq!(retry_call(&group, "b-1", "k", SHORT_DEADLINE_MS).await, "unknown");
     group.release_services();
-    let response = group.call_once("c-1", "k", LONG_DEADLINE_MS).await.expect("a response");
+    let response =
+        group.call_non_repeatable("c-1", "k", LONG_DEADLINE_MS).await.expect("a response");
     assert_eq!((response.status.as_u16(), &response.json()["run"]), (200, &json!(1)));
     assert_eq!(group.runs_of("k"), 1);
 }
--- a/tests/operator_client.rs
+++ b/tests/operator_client.rs
@@ -4,7 +4,7 @@
 mod fake_operator;
 
 use {
-    fake_operator::{FakeLog, ProposalOutcome, serve_operator},
+    fake_operator::{FakeLog, ScriptedOutcome, serve_operator},
     oleandermount::{http_api::operator::wire::DaemonState, inventory::validate::digest},
     serde_json::Value as JsonValue,
     std::{
@@ -53,7 +53,7 @@
 #[tokio::test]
 async fn register_and_rules_of_one_file_are_applied() {
     let log = FakeLog::new();
-    let url = serve_operator(&log, ProposalOutcome::Answered, DaemonState::Serving).await;
+    let url = serve_operator(&log, ScriptedOutcome::Answered, DaemonState::Serving).await;
     let file = "samples/tuul.toml";
     let first = run(&[&url], &format!("inventory apply {file} --expect-revision 0 --json")).await;
     assert_eq!((first.code, &first.json()["revision"]), (0, &JsonValue::from(1)), "{}", first.err);
@@ -69,7 +69,7 @@
 #[tokio::test]
 async fn conflict_reports_winning_digest() {
     let log = FakeLog::new();
-    let url = serve_operator(&log, ProposalOutcome::Answered, DaemonState::Serving).await;
+    let url = serve_operator(&log, ScriptedOutcome::Answered, DaemonState::Serving).await;
     run(&[&url], "inventory apply samples/tuul.toml --expect-revision 0").await;
     let loser = run(&[&url], "inventory apply samples/abay.toml --expect-revision 0 --json").await;
     assert_eq!(loser.code, 1);
@@ -85,8 +85,8 @@
 #[tokio::test]
 async fn resend_returns_original_result() {
     let log = FakeLog::new();
-    let lossy = serve_operator(&log, ProposalOutcome::ResponseLost, DaemonState::Serving).await;
-    let good = serve_operator(&log, ProposalOutcome::Answered, DaemonState::Serving).await;
+    let lossy = serve_operator(&log, ScriptedOutcome::ResponseLost, DaemonState::Serving).await;
+    let good = serve_operator(&log, ScriptedOutcome::Answered, DaemonState::Serving).await;
     let register = "inventory apply samples/tuul.toml --expect-revision 0 --json";
     let both = run(&[&lossy, &good], register).await;
     assert_eq!((both.code, &both.json()["revision"]), (0, &JsonValue::from(1)));
@@ -114,8 +114,8 @@
 #[tokio::test]
 async fn no_quorum_after_lost_response_is_unknown() {
     let log = FakeLog::new();
-    let lossy = serve_operator(&log, ProposalOutcome::ResponseLost, DaemonState::Serving).await;
-    let alone = serve_operator(&log, ProposalOutcome::NoQuorum, DaemonState::Serving).await;
+    let lossy = serve_operator(&log, ScriptedOutcome::ResponseLost, DaemonState::Serving).await;
+    let alone = serve_operator(&log, ScriptedOutcome::NoQuorum, DaemonState::Serving).await;
     let apply = "inventory apply samples/tuul.toml --expect-revision 0 --json";
     let refused = run(&[&alone], apply).await;
     assert_eq!((refused.code, log.config().revision), (1, 0));
@@ -126,7 +126,7 @@
 #[tokio::test]
 async fn inconsistent_rules_are_refused_with_lines() {
     let log = FakeLog::new();
-    let url = serve_operator(&log, ProposalOutcome::Answered, DaemonState::Serving).await;
+    let url = serve_operator(&log, ScriptedOutcome::Answered, DaemonState::Serving).await;
     run(&[&url], "inventory apply samples/tuul.toml --expect-revision 0").await;
     let faulty = run(&[&url], "rules apply samples/abay.toml --expect-revision 1").await;
     assert!(faulty.code == 1 && faulty.err.contains("line "), "{}", faulty.err);
@@ -143,7 +143,7 @@
 #[tokio::test]
 async fn failures_have_exit_codes() {
     let log = FakeLog::new();
-    let url = serve_operator(&log, ProposalOutcome::Answered, DaemonState::Draining).await;
+    let url = serve_operator(&log, ScriptedOutcome::Answered, DaemonState::Draining).await;
     let closed = "http://127.0.0.1:1".to_owned();
     let cases = [
         (&url, 0, "check samples/abay.toml", "no faults"),
@@ -177,7 +177,7 @@
 #[tokio::test]
 async fn readiness_and_invalid_requests() {
     let log = FakeLog::new();
-    let url = serve_operator(&log, ProposalOutcome::Answered, DaemonState::Draining).await;
+    let url = serve_operator(&log, ScriptedOutcome::Answered, DaemonState::Draining).await;
     let ask = |path: &str| format!("GET {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
     assert!(exchange_raw(&url, ask("/readyz")).await.starts_with("HTTP/1.1 503"));
     assert!(exchange_raw(&url, ask("/healthz")).await.starts_with("HTTP/1.1 200"));
--- a/tests/operator_race.rs
+++ b/tests/operator_race.rs
@@ -18,12 +18,17 @@
 const VMS: [&str; 3] = ["a-1", "b-1", "c-1"];
 const OPERATORS: u64 = 6;
 
-fn vm_of(number: u64) -> &'static str {
+fn vm_of_operator(number: u64) -> &'static str {
     VMS[number as usize % VMS.len()]
 }
 
 /// Sends a change until it has an outcome: status 200 or 409.
-async fn settle(group: &DaemonGroup, vm: &str, operator: u64, expected: u64) -> (u16, Value) {
+async fn change_until_decided(
+    group: &DaemonGroup,
+    vm: &str,
+    operator: u64,
+    expected: u64,
+) -> (u16, Value) {
     let rules = group.rules(1.0 + operator as f64);
     let operation = format!("from-{expected}-by-{operator}");
     let outcome = async {
@@ -36,7 +41,7 @@
             }
         }
     };
-    group.bounded("a change has an outcome", outcome).await
+    group.with_timeout("a change has an outcome", outcome).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -45,8 +50,11 @@
     for expected in 2..6 {
         // Each change is sent to two daemons concurrently, as after a lost answer.
         let sends = (0..OPERATORS).map(|operator| {
-            let first = settle(&group, vm_of(operator), operator, expected);
-            join(first, settle(&group, vm_of(operator + 1), operator, expected))
+            let first = change_until_decided(&group, vm_of_operator(operator), operator, expected);
+            join(
+                first,
+                change_until_decided(&group, vm_of_operator(operator + 1), operator, expected),
+            )
         });
         let outcomes = join_all(sends).await;
         let winners: Vec<_> = outcomes.iter().filter(|(_, known)| known.0 == 200).collect();
@@ -59,7 +67,9 @@
             } else {
                 assert_eq!(known.1["revision"], expected + 1);
             }
-            let resent = settle(&group, vm_of(operator + 2), operator, expected).await;
+            let resent =
+                change_until_decided(&group, vm_of_operator(operator + 2), operator, expected)
+                    .await;
             assert_eq!(resent, *known, "a late repeated request has another result");
         }
     }
--- a/tests/queued_bytes.rs
+++ b/tests/queued_bytes.rs
@@ -61,7 +61,7 @@
     let files = MemoryFiles::default();
     let handle = start_leader(&files).await;
     let gate = files.image().gate.clone();
-    gate.set(true);
+    gate.set_closed(true);
     let mut proposals = JoinSet::new();
     for number in 1..=DOCUMENTS {
         let handle = handle.clone();
@@ -71,7 +71,7 @@
     while let Some(outcome) = proposals.join_next().await {
         busy += usize::from(outcome.expect("it ends") == Err(LocalProposeError::Busy));
     }
-    gate.set(false);
+    gate.set_closed(false);
     // One document is being written, and one waits for room in the queue.
     let most = (INPUT_BYTES + BATCH_BYTES) / DOCUMENT_BYTES + 2;
     assert!(busy + most >= DOCUMENTS as usize, "{busy} of {DOCUMENTS} were refused");
--- a/tests/rejoined_domain.rs
+++ b/tests/rejoined_domain.rs
@@ -25,8 +25,9 @@
     for vm in ["a-1", "a-2"] {
         let reply = group.chat(vm, "does the swap contain nuts?").await.expect("it is answered");
         assert_eq!(reply.status, 200, "{reply:?}");
-        assert_eq!(group.look_up(vm).await.expect("it is answered").status, 200);
-        let refused = group.call_once(vm, vm, LONG_DEADLINE_MS).await.expect("it is answered");
+        assert_eq!(group.call_repeatable(vm).await.expect("it is answered").status, 200);
+        let refused =
+            group.call_non_repeatable(vm, vm, LONG_DEADLINE_MS).await.expect("it is answered");
         assert_eq!((refused.status.as_u16(), refused.code().as_str()), (503, "no_quorum"));
         assert_eq!((did_run(&refused).as_str(), group.runs_of(vm)), ("no", 0));
         assert!(refused.retry_after.is_some());
@@ -41,15 +42,17 @@
     for vm in ["a-1", "a-2"] {
         let highest = AtomicU64::new(2);
         group
-            .wait(&format!("{vm} has the change and executes the call"), async || {
+            .wait_until(&format!("{vm} has the change and executes the call"), async || {
                 let revision = group.revision(vm).await;
                 let before = highest.fetch_max(revision, Ordering::SeqCst);
                 assert!(
                     revision >= before,
                     "the revision of {vm} decreased from {before} to {revision}"
                 );
-                let answer =
-                    group.call_once(vm, vm, LONG_DEADLINE_MS).await.expect("it is answered");
+                let answer = group
+                    .call_non_repeatable(vm, vm, LONG_DEADLINE_MS)
+                    .await
+                    .expect("it is answered");
                 let expected = if answer.status == 200 { 1 } else { 0 };
                 assert_eq!(group.runs_of(vm), expected, "{answer:?}");
                 revision == 3 && expected == 1
--- a/tests/reopened_folder.rs
+++ b/tests/reopened_folder.rs
@@ -124,7 +124,7 @@
     let handle = start_reopening(&files, Duration::from_secs(3_600));
     wait_leading(&handle).await;
     let gate = files.image().gate.clone();
-    gate.set(true);
+    gate.set_closed(true);
     let mut changes = JoinSet::new();
     for number in 1..=3_000 {
         let handle = handle.clone();
@@ -136,7 +136,7 @@
         yield_now().await;
     }
     files.image().sync_fails = true;
-    gate.set(false);
+    gate.set_closed(false);
     let mut status = handle.status_watch();
     let failed = timeout(WAIT_TIMEOUT, status.wait_for(|status| status.failure.is_some())).await;
     drop(failed.expect("the failure is reported").expect("the task runs"));
--- a/tests/replica_simulation.rs
+++ b/tests/replica_simulation.rs
@@ -64,11 +64,11 @@
 
 impl CallerSimulation {
     fn step(&mut self, group: &mut ReplicaGroup) {
-        match group.below(10) {
+        match group.random_below(10) {
             0..4 => self.new_attempt(group),
             4..6 => self.change_config(group),
             6 => {
-                let holder = group.below(3);
+                let holder = group.random_below(3);
                 *self.incarnations.entry(holder).or_insert(1) += 1;
             }
             _ => {}
@@ -77,10 +77,10 @@
     }
 
     fn new_attempt(&mut self, group: &mut ReplicaGroup) {
-        let holder = group.below(3);
+        let holder = group.random_below(3);
         let attempt = self.attempts.len() as AttemptId + 1;
         let incarnation = *self.incarnations.entry(holder).or_insert(1);
-        let key = group.below(KEYS);
+        let key = group.random_below(KEYS);
         let mut call =
             CallAttempt { key, holder, incarnation, attempt, waiting: None, sent: false };
         call.propose(group, CallStep::Reserve);
@@ -88,7 +88,7 @@
     }
 
     fn change_config(&mut self, group: &mut ReplicaGroup) {
-        let name = group.below(1_000_000);
+        let name = group.random_below(1_000_000);
         let expected = group.nodes.values().filter_map(|node| node.replica.as_ref());
         let expected = expected.map(|replica| replica.config().revision).max().unwrap_or(0);
         let operation = format!("change-{name}");
@@ -108,7 +108,7 @@
             let is_current = self.incarnations.get(&call.holder) == Some(&call.incarnation);
             match (step, outcome) {
                 (CallStep::Reserve, Ok(CommandOutcome::Reserved)) if is_current && !call.sent => {
-                    if group.below(4) > 0 {
+                    if group.random_below(4) > 0 {
                         call.sent = true;
                         *self.runs.entry(call.key).or_default() += 1;
                         call.propose(group, CallStep::Close);
@@ -119,7 +119,7 @@
                 (
                     _,
                     Err(LocalProposeError::OutcomeUnknown | LocalProposeError::NotLeader { .. }),
-                ) if is_current && group.below(4) > 0 => {
+                ) if is_current && group.random_below(4) > 0 => {
                     call.propose(group, step);
                 }
                 _ => {}
@@ -171,14 +171,14 @@
 /// Returns the leader in about half of the cases, otherwise any VM.
 fn some_vm(group: &mut ReplicaGroup) -> VmId {
     let count = group.nodes.len() as u64;
-    let other = group.below(count) as usize;
+    let other = group.random_below(count) as usize;
     let other = group.nodes.keys().nth(other).cloned().expect("there are nodes");
-    if group.below(2) == 0 { other } else { group.leader().unwrap_or(other) }
+    if group.random_below(2) == 0 { other } else { group.leader().unwrap_or(other) }
 }
 
 fn inject_fault(group: &mut ReplicaGroup) {
     let vm = some_vm(group);
-    match group.below(18) {
+    match group.random_below(18) {
         0 => group.crash(&vm),
         12 | 13 => {
             group.crash(&vm);
@@ -191,12 +191,12 @@
             }
         }
         17 => {
-            let pause = Duration::from_millis([3, 40, 150][group.below(3) as usize]);
+            let pause = Duration::from_millis([3, 40, 150][group.random_below(3) as usize]);
             group.nodes.get_mut(&vm).expect("it is one of them").slowest_sync = pause;
         }
         1 | 2 => group.start(&vm),
         3 => {
-            let pause = Duration::from_millis(group.below(5000));
+            let pause = Duration::from_millis(group.random_below(5000));
             group.pause(&vm, pause);
         }
         // One disk at a time: without a quorum of disks no protocol can make progress.
@@ -208,8 +208,8 @@
         5 => partition(group, &vm),
         6 | 7 => group.blocked_links.clear(),
         8 => {
-            let delay = Duration::from_millis([2, 20, 60, 400][group.below(4) as usize]);
-            let drop = [0, 5, 25][group.below(3) as usize];
+            let delay = Duration::from_millis([2, 20, 60, 400][group.random_below(4) as usize]);
+            let drop = [0, 5, 25][group.random_below(3) as usize];
             group.faults = NetworkFaults { drop, duplicate: drop, delay };
         }
         _ => repair(group),
@@ -223,7 +223,8 @@
     group.blocked_links.insert((leader.clone(), vm.clone()));
     group.blocked_links.insert((vm.clone(), leader.clone()));
     for _ in 0..6 {
-        let pause = Duration::from_millis(group.below(group.timing.election.as_millis() as u64));
+        let pause =
+            Duration::from_millis(group.random_below(group.timing.election.as_millis() as u64));
         group.run_for(pause);
         for other in group.nodes.keys().cloned().collect::<Vec<_>>() {
             if other != leader && other != *vm && group.nodes[&other].replica.is_some() {
@@ -236,7 +237,7 @@
 
 /// Partitions one replica, in one direction or in both.
 fn partition(group: &mut ReplicaGroup, vm: &VmId) {
-    let ways = group.below(3);
+    let ways = group.random_below(3);
     for other in group.nodes.keys().filter(|other| *other != vm).cloned().collect::<Vec<_>>() {
         if ways != 0 {
             group.blocked_links.insert((vm.clone(), other.clone()));
@@ -290,14 +291,14 @@
         );
     }
     for _ in 0..STEPS {
-        let pause = Duration::from_millis(group.below(300));
+        let pause = Duration::from_millis(group.random_below(300));
         group.run_for(pause);
         callers.step(&mut group);
         // Faults follow within a few milliseconds of the proposals, so that their entries are in
         // transit.
-        let pause = Duration::from_micros(group.below(12_000));
+        let pause = Duration::from_micros(group.random_below(12_000));
         group.run_for(pause);
-        if group.below(5) == 0 {
+        if group.random_below(5) == 0 {
             inject_fault(&mut group);
         }
     }
