--- a/tests/disk_faults.rs
+++ b/tests/disk_faults.rs
@@ -131,7 +131,7 @@
     for (name, bytes) in &content {
         for place in 0..bytes.len() {
             let mut flipped = content.clone();
-            flipped.get_mut(name).expect("it is there")[place] ^= 1 << (place % 8);
+            flipped.get_mut(name).expect("the file exists")[place] ^= 1 << (place % 8);
             assert_eq!(reopen(&flipped), None, "byte {place} of {name}");
         }
     }
@@ -199,7 +199,7 @@
     files.image().sync_fails = false;
     let stopped = status.wait_for(|status| status.failure.is_some()).await;
     let failure = stopped.expect("the status outlives the task").failure.clone();
-    assert!(failure.expect("it is set").contains("sync"), "it names the cause");
+    assert!(failure.expect("the failure is set").contains("sync"), "the failure names the cause");
     let after = handle.propose_local(command).await;
     assert_eq!(after, Err(LocalProposeError::NotLeader { leader: None }));
 }
--- a/tests/fakes/daemon_process.rs
+++ b/tests/fakes/daemon_process.rs
@@ -208,7 +208,7 @@
         self.launch(vm).await;
     }
 
-    /// Requests a daemon to stop and waits for its exit code.
+    /// Sends SIGTERM to a daemon and waits for its exit code.
     pub async fn stop(&mut self, vm: &str) -> Option<i32> {
         let mut daemon = self.daemons.remove(vm).expect("the daemon runs");
         daemon.signal("TERM");
@@ -286,7 +286,7 @@
         let headers = [&[KEY], headers].concat();
         let address = self.daemons[vm].ports.callers;
         let sent = http_client::send(address, method, path, &headers, body.to_string());
-        self.with_timeout(&format!("{vm} answers {method} {path}"), sent).await
+        self.with_timeout(&format!("{vm} responds to {method} {path}"), sent).await
     }
 
     /// Sends a non-repeatable call under an idempotency key.
@@ -330,7 +330,7 @@
         let json = [("content-type", "application/json")];
         let address = self.daemons[vm].ports.operators;
         let sent = http_client::send(address, method, path, &json, body.to_string());
-        self.with_timeout(&format!("{vm} answers {method} {path}"), sent).await
+        self.with_timeout(&format!("{vm} responds to {method} {path}"), sent).await
     }
 
     /// The JSON document at an operator's path; `Null` if the daemon does not respond.
@@ -356,14 +356,14 @@
     pub async fn change(&self, vm: &str, part: &str, operation: &str, expected: u64, body: Value) {
         self.wait_until(&format!("{vm} accepts {operation}"), async || {
             let response = self.propose(vm, part, operation, expected, body.clone()).await;
-            let response = response.expect("operators are answered");
+            let response = response.expect("operators get a response");
             assert!(matches!(response.status.as_u16(), 200 | 503 | 504), "{:?}", response.body);
             response.status == 200
         })
         .await;
     }
 
-    /// The revision in force at a daemon; 0 if it does not respond.
+    /// The revision in effect at a daemon; 0 if it does not respond.
     pub async fn revision(&self, vm: &str) -> u64 {
         self.read_json(vm, "/v1/status").await["revision"].as_u64().unwrap_or_default()
     }
@@ -404,12 +404,12 @@
         self.services.values().map(|service| service.controls.runs_of(key)).sum()
     }
 
-    /// Makes the services execute calls without answering them.
+    /// Makes the services execute calls and delay their responses.
     pub fn hold_services(&self) {
         self.services.values().for_each(|service| service.controls.hold.store(1, Ordering::SeqCst));
     }
 
-    /// Releases the held answers.
+    /// Releases the delayed responses.
     pub fn release_services(&self) {
         self.services.values().for_each(|service| service.controls.release());
     }
@@ -452,7 +452,7 @@
     }
 }
 
-/// The `did_run` field of a refusal; `"yes"` for an answer of the service.
+/// The `did_run` field of a refusal; `"yes"` for a response of the service.
 pub fn did_run(response: &BufferedResponse) -> String {
     response.json()["error"]["did_run"].as_str().unwrap_or("yes").to_owned()
 }
--- a/tests/fakes/memory_files.rs
+++ b/tests/fakes/memory_files.rs
@@ -1,5 +1,5 @@
 //! In-memory folder whose disk can be full, fail to sync, or be modified externally.
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test file uses only some of its items.
 
 use {
     oleandermount::storage::{FileSystem, LogFile},
--- a/tests/fakes/replica_group.rs
+++ b/tests/fakes/replica_group.rs
@@ -1,7 +1,7 @@
 //! Simulation of several replicas in virtual time. The network drops, duplicates and reorders
 //! messages, disks lose what was not synced, processes crash and pause, and disks are lost. The
 //! invariants are checked after each step.
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test file uses only some of its items.
 
 use {
     oleandermount::{
@@ -226,7 +226,7 @@
             let Some(status) = self.leader_status() else { continue };
             let voters = target_voters(&status, founders);
             if let Some(command) = next_repair(self.now, &status, voters) {
-                let leader = self.leader().expect("it leads");
+                let leader = self.leader().expect("a replica leads");
                 self.propose(&leader, command);
             }
         }
@@ -240,8 +240,8 @@
         })
     }
 
-    /// Whether each voter still has the disk named in the membership. One disk may be lost before
-    /// the group is founded, because the founding may still name it, but no second one.
+    /// Whether each voter still has the disk named in the membership. Before the group is founded,
+    /// at most one disk may be lost, because the founding membership may still name it.
     pub fn is_intact(&self) -> bool {
         let has_group = self
             .nodes
@@ -291,7 +291,7 @@
         self.now = self.now.max(next);
         self.steps += 1;
         if message == Some(next) {
-            let ((_, _), (from, to, message)) = self.network.pop_first().expect("it was seen");
+            let ((_, _), (from, to, message)) = self.network.pop_first().expect("a message is due");
             self.deliver(from, to, message);
         } else if let Some((_, vm)) = node {
             self.handle_due(&vm);
@@ -313,7 +313,7 @@
         let node = self.nodes.get_mut(vm).expect("the VM is one of the group");
         let mut input = ReplicaInput::Tick;
         if node.unsynced.front().is_some_and(|(at, _)| *at <= now) {
-            let (_, batch) = node.unsynced.pop_front().expect("it was seen");
+            let (_, batch) = node.unsynced.pop_front().expect("a batch is due");
             input = ReplicaInput::Persisted { number: batch.number };
             write_batch(&mut node.disk, batch);
         }
@@ -379,11 +379,14 @@
         let Some(replica) = &node.replica else { return };
         let status = replica.status(now);
         let published = replica.config().revision;
-        assert!(published >= node.published, "seed {seed}: the configuration of {vm} went back");
+        assert!(
+            published >= node.published,
+            "seed {seed}: {vm} reverted to an older configuration"
+        );
         node.published = published;
         let first = node.checked.max(replica.base()) + 1;
         for index in first..=status.last {
-            let entry = replica.entry(index).expect("entries after the base are held");
+            let entry = replica.entry(index).expect("entries after the base are stored");
             let before = replica.entry(index - 1).map(|entry| entry.term);
             let (known, known_before) =
                 self.written.entry((index, entry.term)).or_insert_with(|| (entry.clone(), before));
--- a/tests/fakes/udp_relay.rs
+++ b/tests/fakes/udp_relay.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)] // Each test file uses only some of its items.
 //!
 //! Each daemon has one port on the relay. The source address of a packet identifies the sending
-//! daemon. Each pair of daemons has a separate socket to the receiver, so that answers can be
+//! daemon. Each pair of daemons has a separate socket to the receiver, so that replies can be
 //! relayed back.
 
 use {
@@ -15,7 +15,7 @@
     tokio::{net::UdpSocket, task::JoinSet, time::interval},
 };
 
-/// Ticks a second of a rate-limited link.
+/// Ticks per second of a rate-limited link.
 const TICKS_PER_SECOND: u32 = 1_000;
 const TICK: Duration =
     Duration::from_secs(1).checked_div(TICKS_PER_SECOND).expect("the divisor is not zero");
@@ -28,7 +28,7 @@
     daemons: BTreeMap<String, SocketAddr>,
     /// Pairs of daemons that cannot reach each other, each in both orders.
     blocked_links: BTreeSet<(String, String)>,
-    /// Rate limits of the links to daemons in bytes a second; without an entry there is none.
+    /// Rate limits of the links to daemons in bytes per second; links without an entry are unlimited.
     rates: BTreeMap<String, u32>,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Limits the link to `vm` to this many bytes a second.
+    /// Limits the link to `vm` to `rate` bytes per second.
     pub fn limit_rate(&self, vm: &str, rate: u32) {
         lock(&self.table).rates.insert(vm.to_owned(), rate);
     }
@@ -110,7 +110,7 @@
         }
         // A packet that cannot be sent is lost, as on a real network.
         let _ = senders[&source].send_to(&packet[..length], address).await;
-        // A rate-limited link is busy with this packet for a while; others wait in the port's
+        // A rate-limited link delays the following packets, which wait in the port's receive
         // buffer.
         let rate = lock(&table).rates.get(&to).copied();
         let (mut remaining, mut ticks) = (length, interval(TICK));
--- a/tests/graceful_drain.rs
+++ b/tests/graceful_drain.rs
@@ -47,7 +47,7 @@
     }
     let (draining, _directory) = daemon.drain();
     let finishing = tokio::spawn(draining.finish(std::future::pending()));
-    // The streams are held, so that the daemon has to keep responding on its port.
+    // The streams remain open here, so the daemon must keep responding on its port.
     for _ in 0..20 {
         let ready = http_client::send(callers, "GET", "/readyz", &[], "").await;
         assert_eq!(ready.expect("a response").status, 503);
--- a/tests/non_repeatable_calls.rs
+++ b/tests/non_repeatable_calls.rs
@@ -14,7 +14,7 @@
 };
 
 const VMS: [&str; 3] = ["a-1", "b-1", "c-1"];
-/// Too short for a response that the test holds back.
+/// Too short for a response that the test delays.
 const SHORT_DEADLINE_MS: &str = "1500";
 /// Longer than the duration of any test.
 const LONG_DEADLINE_MS: &str = "80000";
@@ -72,7 +72,7 @@
     };
     // The first caller's connection breaks when the daemon is killed.
     tokio::select! {
-        result = sent => panic!("got a response while the service holds it back: {result}"),
+        result = sent => panic!("got a response while the service delays it: {result}"),
         () = killed => {}
     }
     group.kill("a-1");
@@ -95,7 +95,7 @@
         keys.iter().map(|key| call_once(&group, "a-1", key, SHORT_DEADLINE_MS, &["lost"])),
     );
     let retries = async {
-        // Some calls are claimed, some sent and some answered when the holder is paused.
+        // Some calls are claimed, some sent and some completed when the holder is paused.
         let ran = async || keys.iter().any(|key| group.runs_of(key) == 1);
         group.wait_until("a call runs", ran).await;
         group.pause("a-1");
--- a/tests/operator_client.rs
+++ b/tests/operator_client.rs
@@ -178,21 +178,30 @@
 async fn readiness_and_invalid_requests() {
     let log = FakeLog::new();
     let url = serve_operator(&log, ScriptedOutcome::Answered, DaemonState::Draining).await;
-    let ask = |path: &str| format!("GET {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
-    assert!(exchange_raw(&url, ask("/readyz")).await.starts_with("HTTP/1.1 503"));
-    assert!(exchange_raw(&url, ask("/healthz")).await.starts_with("HTTP/1.1 200"));
-    assert!(exchange_raw(&url, ask("/v1/organisations?limit=x")).await.starts_with("HTTP/1.1 400"));
-    let rows = exchange_raw(&url, ask("/v1/organisations?limit=9999")).await;
+    let get_request =
+        |path: &str| format!("GET {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
+    assert!(exchange_raw(&url, get_request("/readyz")).await.starts_with("HTTP/1.1 503"));
+    assert!(exchange_raw(&url, get_request("/healthz")).await.starts_with("HTTP/1.1 200"));
+    assert!(
+        exchange_raw(&url, get_request("/v1/organisations?limit=x"))
+            .await
+            .starts_with("HTTP/1.1 400")
+    );
+    let rows = exchange_raw(&url, get_request("/v1/organisations?limit=9999")).await;
     assert_eq!(rows.matches("\"id\"").count(), 1000);
-    assert!(exchange_raw(&url, ask("/metrics")).await.contains("oleandermount_config_revision 0"));
-    let put = |path: &str, body: &str| {
+    assert!(
+        exchange_raw(&url, get_request("/metrics"))
+            .await
+            .contains("oleandermount_config_revision 0")
+    );
+    let put_request = |path: &str, body: &str| {
         let length = body.len();
         format!(
             "PUT {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}"
         )
     };
-    assert!(exchange_raw(&url, put("/v1/register", "{")).await.starts_with("HTTP/1.1 400"));
-    let large = put("/v1/drain", &" ".repeat(20_000)).replacen("PUT", "POST", 1);
+    assert!(exchange_raw(&url, put_request("/v1/register", "{")).await.starts_with("HTTP/1.1 400"));
+    let large = put_request("/v1/drain", &" ".repeat(20_000)).replacen("PUT", "POST", 1);
     assert!(exchange_raw(&url, large).await.starts_with("HTTP/1.1 413"));
     assert_eq!(log.config().revision, 0);
 }
--- a/tests/operator_race.rs
+++ b/tests/operator_race.rs
@@ -1,5 +1,5 @@
 //! Several operators concurrently change the rules at several daemons with the same expected
-//! revision, and each of them repeats the request as after a lost answer.
+//! revision, and each of them repeats the request as after a lost response.
 //!
 //! Exactly one change succeeds; all others get a conflict with the digest of the winner. A repeated
 //! request gets the first result again, also through another daemon and after later revisions.
@@ -34,10 +34,10 @@
     let outcome = async {
         loop {
             let sent = group.propose(vm, "rules", &operation, expected, rules.clone()).await;
-            let answer = sent.expect("operators are answered");
-            match answer.status.as_u16() {
+            let response = sent.expect("operators get a response");
+            match response.status.as_u16() {
                 503 | 504 => tokio::task::yield_now().await,
-                status => return (status, answer.json()),
+                status => return (status, response.json()),
             }
         }
     };
@@ -48,7 +48,7 @@
 async fn one_change_wins_each_revision() {
     let group = DaemonGroup::start(&VMS).await;
     for expected in 2..6 {
-        // Each change is sent to two daemons concurrently, as after a lost answer.
+        // Each change is sent to two daemons concurrently, as after a lost response.
         let sends = (0..OPERATORS).map(|operator| {
             let first = change_until_decided(&group, vm_of_operator(operator), operator, expected);
             join(
@@ -57,20 +57,20 @@
             )
         });
         let outcomes = join_all(sends).await;
-        let winners: Vec<_> = outcomes.iter().filter(|(_, known)| known.0 == 200).collect();
+        let winners: Vec<_> = outcomes.iter().filter(|(_, second)| second.0 == 200).collect();
         assert_eq!(winners.len(), 1, "{outcomes:#?}");
         let digest = &winners[0].1.1["digest"];
-        for (operator, (lost, known)) in (0..OPERATORS).zip(&outcomes) {
-            assert_eq!(lost, known, "a repeated request has another result");
-            if known.0 == 409 {
-                assert_eq!(&known.1["error"]["winner"], digest, "{known:?}");
+        for (operator, (first, second)) in (0..OPERATORS).zip(&outcomes) {
+            assert_eq!(first, second, "a repeated request has another result");
+            if second.0 == 409 {
+                assert_eq!(&second.1["error"]["winner"], digest, "{second:?}");
             } else {
-                assert_eq!(known.1["revision"], expected + 1);
+                assert_eq!(second.1["revision"], expected + 1);
             }
             let resent =
                 change_until_decided(&group, vm_of_operator(operator + 2), operator, expected)
                     .await;
-            assert_eq!(resent, *known, "a late repeated request has another result");
+            assert_eq!(resent, *second, "a late repeated request has another result");
         }
     }
     for vm in VMS {
--- a/tests/rolling_weights.rs
+++ b/tests/rolling_weights.rs
@@ -30,7 +30,7 @@
     core: OrderCore,
     desired: DesiredWeights,
     engines: BTreeMap<ServerId, (WeightsVersion, Option<(WeightsVersion, Instant)>)>,
-    most_loads: usize,
+    max_concurrent_loads: usize,
     orders: u32,
 }
 
@@ -44,7 +44,7 @@
             core: OrderCore::default(),
             desired: DesiredWeights::new(),
             engines,
-            most_loads: 0,
+            max_concurrent_loads: 0,
             orders: 0,
         };
         let weights = [(MODEL.to_owned(), "v2".to_owned())].into();
@@ -115,7 +115,7 @@
                 }
             }
             let loads = self.engines.values().filter(|(_, load)| load.is_some()).count();
-            self.most_loads = self.most_loads.max(loads);
+            self.max_concurrent_loads = self.max_concurrent_loads.max(loads);
             self.handle(OrderInput::Wake);
         }
     }
@@ -131,7 +131,7 @@
     simulation.handle(OrderInput::Lease(Some((1, simulation.now))));
     simulation.run(Duration::from_secs(20));
     assert!(simulation.all_have("v2"));
-    assert_eq!((simulation.most_loads, simulation.orders), (2, 9));
+    assert_eq!((simulation.max_concurrent_loads, simulation.orders), (2, 9));
 }
 
 /// A delayed order of a former leader reverts a load at an engine that does not check fencing
--- a/tests/settings_errors.rs
+++ b/tests/settings_errors.rs
@@ -119,7 +119,7 @@
     let record = log::Record::builder()
         .args(format_args!("a \"quoted\"\nmessage"))
         .level(log::Level::Warn)
-        .target("gateway")
+        .target("http_api")
         .key_values(&values)
         .build();
     let line = logs::json_line(&record, std::time::UNIX_EPOCH);
