--- a/examples/quickstart/installation.rs
+++ b/examples/quickstart/installation.rs
@@ -10,7 +10,7 @@
             AssetRegister, RuleSet, ServerKind, VmRecord,
             validate::{check_register, check_rules},
         },
-        options::values::is_name,
+        options::values::is_valid_name,
     },
     serde::Serialize,
     std::{
@@ -167,7 +167,7 @@
         let founders: Vec<&str> = self.daemons.iter().map(|daemon| daemon.vm.id.as_str()).collect();
         for daemon in &self.daemons {
             let vm = &daemon.vm.id;
-            debug_assert!(is_name(vm));
+            debug_assert!(is_valid_name(vm));
             let mut command = Command::new(self.program_directory.join("oleandermountd"));
             command
                 .args(["--vm", vm, "--failure-domain", &daemon.vm.failure_domain])
--- a/src/backend/engine.rs
+++ b/src/backend/engine.rs
@@ -300,7 +300,10 @@
 ///
 /// # Errors
 /// Those of [`exchange`], `Status` and `Malformed`.
-pub async fn load(address: SocketAddr, server: ServerId) -> Result<LoadReport, BackendError> {
+pub async fn load_report(
+    address: SocketAddr,
+    server: ServerId,
+) -> Result<LoadReport, BackendError> {
     let response: LoadResponse = control_call(address, get("/v1/load")).await?;
     Ok(LoadReport {
         server,
--- a/src/daemon/lifecycle.rs
+++ b/src/daemon/lifecycle.rs
@@ -128,7 +128,7 @@
         let options = self.options;
         let metrics = measures::install().map_err(DaemonError::Metrics)?;
         let mut tasks = JoinSet::new();
-        tasks.spawn(measures::upkeep(metrics.clone()));
+        tasks.spawn(measures::run_upkeep(metrics.clone()));
         let connected = connect_components(&options, &mut tasks)?;
         let ConnectedComponents { components, network, .. } = &connected;
         let api = CallerApi { core: Arc::clone(&components.core), limits: options.limits.clone() };
--- a/src/daemon/server_probe.rs
+++ b/src/daemon/server_probe.rs
@@ -29,7 +29,7 @@
     server: ServerId,
     address: SocketAddr,
 ) -> Result<LoadReport, BackendError> {
-    engine::load(address, server).await
+    engine::load_report(address, server).await
 }
 
 /// Probes servers over HTTP.
--- a/src/inventory/validate.rs
+++ b/src/inventory/validate.rs
@@ -56,7 +56,7 @@
 
 /// Faults of a register and of its rule set.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PairFaults {
+pub struct FileFaults {
     /// Faults of the register; empty if it is valid.
     pub register: Vec<InventoryFault>,
     /// Faults of the rules; empty if they are valid or absent.
@@ -71,8 +71,8 @@
 pub fn check_files(
     text: &str,
     rules_text: Option<&str>,
-) -> Result<(AssetRegister, Option<RuleSet>), PairFaults> {
-    let register_only = |register| PairFaults { register, rules: Vec::new() };
+) -> Result<(AssetRegister, Option<RuleSet>), FileFaults> {
+    let register_only = |register| FileFaults { register, rules: Vec::new() };
     let document = SourceDocument::parse(text).map_err(register_only)?;
     let mut faults = FaultList::default();
     let part = document.part(FilePart::Register);
@@ -89,7 +89,7 @@
     match rules.transpose() {
         Ok(rules) if register_faults.is_empty() => Ok((records.into_register(), rules)),
         Ok(_) => Err(register_only(register_faults)),
-        Err(rules) => Err(PairFaults { register: register_faults, rules }),
+        Err(rules) => Err(FileFaults { register: register_faults, rules }),
     }
 }
 
--- a/src/inventory/validate/register_checks.rs
+++ b/src/inventory/validate/register_checks.rs
@@ -7,7 +7,7 @@
     },
     crate::{
         inventory::{ServerKind, ServerRecord},
-        options::values::is_name,
+        options::values::is_valid_name,
     },
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -40,7 +40,7 @@
     let mut seen = BTreeSet::new();
     for (path, record) in &list.records {
         let id = id(record);
-        if !is_name(id) {
+        if !is_valid_name(id) {
             faults.push(path.key("id"), FaultKind::InvalidName { id: id.clone() });
         }
         if !seen.insert(id) {
@@ -96,7 +96,7 @@
         let mut seen = BTreeSet::new();
         for (index, adapter) in record.adapters.iter().enumerate() {
             let path = path.key("adapters").item(index);
-            if !is_name(adapter) {
+            if !is_valid_name(adapter) {
                 faults.push(path, FaultKind::InvalidName { id: adapter.clone() });
             } else if !seen.insert(adapter) {
                 faults.push(path, FaultKind::DuplicateId { id: adapter.clone() });
--- a/src/observe/events.rs
+++ b/src/observe/events.rs
@@ -12,7 +12,7 @@
 /// One attempt of a request failed; `failure` is the type of failure.
 pub const ATTEMPT_FAILED: &str = "attempt failed";
 /// A complete response was forwarded to the caller.
-pub const ANSWER_COMPLETED: &str = "answered whole";
+pub const RESPONSE_COMPLETED: &str = "answered whole";
 /// A stream was forwarded to its end.
 pub const STREAM_COMPLETED: &str = "stream answered whole";
 /// A stream continues on another server.
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -17,7 +17,7 @@
 /// Accepted requests, by `class`.
 pub const REQUESTS: &str = "oleandermount_requests_total";
 /// Requests with a complete response, by `class`.
-pub const ANSWERS: &str = "oleandermount_answers_total";
+pub const RESPONSES: &str = "oleandermount_answers_total";
 /// Refused requests, by `reason`.
 pub const REFUSALS: &str = "oleandermount_refusals_total";
 /// Retried requests, by `reason`.
@@ -27,7 +27,7 @@
 /// Seconds from the arrival of a request to its first attempt at a backend server, by `class`.
 pub const QUEUE_WAIT: &str = "oleandermount_queue_wait_seconds";
 /// Seconds from the arrival of a request to the end of its response, by `class`.
-pub const ANSWER_TIME: &str = "oleandermount_answer_seconds";
+pub const RESPONSE_TIME: &str = "oleandermount_answer_seconds";
 /// Seconds between tokens of one response, by `model` and `class`.
 pub const INTER_TOKEN: &str = "oleandermount_inter_token_seconds";
 /// Prompt tokens sent to engines, by `model`.
@@ -136,7 +136,8 @@
 /// peak.
 const QUEUE_WAIT_BUCKETS: [f64; 10] = [0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
 /// Bucket bounds in seconds, from a short lookup to the longest stream.
-const ANSWER_BUCKETS: [f64; 12] = [0.01, 0.03, 0.06, 0.1, 0.2, 0.3, 0.6, 1.0, 2.0, 4.0, 8.0, 15.0];
+const RESPONSE_BUCKETS: [f64; 12] =
+    [0.01, 0.03, 0.06, 0.1, 0.2, 0.3, 0.6, 1.0, 2.0, 4.0, 8.0, 15.0];
 /// Bucket bounds in seconds, densest around the target of 31 ms between tokens.
 const INTER_TOKEN_BUCKETS: [f64; 12] =
     [0.002, 0.005, 0.01, 0.015, 0.02, 0.025, 0.031, 0.04, 0.06, 0.1, 0.25, 1.0];
@@ -170,7 +171,7 @@
         (FIRST_TOKEN, &FIRST_TOKEN_BUCKETS),
         (INTER_TOKEN, &INTER_TOKEN_BUCKETS),
         (QUEUE_WAIT, &QUEUE_WAIT_BUCKETS),
-        (ANSWER_TIME, &ANSWER_BUCKETS),
+        (RESPONSE_TIME, &RESPONSE_BUCKETS),
     ];
     let handle = buckets
         .into_iter()
@@ -186,7 +187,7 @@
 }
 
 /// Aggregates buffered samples into buckets periodically; runs until the task is aborted.
-pub async fn upkeep(handle: PrometheusHandle) {
+pub async fn run_upkeep(handle: PrometheusHandle) {
     let mut ticks = tokio::time::interval(UPKEEP_INTERVAL);
     loop {
         ticks.tick().await;
@@ -196,12 +197,12 @@
 
 fn describe() {
     describe_counter!(REQUESTS, "Accepted requests, by class.");
-    describe_counter!(ANSWERS, "Requests with a complete response, by class.");
+    describe_counter!(RESPONSES, "Requests with a complete response, by class.");
     describe_counter!(REFUSALS, "Refused requests, by reason.");
     describe_counter!(RETRIES, "Retried requests, by reason.");
     describe_histogram!(FIRST_TOKEN, "Seconds from arrival to the first token.");
     describe_histogram!(QUEUE_WAIT, "Seconds from arrival to the first attempt.");
-    describe_histogram!(ANSWER_TIME, "Seconds from arrival to the end of the response.");
+    describe_histogram!(RESPONSE_TIME, "Seconds from arrival to the end of the response.");
     describe_histogram!(INTER_TOKEN, "Seconds between tokens of one response.");
     describe_counter!(PROMPT_TOKENS, "Prompt tokens sent to engines.");
     describe_counter!(CACHE_HIT_TOKENS, "Prompt tokens that engines read from their caches.");
@@ -240,7 +241,7 @@
     }
     for class in crate::inventory::RequestClass::ALL.map(|class| class.as_str()) {
         counter!(REQUESTS, "class" => class).increment(0);
-        counter!(ANSWERS, "class" => class).increment(0);
+        counter!(RESPONSES, "class" => class).increment(0);
     }
     for kind in ["whole", "difference"] {
         counter!(FOLLOW_DOCUMENTS, "kind" => kind).increment(0);
--- a/src/operator_client/connection.rs
+++ b/src/operator_client/connection.rs
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// The refusal of the daemon, or `Unreachable`.
-    pub async fn query_one<T: DeserializeOwned>(
+    pub async fn query_address<T: DeserializeOwned>(
         &self,
         address: &Uri,
         path: &str,
--- a/src/operator_client/explain_log.rs
+++ b/src/operator_client/explain_log.rs
@@ -168,7 +168,7 @@
             "The caller closed its connection after {} ms, before the response was complete.",
             last.number("waited_ms")
         ),
-        events::ANSWER_COMPLETED | events::STREAM_COMPLETED => describe_completion(last),
+        events::RESPONSE_COMPLETED | events::STREAM_COMPLETED => describe_completion(last),
         event => format!("Its last record is \"{event}\"."),
     };
     if let Some(failed) = failed {
--- a/src/operator_client/local.rs
+++ b/src/operator_client/local.rs
@@ -128,7 +128,7 @@
     for row in &rows {
         let paths = [&row.authority, &row.certificate, &row.key];
         let paths = paths.map(|path| path.display().to_string());
-        table.row([row.vm.clone()].into_iter().chain(paths));
+        table.push_row([row.vm.clone()].into_iter().chain(paths));
     }
     Ok(ClientReport::table(&rows, &table))
 }
--- a/src/operator_client/queries.rs
+++ b/src/operator_client/queries.rs
@@ -34,7 +34,7 @@
     let mut rows = Vec::new();
     let mut failures = Vec::new();
     for address in connection.addresses() {
-        let response = connection.query_one::<DaemonStatus>(address, "/v1/status").await;
+        let response = connection.query_address::<DaemonStatus>(address, "/v1/status").await;
         let status = match response {
             Ok(status) => Some(status),
             Err(ClientError::Unreachable(texts)) => {
@@ -66,8 +66,8 @@
     let mut table = TextTable::new(&head);
     for row in &rows {
         match &row.status {
-            Some(status) => table.row(status_cells(status)),
-            None => table.row([row.admin.clone(), "does not answer".to_owned()]),
+            Some(status) => table.push_row(status_cells(status)),
+            None => table.push_row([row.admin.clone(), "does not answer".to_owned()]),
         }
     }
     Ok(ClientReport::table(&rows, &table))
@@ -107,7 +107,7 @@
         let weights: Vec<String> =
             server.weights.iter().map(|(model, version)| format!("{model}@{version}")).collect();
         let kind = serde_json::to_value(server.kind).expect("a server kind serializes to a string");
-        table.row([
+        table.push_row([
             server.id.clone(),
             server.failure_domain.clone(),
             kind.as_str().unwrap_or_default().to_owned(),
@@ -132,7 +132,7 @@
     let mut table =
         TextTable::new(&["organisation", "requests", "answered", "refused", "tokens", "in flight"]);
     for organisation in &organisations {
-        table.row([
+        table.push_row([
             organisation.id.clone(),
             organisation.requests.to_string(),
             organisation.answered.to_string(),
@@ -154,7 +154,7 @@
             (false, true) => "voter",
             (false, false) => "learner",
         };
-        table.row([
+        table.push_row([
             replica.vm.clone(),
             role.to_owned(),
             replica.incarnation.to_string(),
@@ -183,7 +183,7 @@
         ("call rules", config.rules.calls.len().to_string()),
     ];
     for (what, value) in rows {
-        table.row([what.to_owned(), value]);
+        table.push_row([what.to_owned(), value]);
     }
     Ok(ClientReport::table(&config, &table))
 }
@@ -193,7 +193,7 @@
     let changes: Vec<ConfigChange> = connection.query("/v1/config/history").await?;
     let mut table = TextTable::new(&["revision", "part", "operation", "digest"]);
     for change in &changes {
-        table.row([
+        table.push_row([
             change.revision.to_string(),
             change.part.clone(),
             change.operation.clone(),
--- a/src/operator_client/table.rs
+++ b/src/operator_client/table.rs
@@ -15,7 +15,7 @@
     }
 
     /// Adds a row; missing cells at its end stay empty.
-    pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
+    pub fn push_row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
 
--- a/src/options/group.rs
+++ b/src/options/group.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         DaemonRole, IdentityOptions, OptionFault,
-        values::{NAME_REMEDY, is_name, report_invalid, text},
+        values::{NAME_REMEDY, is_valid_name, report_invalid, text},
     },
     crate::ids::VmId,
     bpaf::{Parser, construct},
@@ -117,7 +117,7 @@
         let parts = item.split_once('=');
         let address = parts.and_then(|(_, address)| address.parse::<SocketAddr>().ok());
         match (parts, address) {
-            (Some((vm, _)), Some(address)) if is_name(vm) => {
+            (Some((vm, _)), Some(address)) if is_valid_name(vm) => {
                 if peers.insert(vm.to_owned(), address).is_some() {
                     report_invalid(faults, "--peers", vm, "it is listed twice; keep one address");
                 }
@@ -134,7 +134,7 @@
 fn founder_set(given: Option<String>, faults: &mut Vec<OptionFault>) -> BTreeSet<VmId> {
     let mut founders = BTreeSet::new();
     for item in list_items(given) {
-        if !is_name(&item) {
+        if !is_valid_name(&item) {
             report_invalid(faults, "--founders", &item, NAME_REMEDY);
         }
         if !founders.insert(item.clone()) {
--- a/src/options/values.rs
+++ b/src/options/values.rs
@@ -35,7 +35,7 @@
 }
 
 /// Whether `name` can appear unchanged in logs, metrics, paths and certificates.
-pub fn is_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= MAX_NAME_BYTES
         && name.chars().all(|letter| letter.is_ascii_alphanumeric() || "-_.".contains(letter))
@@ -51,7 +51,7 @@
     given: Option<String>,
 ) -> String {
     match given {
-        Some(name) if is_name(&name) => name,
+        Some(name) if is_valid_name(&name) => name,
         Some(other) => {
             report_invalid(faults, option, &other, NAME_REMEDY);
             other
--- a/src/pipeline/counters.rs
+++ b/src/pipeline/counters.rs
@@ -4,8 +4,8 @@
     crate::{
         inventory::RequestClass,
         observe::metrics::{
-            ANSWER_TIME, ANSWERS, CACHE_HIT_TOKENS, FIRST_TOKEN, INTER_TOKEN, MISMATCHED_RESPONSES,
-            PROMPT_TOKENS, QUEUE_WAIT, RECOMPUTED_TOKENS, REFUSALS, REQUESTS, RETRIES,
+            CACHE_HIT_TOKENS, FIRST_TOKEN, INTER_TOKEN, MISMATCHED_RESPONSES, PROMPT_TOKENS,
+            QUEUE_WAIT, RECOMPUTED_TOKENS, REFUSALS, REQUESTS, RESPONSE_TIME, RESPONSES, RETRIES,
         },
         policy::RetryReason,
     },
@@ -41,7 +41,7 @@
 
 /// Records the time from the arrival of a request to the end of its response.
 pub fn record_response_time(class: RequestClass, time: Duration) {
-    histogram!(ANSWER_TIME, "class" => class.as_str()).record(time.as_secs_f64());
+    histogram!(RESPONSE_TIME, "class" => class.as_str()).record(time.as_secs_f64());
 }
 
 /// Records the time between two consecutive chunks of a stream.
@@ -69,5 +69,5 @@
 
 /// Counts a request whose response was completed.
 pub fn count_response(class: RequestClass) {
-    counter!(ANSWERS, "class" => class.as_str()).increment(1);
+    counter!(RESPONSES, "class" => class.as_str()).increment(1);
 }
--- a/src/reverse_proxy/exchange/logging.rs
+++ b/src/reverse_proxy/exchange/logging.rs
@@ -110,7 +110,7 @@
             document = self.request.document,
             sent_to = self.runs,
             total_ms = self.waited_ms();
-            "{}", events::ANSWER_COMPLETED
+            "{}", events::RESPONSE_COMPLETED
         );
     }
 
--- a/tests/stale_weight_order.rs
+++ b/tests/stale_weight_order.rs
@@ -29,6 +29,7 @@
     let future = Instant::now() + Duration::from_secs(600);
     order("v2", future).await.expect("the order has not expired");
     assert_eq!(order("v1", Instant::now()).await, Err(BackendError::Stale));
-    let report = client::load(engine.address(), "e".to_owned()).await.expect("the engine responds");
+    let report =
+        client::load_report(engine.address(), "e".to_owned()).await.expect("the engine responds");
     assert_eq!(report.weights.get(&model()).map(String::as_str), Some("v2"));
 }
