--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -27,8 +27,8 @@
 /// A server in the same region accepts within a few milliseconds; after a second it is considered
 /// unreachable.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Large enough for response heads and for stream events of a few hundred bytes; each open stream
-/// allocates one such buffer.
+/// Response heads and stream events of a few hundred bytes fit into a buffer of this size; each open
+/// stream allocates one.
 const READ_BUFFER_BYTES: usize = 4 * 1024;
 
 /// Why an exchange with a backend server has no usable response.
@@ -68,7 +68,7 @@
         matches!(self, BackendError::NotConnected(_) | BackendError::Stale)
     }
 
-    /// The corresponding failure in the dispatcher's terms.
+    /// The failure that the dispatcher records for this error.
     pub fn failure(&self) -> AttemptFailure {
         match self {
             BackendError::NotConnected(_) => AttemptFailure::NotConnected,
@@ -100,7 +100,7 @@
 
 impl Drop for OpenResponse {
     fn drop(&mut self) {
-        // Closing the connection at once tells the server to stop generating.
+        // The server stops generating when its connection is closed.
         self.connection.abort();
     }
 }
--- a/src/backend/engine.rs
+++ b/src/backend/engine.rs
@@ -43,7 +43,8 @@
     pub priority: u32,
     /// Weights version that the engine must run; it responds with 409 if it has another.
     pub weights: Option<WeightsVersion>,
-    /// Prefix to import from the cache store, with the engine incarnation that it was chosen for.
+    /// Prefix to import from the cache store, and the engine incarnation to which the import
+    /// applies, so that a restarted engine can recognise it as outdated.
     pub import: Option<(PrefixLevel, Incarnation)>,
     /// Where to resume an interrupted stream; `None` for a new one.
     pub resume: Option<ResumePoint>,
@@ -191,7 +192,7 @@
     /// The next event if it has already arrived; `None` otherwise.
     ///
     /// # Errors
-    /// Those of [`EngineStream::next_event`].
+    /// Those of [`EngineStream::next_event`], except `TimedOut`.
     pub fn try_next_event(&mut self) -> Result<Option<EngineEvent>, BackendError> {
         while self.ready.is_empty() {
             match self.open.response.body_mut().frame().now_or_never() {
@@ -261,8 +262,8 @@
     }
 }
 
-/// Cancels an attempt at an engine. An engine that does not know the attempt responds accordingly,
-/// which is harmless.
+/// Cancels an attempt at an engine. The call has no effect at an engine that does not run the
+/// attempt.
 ///
 /// # Errors
 /// Those of [`exchange`], `Status` and `Malformed`.
--- a/src/backend/sse.rs
+++ b/src/backend/sse.rs
@@ -67,7 +67,7 @@
         .map(|line| line.split_once(':').unwrap_or((line, "")))
         .map(|(name, value)| (name, value.strip_prefix(' ').unwrap_or(value)))
         .collect();
-    let value = |wanted: &str| fields.iter().find(|(name, _)| *name == wanted).map(|field| field.1);
+    let value = |key: &str| fields.iter().find(|(name, _)| *name == key).map(|field| field.1);
     let data: Vec<&str> =
         fields.iter().filter(|(name, _)| *name == "data").map(|field| field.1).collect();
     if data.is_empty() && value("event").is_none() {
--- a/src/daemon/dispatch_tasks.rs
+++ b/src/daemon/dispatch_tasks.rs
@@ -14,7 +14,7 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// The length of the queue of dispatch tasks; the dispatcher repeats those that are dropped.
+/// The capacity of the queue of dispatch tasks; the dispatcher repeats tasks that are dropped.
 pub const TASK_QUEUE_LENGTH: usize = 4096;
 /// The maximum number of concurrent cancel calls and probes; further ones wait in the queue.
 const MAX_RUNNING_TASKS: usize = 256;
@@ -41,7 +41,7 @@
         match task {
             DispatchTask::Publish(mut digest) => {
                 digest.findings = monitor.findings();
-                publish(&core, &network, digest);
+                publish_digest(&core, &network, digest);
             }
             DispatchTask::Probe { server } => {
                 let core = Arc::clone(&core);
@@ -60,8 +60,8 @@
 }
 
 /// Cancels an attempt at an engine. Closing the connection stops most engines; the cancel call
-/// stops those that continue to generate. It is retried when a busy engine does not answer in time,
-/// since nothing else would stop the generation.
+/// stops the others. It is retried when a busy engine does not respond in time, since nothing else
+/// would stop the generation.
 async fn cancel_attempt(address: SocketAddr, attempt: AttemptId) {
     for _ in 0..MAX_CANCEL_ATTEMPTS {
         match engine::cancel(address, attempt).await {
@@ -75,7 +75,7 @@
 /// other domain. Other domains need it because a request that crashes backend servers is retried
 /// through daemons of all domains, and would otherwise crash two servers in each domain
 /// (docs/decisions/0030).
-fn publish(core: &PipelineCore, network: &PeerNetwork, digest: DomainDigest) {
+fn publish_digest(core: &PipelineCore, network: &PeerNetwork, digest: DomainDigest) {
     let serving = core.serving();
     digest_targets(&core.vm, &serving.view.daemons).into_iter().for_each(|peer| {
         network.send(&peer, PeerMessage::Digest(Box::new(digest.clone())));
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -1,8 +1,8 @@
 //! Routes: map the host and path of a request to a service, with its limits and retry rules.
 //!
 //! Operators configure a [`RouteTable`] for callers that send plain HTTP requests without naming a
-//! model or a service. [`RouteTable::check`] validates the whole table; [`RouteIndex`] looks up
-//! routes and API keys in it.
+//! model or a service. [`RouteTable::check`] validates a table; [`RouteIndex`] looks up routes
+//! and API keys in it.
 
 pub mod fault;
 pub mod index;
@@ -94,7 +94,7 @@
     pub models: BTreeSet<ModelId>,
 }
 
-/// A store of KV cache that engines import from and export to.
+/// A KV cache store that engines import from and export to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CacheStoreRule {
     /// Address of the store.
@@ -114,7 +114,7 @@
     pub connections: Option<u32>,
     /// Present for model engines.
     pub engine: Option<EngineRule>,
-    /// Present for stores of KV cache, which routes must not name.
+    /// Present for KV cache stores, which routes must not name.
     pub cache_store: Option<CacheStoreRule>,
 }
 
@@ -132,7 +132,7 @@
 }
 
 impl Default for CallerLimits {
-    /// Common limits of HTTP servers, in use until a table is known.
+    /// Returns common limits of HTTP servers, which apply until a table is active.
     fn default() -> Self {
         CallerLimits {
             head_bytes: 16 << 10,
@@ -154,14 +154,14 @@
     pub isolated: bool,
 }
 
-/// The whole routing configuration, under one document number.
+/// The complete routing configuration, under one document number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
     /// Document number assigned by the operator, from 1.
     pub number: DocumentNumber,
     /// Routes; each pair of host and path prefix is unique.
     pub routes: Vec<RouteRule>,
-    /// Services that routes may name, and stores of KV cache.
+    /// Services that routes may name, and KV cache stores.
     pub services: BTreeMap<ServiceId, ServiceRule>,
     /// Limits on callers' requests.
     pub limits: CallerLimits,
--- a/src/routing/fault.rs
+++ b/src/routing/fault.rs
@@ -60,7 +60,7 @@
 impl std::error::Error for RouteFault {}
 
 impl RouteTable {
-    /// Validates the whole table.
+    /// Validates the table.
     ///
     /// # Errors
     /// The first fault found; no part of an invalid table may be activated.
@@ -109,8 +109,8 @@
 
     fn check_keys(&self) -> Result<(), RouteFault> {
         let mut owners = BTreeMap::new();
-        for (organisation, terms) in &self.organisations {
-            let keys: BTreeSet<&str> = terms.keys.iter().map(String::as_str).collect();
+        for (organisation, access) in &self.organisations {
+            let keys: BTreeSet<&str> = access.keys.iter().map(String::as_str).collect();
             for key in keys {
                 if let Some(first) = owners.insert(key, organisation) {
                     let (first, second) = (first.clone(), organisation.clone());
--- a/src/routing/index.rs
+++ b/src/routing/index.rs
@@ -28,8 +28,8 @@
             routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         let organisations = table.organisations.iter();
-        let keys = organisations.flat_map(|(organisation, terms)| {
-            terms.keys.iter().map(|key| (key.clone(), organisation.clone()))
+        let keys = organisations.flat_map(|(organisation, access)| {
+            access.keys.iter().map(|key| (key.clone(), organisation.clone()))
         });
         RouteIndex { hosts, keys: keys.collect(), table }
     }
