--- a/src/bin/oleandermountd.rs
+++ b/src/bin/oleandermountd.rs
@@ -64,7 +64,7 @@
         })
     }
 
-    async fn next(&mut self) -> SignalAction {
+    async fn next_action(&mut self) -> SignalAction {
         tokio::select! {
             _ = self.terminate.recv() => SignalAction::Stop,
             _ = self.interrupt.recv() => SignalAction::Stop,
@@ -72,8 +72,8 @@
         }
     }
 
-    async fn stop(&mut self) {
-        while self.next().await != SignalAction::Stop {}
+    async fn wait_for_stop(&mut self) {
+        while self.next_action().await != SignalAction::Stop {}
     }
 }
 
@@ -85,10 +85,10 @@
 }
 
 async fn serve(daemon: Daemon<Serving>, mut signals: Signals) -> i32 {
-    while signals.next().await == SignalAction::ReloadKeys {
+    while signals.next_action().await == SignalAction::ReloadKeys {
         daemon.reload_keys();
     }
     // The first signal starts a drain; the second one ends it and aborts the remaining requests.
-    let report = daemon.drain().finish(signals.stop()).await;
+    let report = daemon.drain().finish(signals.wait_for_stop()).await;
     if report.cut > 0 { REQUESTS_ABORTED } else { 0 }
 }
--- a/src/inventory/validate/document.rs
+++ b/src/inventory/validate/document.rs
@@ -78,17 +78,18 @@
             .any(|part| self.value.get(part.as_str()).is_some_and(JsonValue::is_object))
     }
 
-    /// Returns the `wanted` part. A file without the keys `register` and `rules` is the part itself.
-    pub fn part(&self, wanted: FilePart) -> DocumentPart {
+    /// Returns one part of the file. A file without the keys `register` and `rules` contains only that
+    /// part.
+    pub fn part(&self, file_part: FilePart) -> DocumentPart {
         if !self.is_combined() {
             let value = self.value.clone();
             return DocumentPart { base: KeyPath::default(), value, outside_faults: Vec::new() };
         }
-        let base = KeyPath::root(wanted.as_str());
-        let value = self.value.get(wanted.as_str()).cloned();
+        let base = KeyPath::root(file_part.as_str());
+        let value = self.value.get(file_part.as_str()).cloned();
         let mut outside_faults = self.unknown_keys();
         if value.is_none() {
-            let part = wanted.as_str().to_owned();
+            let part = file_part.as_str().to_owned();
             outside_faults.push((KeyPath::default(), FaultKind::MissingPart { part }));
         }
         let value = value.unwrap_or_else(|| JsonValue::Object(Map::new()));
--- a/src/inventory/validate/records.rs
+++ b/src/inventory/validate/records.rs
@@ -147,8 +147,8 @@
 
 /// Deserializes one record. Deserialization stops at the first invalid key, so each invalid key is
 /// reported and removed, and the rest deserialized again, until it succeeds or a key is missing. A
-/// record without its invalid keys is used to validate other records only: because of the reported
-/// fault, the file is rejected as a whole.
+/// record without its invalid keys only serves to validate other records, since a reported fault
+/// rejects the file.
 fn read_record<T: DeserializeOwned>(
     path: &KeyPath,
     value: JsonValue,
--- a/src/inventory/validate/rule_checks.rs
+++ b/src/inventory/validate/rule_checks.rs
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Ids of all records, including invalid ones: a rule that references one is not a fault.
+    /// Ids of all records, including invalid ones, so that a rule that references an invalid record is
+    /// not reported as a further fault.
     pub fn from_records(records: &RegisterRecords) -> Self {
         KnownIds {
             organisations: records.organisations.ids.clone(),
--- a/src/observe/bounded_log.rs
+++ b/src/observe/bounded_log.rs
@@ -79,7 +79,7 @@
             true => (&mut self.routine, self.bytes.per_second / 2.0),
             false => (&mut self.failures, 0.0),
         };
-        records.has(now, 1.0) && self.bytes.has(now, bytes as f64 + reserved) && {
+        records.has_tokens(now, 1.0) && self.bytes.has_tokens(now, bytes as f64 + reserved) && {
             records.consume(1.0);
             self.bytes.consume(bytes as f64);
             true
@@ -99,7 +99,7 @@
     }
 
     /// Refills the bucket and returns whether it contains `amount` tokens.
-    fn has(&mut self, now: Instant, amount: f64) -> bool {
+    fn has_tokens(&mut self, now: Instant, amount: f64) -> bool {
         let refill =
             now.saturating_duration_since(self.refilled_at).as_secs_f64() * self.per_second;
         self.tokens = (self.tokens + refill).min(self.per_second);
@@ -170,12 +170,16 @@
     pub fn run(self, mut out: impl Write) {
         while let Ok(line) = self.records.recv() {
             let dropped = self.dropped.swap(0, Ordering::Relaxed);
-            let notice = if dropped > 0 {
+            let dropped_line = if dropped > 0 {
                 dropped_records_line(dropped, SystemTime::now())
             } else {
                 String::new()
             };
-            if out.write_all(notice.as_bytes()).and_then(|()| writeln!(out, "{line}")).is_err() {
+            if out
+                .write_all(dropped_line.as_bytes())
+                .and_then(|()| writeln!(out, "{line}"))
+                .is_err()
+            {
                 return;
             }
         }
--- a/src/observe/events.rs
+++ b/src/observe/events.rs
@@ -19,7 +19,7 @@
 pub const STREAM_RESUMED: &str = "stream resumed";
 /// A stream was terminated before its end, in a way that the caller can detect.
 pub const STREAM_INTERRUPTED: &str = "stream cut";
-/// The error response of a server was forwarded, since no other server may be tried or succeeded.
+/// The error response of a server was forwarded, because no other server could be tried or succeeded.
 pub const FAILURE_FORWARDED: &str = "failure passed on";
 /// The caller closed its connection before the response was complete.
 pub const CALLER_DISCONNECTED: &str = "caller left";
@@ -34,9 +34,9 @@
 pub const SERVER_RECOVERED: &str = "backend server back";
 /// A backend server reports attributes that contradict the server list.
 pub const SERVER_MISMATCHED: &str = "backend server is not as listed";
-/// The engines' shared store of KV cache is unreachable; prompts are processed without it.
+/// The engines' shared KV cache store is unreachable; prompts are processed without it.
 pub const CACHE_STORE_UNAVAILABLE: &str = "KV cache store lost";
-/// The store of KV cache is reachable again; it may be empty.
+/// The KV cache store is reachable again; it may be empty.
 pub const CACHE_STORE_RECOVERED: &str = "KV cache store back";
 /// An order to load weights was sent. The fields give the version that the server had, how long the
 /// ordered version has been desired, and how often it was ordered from the server before.
@@ -61,9 +61,9 @@
 pub const LIST_UNCONFIRMED: &str = "server list lost";
 /// The list of backend servers is confirmed again.
 pub const LIST_CONFIRMED: &str = "server list back";
-/// This replica knows of no leader.
+/// This replica has no known leader.
 pub const LEADER_LOST: &str = "control leader lost";
-/// This replica knows of a leader.
+/// This replica has a known leader again.
 pub const LEADER_KNOWN: &str = "control leader known";
 /// The membership of the control group changed.
 pub const MEMBERSHIP_CHANGED: &str = "control replicas changed";
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -34,7 +34,7 @@
 pub const PROMPT_TOKENS: &str = "oleandermount_prompt_tokens_total";
 /// Prompt tokens that engines read from their caches, by `model`.
 pub const CACHE_HIT_TOKENS: &str = "oleandermount_hit_tokens_total";
-/// Prompt tokens that were recomputed after an earlier computation, by `model`.
+/// Prompt tokens that engines computed although an engine had computed them before, by `model`.
 pub const RECOMPUTED_TOKENS: &str = "oleandermount_recomputed_tokens_total";
 /// Requests queued in this daemon for a backend server, by `server` of the last decision or `none`.
 pub const QUEUE: &str = "oleandermount_queue_requests";
--- a/src/operator_client/connection.rs
+++ b/src/operator_client/connection.rs
@@ -16,7 +16,7 @@
 
 /// A daemon that accepts no connection within this time is considered unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// A change waits for a quorum, which may be electing a leader.
+/// Timeout of a response: a change waits for a quorum, which may first have to elect a leader.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Limit for response bodies; the largest register with its rules is much smaller.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
@@ -127,7 +127,7 @@
         let body = Bytes::from(body);
         let mut refused = None;
         let mut failures = Vec::new();
-        let mut lost = false;
+        let mut may_have_run = false;
         for address in &self.addresses {
             match self.send(address, method.clone(), path, body.clone()).await {
                 RequestOutcome::Answered(body) => return parse_response(&body),
@@ -136,18 +136,18 @@
                     return Err(ClientError::Refused(fault));
                 }
                 RequestOutcome::Refused(fault) => {
-                    lost |= fault.did_happen == DidHappen::Unknown;
+                    may_have_run |= fault.did_happen == DidHappen::Unknown;
                     failures.push(format!("{address}: {}", fault.message));
                     refused = Some(ClientError::Refused(fault));
                 }
                 RequestOutcome::NotSent(text) => failures.push(text),
                 RequestOutcome::ResponseLost(text) => {
-                    lost = true;
+                    may_have_run = true;
                     failures.push(text);
                 }
             }
         }
-        if lost {
+        if may_have_run {
             return Err(ClientError::OutcomeUnknown { operation: None, failures });
         }
         Err(refused.unwrap_or(ClientError::Unreachable(failures)))
--- a/src/operator_client/explain_log.rs
+++ b/src/operator_client/explain_log.rs
@@ -27,7 +27,7 @@
 /// Other requests detect the failure of a server within a second, and a follower detects an
 /// unresponsive control VM after 1.4 s.
 const CONTEXT_MARGIN: Duration = Duration::from_millis(1_500);
-/// Maximum number of records shown in each section; further ones are format_counts.
+/// Maximum number of records shown in each section; further ones are counted.
 const SHOWN_RECORDS: usize = 50;
 
 /// State changes that can explain the failure of a request in the process that logs them.
@@ -70,7 +70,7 @@
 fn build_explanation(logs: &[PathBuf], request: &RequestId) -> Result<LogExplanation, ClientError> {
     let mut own = Vec::new();
     for path in logs {
-        own.extend(records(path)?.filter(|record| record.request() == request));
+        own.extend(open_records(path)?.filter(|record| record.request() == request));
     }
     own.sort_by_key(|record| record.time);
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
@@ -87,7 +87,7 @@
         LogExplanation { cause: describe_cause(&own), ..LogExplanation::default() };
     let mut around = Vec::new();
     for path in logs {
-        for record in records(path)?.filter(|record| record.request() != request) {
+        for record in open_records(path)?.filter(|record| record.request() != request) {
             span.collect(record, &mut explanation, &mut around);
         }
     }
@@ -97,7 +97,7 @@
     Ok(explanation)
 }
 
-fn records(path: &Path) -> Result<impl Iterator<Item = LogRecord> + use<>, ClientError> {
+fn open_records(path: &Path) -> Result<impl Iterator<Item = LogRecord> + use<>, ClientError> {
     read_records(path).map_err(|error| {
         ClientError::Usage(format!("{} cannot be read ({error}); correct the path", path.display()))
     })
--- a/src/operator_client/queries.rs
+++ b/src/operator_client/queries.rs
@@ -18,7 +18,7 @@
     std::time::{Duration, Instant},
 };
 
-/// Short compared with the seconds that a change takes, and long compared with the time in which a
+/// Interval between polls: short compared with the seconds that a change takes, and long compared with the time in which a
 /// few hundred daemons respond.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
@@ -29,7 +29,7 @@
     status: Option<DaemonStatus>,
 }
 
-/// `status`: queries every address, because each daemon knows only its own state.
+/// `status`: queries every address, because each daemon reports only its own state.
 pub async fn status(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let mut rows = Vec::new();
     let mut failures = Vec::new();
@@ -249,9 +249,9 @@
     connection: &AdminConnection,
     request: RequestId,
 ) -> Result<ClientReport, ClientError> {
-    let known =
+    let is_valid =
         request.chars().all(|letter| letter.is_ascii_alphanumeric() || "-_.".contains(letter));
-    if request.is_empty() || !known {
+    if request.is_empty() || !is_valid {
         let remedy = "give the exact value of X-Oleandermount-Request-Id from the response";
         return Err(ClientError::Usage(format!("\"{request}\" is no request id: {remedy}")));
     }
