--- a/src/http_api/caller.rs
+++ b/src/http_api/caller.rs
@@ -82,7 +82,7 @@
         .any("/*", handler(|api, request| Box::pin(unknown_path(api, request))))
 }
 
-/// Builds the router of a dedicated control VM, which serves no callers: its liveness check succeeds
+/// Builds the router of a dedicated control VM, which serves no callers: its health check succeeds
 /// and its readiness check always fails.
 pub fn health_router() -> Router {
     let text = |status: u16, text: &'static str| {
--- a/src/http_api/operator/read.rs
+++ b/src/http_api/operator/read.rs
@@ -27,7 +27,7 @@
     Ok(text_response(StatusCode::OK, METRICS_TYPE, text))
 }
 
-/// `GET /healthz`: the liveness check, 200 while the process responds.
+/// `GET /healthz`: the health check, 200 while the process responds.
 pub async fn healthz(_request: Request) -> Result<Response> {
     Ok(text_response(StatusCode::OK, TEXT_TYPE, "alive\n".to_owned()))
 }
--- a/src/transport/message.rs
+++ b/src/transport/message.rs
@@ -43,7 +43,7 @@
     },
     /// Fetch the configuration if it is newer than `have`.
     FetchConfig {
-        /// The revision that the requester has.
+        /// The revision that the caller has.
         have: Revision,
     },
     /// Return the peer's trace of a request, for `oleandermountctl explain`.
@@ -65,9 +65,9 @@
 pub enum PeerReply {
     /// The result of a proposal.
     Proposed(Result<CommandOutcome, ProposeError>),
-    /// The configuration as JSON, or `None` if the requester has the latest revision.
+    /// The configuration as JSON, or `None` if the caller has the latest revision.
     Config(Option<String>),
-    /// The changes since the requester's revision, oldest first; each applies to the result of the
+    /// The changes since the caller's revision, oldest first; each applies to the result of the
     /// previous one.
     ConfigChanges(Vec<ConfigDelta>),
     /// Trace lines of a request, oldest first; at most 64.
@@ -78,6 +78,6 @@
     Draining,
     /// The peer cannot answer; the text contains the remedy.
     Refused(String),
-    /// The changes since the state that the requester reported.
+    /// The changes since the state that the caller reported.
     Followed(Box<FollowReply>),
 }
