--- a/src/backend/service.rs
+++ b/src/backend/service.rs
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// Those of [`exchange`]; a truncated or too large response is `Broken` and not forwarded.
-pub async fn call(
+pub async fn send_call(
     address: SocketAddr,
     attempt: AttemptId,
     request: ServiceRequest,
--- a/src/observe/log_files.rs
+++ b/src/observe/log_files.rs
@@ -25,12 +25,12 @@
 
 impl LogRecord {
     /// Name of the event, one of [`events`]; empty if the record has no message.
-    pub fn event(&self) -> &str {
+    pub fn event_name(&self) -> &str {
         self.text(events::MESSAGE)
     }
 
     /// Id of the request that the record refers to; empty if there is none.
-    pub fn request(&self) -> &str {
+    pub fn request_id(&self) -> &str {
         self.text(REQUEST_ID)
     }
 
--- a/src/operator_client.rs
+++ b/src/operator_client.rs
@@ -64,7 +64,7 @@
         ClientCommand::KeysOrganisation => local::create_organisation_key(),
         ClientCommand::Check { file, rules } => local::check_files(&file, rules.as_deref()),
         ClientCommand::Explain { logs, request } if !logs.is_empty() => {
-            explain_log::explain(&logs, &request)
+            explain_log::explain_from_logs(&logs, &request)
         }
         command => {
             let runtime =
@@ -93,16 +93,20 @@
             changes::post_order(connection, "/v1/replicas/remove", vm).await
         }
         ClientCommand::Drain { vm } => changes::post_order(connection, "/v1/drain", vm).await,
-        ClientCommand::ConfigShow => queries::config(connection).await,
-        ClientCommand::ConfigHistory => queries::history(connection).await,
+        ClientCommand::ConfigShow => queries::show_config(connection).await,
+        ClientCommand::ConfigHistory => queries::show_history(connection).await,
         ClientCommand::ConfigWait { revision, timeout } => {
-            queries::wait(connection, revision, timeout).await
+            queries::wait_for_revision(connection, revision, timeout).await
+        }
+        ClientCommand::Status => queries::list_daemons(connection).await,
+        ClientCommand::Servers => queries::list_servers(connection).await,
+        ClientCommand::Organisations { limit } => {
+            queries::list_organisations(connection, limit).await
+        }
+        ClientCommand::ReplicaList => queries::list_replicas(connection).await,
+        ClientCommand::Explain { request, .. } => {
+            queries::explain_request(connection, request).await
         }
-        ClientCommand::Status => queries::status(connection).await,
-        ClientCommand::Servers => queries::servers(connection).await,
-        ClientCommand::Organisations { limit } => queries::organisations(connection, limit).await,
-        ClientCommand::ReplicaList => queries::replicas(connection).await,
-        ClientCommand::Explain { request, .. } => queries::explain(connection, request).await,
         ClientCommand::KeysCreate { .. }
         | ClientCommand::KeysOrganisation
         | ClientCommand::Check { .. } => {
--- a/src/operator_client/changes.rs
+++ b/src/operator_client/changes.rs
@@ -90,7 +90,7 @@
         other => other,
     })?;
     let text = format!("revision {} committed, digest {}\n", done.revision, done.digest);
-    Ok(ClientReport::text(&done, text))
+    Ok(ClientReport::from_text(&done, text))
 }
 
 /// `replica replace`, `replica remove` and `drain`: sends an order about a VM to `path`.
@@ -101,5 +101,5 @@
 ) -> Result<ClientReport, ClientError> {
     let done: ActionResponse = connection.change(Method::POST, path, &VmAction { vm }).await?;
     let text = format!("{}\n", done.done);
-    Ok(ClientReport::text(&done, text))
+    Ok(ClientReport::from_text(&done, text))
 }
--- a/src/operator_client/connection.rs
+++ b/src/operator_client/connection.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub enum RequestOutcome {
     /// The daemon responded with status 200 and this body.
-    Answered(Bytes),
+    Responded(Bytes),
     /// The daemon refused the request.
     Refused(Box<OperatorError>),
     /// The request did not reach a daemon.
@@ -83,7 +83,7 @@
         let mut failures = Vec::new();
         for address in &self.addresses {
             match self.send(address, Method::GET, path, Bytes::new()).await {
-                RequestOutcome::Answered(body) => return parse_response(&body),
+                RequestOutcome::Responded(body) => return parse_response(&body),
                 RequestOutcome::Refused(fault) => refused = Some(ClientError::Refused(fault)),
                 RequestOutcome::NotSent(text) | RequestOutcome::ResponseLost(text) => {
                     failures.push(text)
@@ -103,7 +103,7 @@
         path: &str,
     ) -> Result<T, ClientError> {
         match self.send(address, Method::GET, path, Bytes::new()).await {
-            RequestOutcome::Answered(body) => parse_response(&body),
+            RequestOutcome::Responded(body) => parse_response(&body),
             RequestOutcome::Refused(fault) => Err(ClientError::Refused(fault)),
             RequestOutcome::NotSent(text) | RequestOutcome::ResponseLost(text) => {
                 Err(ClientError::Unreachable(vec![text]))
@@ -130,7 +130,7 @@
         let mut may_have_run = false;
         for address in &self.addresses {
             match self.send(address, method.clone(), path, body.clone()).await {
-                RequestOutcome::Answered(body) => return parse_response(&body),
+                RequestOutcome::Responded(body) => return parse_response(&body),
                 // The replicated log decides conflicts, so earlier attempts had no effect either.
                 RequestOutcome::Refused(fault) if fault.code == "conflict" => {
                     return Err(ClientError::Refused(fault));
@@ -187,7 +187,7 @@
         Err(_) => return RequestOutcome::ResponseLost(format!("{address}: incomplete response")),
     };
     if status == StatusCode::OK {
-        return RequestOutcome::Answered(body);
+        return RequestOutcome::Responded(body);
     }
     match serde_json::from_slice::<ErrorBody>(&body) {
         Ok(body) => RequestOutcome::Refused(Box::new(body.error)),
--- a/src/operator_client/explain_log.rs
+++ b/src/operator_client/explain_log.rs
@@ -62,15 +62,18 @@
 ///
 /// # Errors
 /// `Usage` when a file cannot be opened, or when no file has a record of the request.
-pub fn explain(logs: &[PathBuf], request: &RequestId) -> Result<ClientReport, ClientError> {
+pub fn explain_from_logs(
+    logs: &[PathBuf],
+    request: &RequestId,
+) -> Result<ClientReport, ClientError> {
     let explanation = build_explanation(logs, request)?;
-    Ok(ClientReport::text(&explanation, format_explanation(&explanation)))
+    Ok(ClientReport::from_text(&explanation, format_explanation(&explanation)))
 }
 
 fn build_explanation(logs: &[PathBuf], request: &RequestId) -> Result<LogExplanation, ClientError> {
     let mut own = Vec::new();
     for path in logs {
-        own.extend(open_records(path)?.filter(|record| record.request() == request));
+        own.extend(open_records(path)?.filter(|record| record.request_id() == request));
     }
     own.sort_by_key(|record| record.time);
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
@@ -87,7 +90,7 @@
         LogExplanation { cause: describe_cause(&own), ..LogExplanation::default() };
     let mut around = Vec::new();
     for path in logs {
-        for record in open_records(path)?.filter(|record| record.request() != request) {
+        for record in open_records(path)?.filter(|record| record.request_id() != request) {
             span.collect(record, &mut explanation, &mut around);
         }
     }
@@ -123,7 +126,7 @@
         }
         let server = record.text(events::SERVER);
         let at_server = !server.is_empty() && self.servers.contains(server);
-        match record.event() {
+        match record.event_name() {
             events::ATTEMPT_FAILED => {
                 let key = format!("{server} {}", record.text("failure"));
                 *explanation.failures_around.entry(key).or_default() += 1;
@@ -146,13 +149,13 @@
 
 /// Describes how a request ended and why, in one or two sentences.
 fn describe_cause(own: &[LogRecord]) -> String {
-    let last = own.iter().rev().find(|record| record.event() != events::ATTEMPT_FAILED);
-    let failed = own.iter().rev().find(|record| record.event() == events::ATTEMPT_FAILED);
+    let last = own.iter().rev().find(|record| record.event_name() != events::ATTEMPT_FAILED);
+    let failed = own.iter().rev().find(|record| record.event_name() == events::ATTEMPT_FAILED);
     let Some(last) = last else {
         return "Its end is not in the logs: the process ended first, or the record was dropped."
             .to_owned();
     };
-    let mut cause = match last.event() {
+    let mut cause = match last.event_name() {
         events::REQUEST_REFUSED => describe_refusal(last),
         events::STREAM_INTERRUPTED => format!(
             "The stream broke off after {} events at {}: {}.",
@@ -197,7 +200,7 @@
 
 fn describe_completion(last: &LogRecord) -> String {
     let mut text = format!("Its response was complete after {} ms", last.number("total_ms"));
-    if last.event() == events::STREAM_COMPLETED {
+    if last.event_name() == events::STREAM_COMPLETED {
         let _ = write!(
             text,
             ", with the first event after {} ms and a longest pause of {} ms",
@@ -269,7 +272,7 @@
     let fields = record.fields.iter().filter(|(key, _)| !OMITTED_KEYS.contains(&key.as_str()));
     let fields: Vec<String> = fields.map(|(key, value)| format!("{key}={value}")).collect();
     let time = humantime::format_rfc3339_millis(record.time);
-    format!("{time} {} {}: {}", record.source, record.event(), fields.join(" "))
+    format!("{time} {} {}: {}", record.source, record.event_name(), fields.join(" "))
 }
 
 fn format_explanation(explanation: &LogExplanation) -> String {
--- a/src/operator_client/local.rs
+++ b/src/operator_client/local.rs
@@ -92,7 +92,7 @@
         "no faults: {} failure domains, {} VMs, {} backend servers, {} organisations, {rules}\n",
         report.failure_domains, report.vms, report.servers, report.organisations
     );
-    Ok(ClientReport::text(&report, text))
+    Ok(ClientReport::from_text(&report, text))
 }
 
 #[derive(Serialize)]
@@ -130,7 +130,7 @@
         let paths = paths.map(|path| path.display().to_string());
         table.push_row([row.vm.clone()].into_iter().chain(paths));
     }
-    Ok(ClientReport::table(&rows, &table))
+    Ok(ClientReport::from_table(&rows, &table))
 }
 
 fn open_authority(out: &Path) -> Result<KeyPairPem, ClientError> {
@@ -211,5 +211,5 @@
         "key     {key}\ndigest  {digest}\n\nGive the key to the organisation; put the digest into \
          its key_digests in the register.\n"
     );
-    Ok(ClientReport::text(&OrganisationKey { key, digest }, text))
+    Ok(ClientReport::from_text(&OrganisationKey { key, digest }, text))
 }
--- a/src/operator_client/queries.rs
+++ b/src/operator_client/queries.rs
@@ -5,7 +5,7 @@
         connection::AdminConnection,
         error::ClientError,
         report::ClientReport,
-        table::{TextTable, or_dash},
+        table::{TextTable, text_or_dash},
     },
     crate::{
         http_api::operator::wire::{
@@ -30,7 +30,7 @@
 }
 
 /// `status`: queries every address, because each daemon reports only its own state.
-pub async fn status(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
+pub async fn list_daemons(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let mut rows = Vec::new();
     let mut failures = Vec::new();
     for address in connection.addresses() {
@@ -70,7 +70,7 @@
             None => table.push_row([row.admin.clone(), "does not answer".to_owned()]),
         }
     }
-    Ok(ClientReport::table(&rows, &table))
+    Ok(ClientReport::from_table(&rows, &table))
 }
 
 fn status_cells(status: &DaemonStatus) -> [String; 10] {
@@ -82,7 +82,7 @@
         status.state.as_str().to_owned(),
         status.revision.to_string(),
         status.replica.clone(),
-        or_dash(status.leader.as_ref()),
+        text_or_dash(status.leader.as_ref()),
         status.term.to_string(),
         status.in_flight.to_string(),
         humantime::format_duration(uptime).to_string(),
@@ -90,7 +90,7 @@
 }
 
 /// `servers`: the backend servers as seen by the first daemon that responds.
-pub async fn servers(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
+pub async fn list_servers(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let servers: Vec<ServerStatus> = connection.query("/v1/servers").await?;
     let mut table = TextTable::new(&[
         "server",
@@ -112,18 +112,18 @@
             server.failure_domain.clone(),
             kind.as_str().unwrap_or_default().to_owned(),
             server.health.clone(),
-            or_dash((!weights.is_empty()).then(|| weights.join(","))),
+            text_or_dash((!weights.is_empty()).then(|| weights.join(","))),
             server.in_flight.to_string(),
-            or_dash(server.window),
-            or_dash(server.running),
-            or_dash(server.waiting),
+            text_or_dash(server.window),
+            text_or_dash(server.running),
+            text_or_dash(server.waiting),
         ]);
     }
-    Ok(ClientReport::table(&servers, &table))
+    Ok(ClientReport::from_table(&servers, &table))
 }
 
 /// `organisations`: at most `limit` organisations with the most usage.
-pub async fn organisations(
+pub async fn list_organisations(
     connection: &AdminConnection,
     limit: usize,
 ) -> Result<ClientReport, ClientError> {
@@ -141,11 +141,11 @@
             organisation.in_flight.to_string(),
         ]);
     }
-    Ok(ClientReport::table(&organisations, &table))
+    Ok(ClientReport::from_table(&organisations, &table))
 }
 
 /// `replica list`: members of the control group.
-pub async fn replicas(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
+pub async fn list_replicas(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let replicas: Vec<ReplicaEntry> = connection.query("/v1/replicas").await?;
     let mut table = TextTable::new(&["vm", "role", "incarnation", "applied"]);
     for replica in &replicas {
@@ -158,14 +158,14 @@
             replica.vm.clone(),
             role.to_owned(),
             replica.incarnation.to_string(),
-            or_dash(replica.applied),
+            text_or_dash(replica.applied),
         ]);
     }
-    Ok(ClientReport::table(&replicas, &table))
+    Ok(ClientReport::from_table(&replicas, &table))
 }
 
 /// `config show`: summary of the active configuration.
-pub async fn config(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
+pub async fn show_config(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let config: ConfigReport = connection.query("/v1/config").await?;
     let register = &config.register;
     let mut table = TextTable::new(&["what", "value"]);
@@ -185,11 +185,11 @@
     for (what, value) in rows {
         table.push_row([what.to_owned(), value]);
     }
-    Ok(ClientReport::table(&config, &table))
+    Ok(ClientReport::from_table(&config, &table))
 }
 
 /// `config history`: the latest configuration changes.
-pub async fn history(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
+pub async fn show_history(connection: &AdminConnection) -> Result<ClientReport, ClientError> {
     let changes: Vec<ConfigChange> = connection.query("/v1/config/history").await?;
     let mut table = TextTable::new(&["revision", "part", "operation", "digest"]);
     for change in &changes {
@@ -200,11 +200,11 @@
             change.digest.clone(),
         ]);
     }
-    Ok(ClientReport::table(&changes, &table))
+    Ok(ClientReport::from_table(&changes, &table))
 }
 
 /// `config wait`: polls until the revision is active on all VMs.
-pub async fn wait(
+pub async fn wait_for_revision(
     connection: &AdminConnection,
     revision: Revision,
     timeout: Duration,
@@ -217,7 +217,7 @@
             && report.behind().next().is_none()
         {
             let text = format!("revision {revision} is in force on {} VMs\n", report.vms.len());
-            return Ok(ClientReport::text(report, text));
+            return Ok(ClientReport::from_text(report, text));
         }
         if Instant::now() >= until {
             return Err(
@@ -245,7 +245,7 @@
 }
 
 /// `explain`: trace of a request from all daemons that processed it.
-pub async fn explain(
+pub async fn explain_request(
     connection: &AdminConnection,
     request: RequestId,
 ) -> Result<ClientReport, ClientError> {
@@ -261,5 +261,5 @@
         .iter()
         .flat_map(|(vm, lines)| lines.iter().map(move |line| format!("{vm}: {line}\n")))
         .collect();
-    Ok(ClientReport::text(&report, text))
+    Ok(ClientReport::from_text(&report, text))
 }
--- a/src/operator_client/report.rs
+++ b/src/operator_client/report.rs
@@ -11,12 +11,12 @@
 
 impl ClientReport {
     /// Creates a result that is displayed as a table.
-    pub fn table(value: &impl Serialize, table: &TextTable) -> Self {
-        ClientReport::text(value, table.render())
+    pub fn from_table(value: &impl Serialize, table: &TextTable) -> Self {
+        ClientReport::from_text(value, table.render())
     }
 
     /// Creates a result that is displayed as lines of text.
-    pub fn text(value: &impl Serialize, text: String) -> Self {
+    pub fn from_text(value: &impl Serialize, text: String) -> Self {
         let json = serde_json::to_value(value).expect("results have string keys only");
         ClientReport { json, table: text }
     }
--- a/src/operator_client/table.rs
+++ b/src/operator_client/table.rs
@@ -41,6 +41,6 @@
 }
 
 /// Formats a value; `None` becomes a dash.
-pub fn or_dash(value: Option<impl ToString>) -> String {
+pub fn text_or_dash(value: Option<impl ToString>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| value.to_string())
 }
--- a/src/pipeline/service_call.rs
+++ b/src/pipeline/service_call.rs
@@ -184,7 +184,7 @@
     // A server that was removed from the register counts as one that cannot be connected to.
     let address = core.address(&order.server).ok_or(BackendError::Stale)?;
     let _in_flight = core.usage.track_attempt(&order.server);
-    service::call(address, order.attempt, call.outgoing.clone(), limits).await
+    service::send_call(address, order.attempt, call.outgoing.clone(), limits).await
 }
 
 fn finish(
