--- a/src/observe/log_files.rs
+++ b/src/observe/log_files.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogRecord {
     /// Process that wrote the record: the last word before the JSON object, or the name of the file
-    /// if the line has no prefix.
+    /// without its extension if the line has no prefix.
     pub source: String,
     /// Time at which the record was written.
     pub time: SystemTime,
