--- a/src/observe/log_files.rs
+++ b/src/observe/log_files.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogRecord {
     /// Process that wrote the record: the last word before the JSON object, or the name of the file
-    /// if the line has no prefix.
+    /// without its extension if the line has no prefix.
     pub source: String,
     /// Time at which the record was written.
     pub time: SystemTime,
@@ -25,12 +25,12 @@
 
 impl LogRecord {
     /// Name of the event, one of [`events`]; empty if the record has no message.
-    pub fn event(&self) -> &str {
+    pub fn event_name(&self) -> &str {
         self.text(events::MESSAGE)
     }
 
     /// Id of the request that the record refers to; empty if there is none.
-    pub fn request(&self) -> &str {
+    pub fn request_id(&self) -> &str {
         self.text(REQUEST_ID)
     }
 
--- a/src/operator_client/table.rs
+++ b/src/operator_client/table.rs
@@ -15,7 +15,7 @@
     }
 
     /// Adds a row; missing cells at its end stay empty.
-    pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
+    pub fn push_row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
 
@@ -41,6 +41,6 @@
 }
 
 /// Formats a value; `None` becomes a dash.
-pub fn or_dash(value: Option<impl ToString>) -> String {
+pub fn text_or_dash(value: Option<impl ToString>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| value.to_string())
 }
