--- a/src/daemon/duties.rs
+++ b/src/daemon/dispatch_tasks.rs
@@ -14,34 +14,34 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// The length of the queue of duties; the dispatcher repeats those that are dropped.
-pub const DUTY_QUEUE_LENGTH: usize = 4096;
-/// Cancel calls and probes in progress at a time; further ones wait in the queue.
-const MAX_RUNNING_DUTIES: usize = 256;
+/// The capacity of the queue of dispatch tasks; the dispatcher repeats tasks that are dropped.
+pub const TASK_QUEUE_LENGTH: usize = 4096;
+/// The maximum number of concurrent cancel calls and probes; further ones wait in the queue.
+const MAX_RUNNING_TASKS: usize = 256;
 
-/// Attempts of one cancel call; each takes a second at most.
+/// The maximum number of attempts of one cancel call; each takes at most a second.
 const MAX_CANCEL_ATTEMPTS: u32 = 3;
-/// Daemons of each other failure domain that receive this daemon's digests. It covers all daemons
-/// of a domain of three, and bounds the messages at the design size to about a dozen.
+/// The number of daemons of each other failure domain that receive this daemon's digests. Three
+/// cover all daemons of a small domain, and bound the messages at the design size to about a dozen.
 const REMOTE_DIGEST_PEERS: usize = 3;
 
-/// Performs duties until the dispatcher's port is closed.
-pub async fn run_duties(
+/// Performs dispatch tasks until the dispatcher closes the queue.
+pub async fn run_dispatch_tasks(
     core: Arc<PipelineCore>,
     network: PeerNetwork,
     monitor: ServerMonitor,
-    mut duties: mpsc::Receiver<DispatchTask>,
+    mut dispatch_tasks: mpsc::Receiver<DispatchTask>,
 ) {
     let mut running = JoinSet::new();
-    while let Some(duty) = duties.recv().await {
-        if running.len() >= MAX_RUNNING_DUTIES {
+    while let Some(task) = dispatch_tasks.recv().await {
+        if running.len() >= MAX_RUNNING_TASKS {
             running.join_next().await;
         }
         while running.try_join_next().is_some() {}
-        match duty {
+        match task {
             DispatchTask::Publish(mut digest) => {
                 digest.findings = monitor.findings();
-                publish(&core, &network, digest);
+                publish_digest(&core, &network, digest);
             }
             DispatchTask::Probe { server } => {
                 let core = Arc::clone(&core);
@@ -60,8 +60,8 @@
 }
 
 /// Cancels an attempt at an engine. Closing the connection stops most engines; the cancel call
-/// stops those that continue to generate. It is retried when a busy engine does not answer in time,
-/// since nothing else would stop the generation.
+/// stops the others. It is retried when a busy engine does not respond in time, since nothing else
+/// would stop the generation.
 async fn cancel_attempt(address: SocketAddr, attempt: AttemptId) {
     for _ in 0..MAX_CANCEL_ATTEMPTS {
         match engine::cancel(address, attempt).await {
@@ -75,7 +75,7 @@
 /// other domain. Other domains need it because a request that crashes backend servers is retried
 /// through daemons of all domains, and would otherwise crash two servers in each domain
 /// (docs/decisions/0030).
-fn publish(core: &PipelineCore, network: &PeerNetwork, digest: DomainDigest) {
+fn publish_digest(core: &PipelineCore, network: &PeerNetwork, digest: DomainDigest) {
     let serving = core.serving();
     digest_targets(&core.vm, &serving.view.daemons).into_iter().for_each(|peer| {
         network.send(&peer, PeerMessage::Digest(Box::new(digest.clone())));
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -30,7 +30,7 @@
 /// The role of a follower.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowerKind {
-    /// An entry, which needs the whole state.
+    /// An entry, which needs the complete state.
     #[default]
     Entry,
     /// Another control VM, which needs only the server list: its replica provides the rest.
@@ -70,20 +70,21 @@
     pub follower: FollowerKind,
     /// The requested kind of answer.
     pub mode: AnswerMode,
-    /// Whether it needs the whole document, because a delta could not be applied.
-    pub whole: bool,
+    /// Whether it needs the full document, because a delta could not be applied.
+    #[serde(rename = "whole")]
+    pub needs_full: bool,
 }
 
 /// The changes for a follower; `None` where it is up to date.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FollowReply {
-    /// The whole document, if there is a newer one and no delta from the follower's.
+    /// The full document, if there is a newer one and no delta from the follower's.
     pub document: Option<NumberedDocument>,
     /// The delta from the follower's document, if that is known here and the delta is small.
     pub document_delta: Option<DocumentDelta>,
     /// All named weights, if they differ.
     pub weights: Option<NamedWeights>,
-    /// The whole server list, if it differs and the follower's is not known here.
+    /// The full server list, if it differs and the follower's is not known here.
     pub fleet: Option<FleetSnapshot>,
     /// The delta from the follower's server list, if that is known here.
     pub fleet_delta: Option<FleetDelta>,
@@ -122,8 +123,8 @@
     pub entries: u32,
     /// The latest term in which a leader was known; it increases with each new leader.
     pub term: Term,
-    /// Whether a delta could not be applied, so that the next document must be whole.
-    pub needs_whole: bool,
+    /// Whether a delta could not be applied, so that the next document must be sent in full.
+    pub needs_full: bool,
 }
 
 /// The digest of a list of control VMs; 0 for the empty list.
@@ -139,7 +140,7 @@
             && document.number > self.document.number
         {
             self.document = document;
-            self.needs_whole = false;
+            self.needs_full = false;
         }
         if let Some(delta) = reply.document_delta {
             self.apply_document_delta(&delta);
@@ -174,8 +175,8 @@
             Ok(document) => self.document = document,
             Err(error) => {
                 log::warn!(document = self.document.number, error:% = error;
-                    "cannot apply a document delta; requesting the whole document");
-                self.needs_whole = true;
+                    "cannot apply a document delta; requesting the full document");
+                self.needs_full = true;
             }
         }
     }
--- a/src/operator_client/connection.rs
+++ b/src/operator_client/connection.rs
@@ -16,7 +16,7 @@
 
 /// A daemon that accepts no connection within this time is considered unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// A change waits for a quorum, which may be electing a leader.
+/// Timeout of a response: a change waits for a quorum, which may first have to elect a leader.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Limit for response bodies; the largest register with its rules is much smaller.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub enum RequestOutcome {
     /// The daemon responded with status 200 and this body.
-    Answered(Bytes),
+    Responded(Bytes),
     /// The daemon refused the request.
     Refused(Box<OperatorError>),
     /// The request did not reach a daemon.
@@ -83,7 +83,7 @@
         let mut failures = Vec::new();
         for address in &self.addresses {
             match self.send(address, Method::GET, path, Bytes::new()).await {
-                RequestOutcome::Answered(body) => return parse_response(&body),
+                RequestOutcome::Responded(body) => return parse_response(&body),
                 RequestOutcome::Refused(fault) => refused = Some(ClientError::Refused(fault)),
                 RequestOutcome::NotSent(text) | RequestOutcome::ResponseLost(text) => {
                     failures.push(text)
@@ -97,13 +97,13 @@
     ///
     /// # Errors
     /// The refusal of the daemon, or `Unreachable`.
-    pub async fn query_one<T: DeserializeOwned>(
+    pub async fn query_address<T: DeserializeOwned>(
         &self,
         address: &Uri,
         path: &str,
     ) -> Result<T, ClientError> {
         match self.send(address, Method::GET, path, Bytes::new()).await {
-            RequestOutcome::Answered(body) => parse_response(&body),
+            RequestOutcome::Responded(body) => parse_response(&body),
             RequestOutcome::Refused(fault) => Err(ClientError::Refused(fault)),
             RequestOutcome::NotSent(text) | RequestOutcome::ResponseLost(text) => {
                 Err(ClientError::Unreachable(vec![text]))
@@ -127,27 +127,27 @@
         let body = Bytes::from(body);
         let mut refused = None;
         let mut failures = Vec::new();
-        let mut lost = false;
+        let mut may_have_run = false;
         for address in &self.addresses {
             match self.send(address, method.clone(), path, body.clone()).await {
-                RequestOutcome::Answered(body) => return parse_response(&body),
+                RequestOutcome::Responded(body) => return parse_response(&body),
                 // The replicated log decides conflicts, so earlier attempts had no effect either.
                 RequestOutcome::Refused(fault) if fault.code == "conflict" => {
                     return Err(ClientError::Refused(fault));
                 }
                 RequestOutcome::Refused(fault) => {
-                    lost |= fault.did_happen == DidHappen::Unknown;
+                    may_have_run |= fault.did_happen == DidHappen::Unknown;
                     failures.push(format!("{address}: {}", fault.message));
                     refused = Some(ClientError::Refused(fault));
                 }
                 RequestOutcome::NotSent(text) => failures.push(text),
                 RequestOutcome::ResponseLost(text) => {
-                    lost = true;
+                    may_have_run = true;
                     failures.push(text);
                 }
             }
         }
-        if lost {
+        if may_have_run {
             return Err(ClientError::OutcomeUnknown { operation: None, failures });
         }
         Err(refused.unwrap_or(ClientError::Unreachable(failures)))
@@ -187,7 +187,7 @@
         Err(_) => return RequestOutcome::ResponseLost(format!("{address}: incomplete response")),
     };
     if status == StatusCode::OK {
-        return RequestOutcome::Answered(body);
+        return RequestOutcome::Responded(body);
     }
     match serde_json::from_slice::<ErrorBody>(&body) {
         Ok(body) => RequestOutcome::Refused(Box::new(body.error)),
